--- /dev/null
+++ b/crates/rehearsal/tests/wire.rs
@@ -0,0 +1,83 @@
+//! The encoded form of every message stays as it was released: nodes of the version before
+//! read it, and stored logs and snapshots hold it. `wire.hex` has one filled value of each
+//! message (of each variant of a `oneof`), a line each: name and bytes. The names are those
+//! of the version that wrote them.
+
+use callboard::{Member, Notice};
+use playbill::letters::*;
+use preview::{Audit, Create, Preview, PreviewChange, Review, Showing, Trial};
+use prompter::{Cue, Entry, Roll, Snapshot, Voter};
+use prost::Message;
+
+/// Messages in `wire.hex`.
+const MESSAGES: usize = 67;
+
+fn decoded_and_encoded<T: Message + Default>(bytes: &[u8]) -> Vec<u8> {
+    T::decode(bytes).expect("decodes").encode_to_vec()
+}
+
+fn bytes_of(hex: &str) -> Vec<u8> {
+    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex");
+    (0..hex.len()).step_by(2).map(byte).collect()
+}
+
+#[test]
+fn encoded_messages_stay_as_they_were() {
+    let mut messages = 0;
+    for line in include_str!("wire.hex").lines() {
+        let (name, hex) = line.split_once(' ').expect("a name and bytes");
+        let bytes = bytes_of(hex);
+        let encoded = match name {
+            "Voter" => decoded_and_encoded::<Voter>(&bytes),
+            "Roll" => decoded_and_encoded::<Roll>(&bytes),
+            "Entry" => decoded_and_encoded::<Entry>(&bytes),
+            "Snapshot" => decoded_and_encoded::<Snapshot>(&bytes),
+            "Cue" => decoded_and_encoded::<Cue>(&bytes),
+            "Member" => decoded_and_encoded::<Member>(&bytes),
+            "Notice" => decoded_and_encoded::<Notice>(&bytes),
+            "Review" => decoded_and_encoded::<Review>(&bytes),
+            "Showing" => decoded_and_encoded::<Showing>(&bytes),
+            "Audit" => decoded_and_encoded::<Audit>(&bytes),
+            "Preview" => decoded_and_encoded::<Preview>(&bytes),
+            "Create" => decoded_and_encoded::<Create>(&bytes),
+            "PreviewChange" => decoded_and_encoded::<PreviewChange>(&bytes),
+            "Trial" => decoded_and_encoded::<Trial>(&bytes),
+            "Letter" => decoded_and_encoded::<Letter>(&bytes),
+            "ControlCall" => decoded_and_encoded::<ControlCall>(&bytes),
+            "BeginOrder" => decoded_and_encoded::<BeginOrder>(&bytes),
+            "KillSwitch" => decoded_and_encoded::<KillSwitch>(&bytes),
+            "ReplaceOrder" => decoded_and_encoded::<ReplaceOrder>(&bytes),
+            "ControlAnswer" => decoded_and_encoded::<ControlAnswer>(&bytes),
+            "Report" => decoded_and_encoded::<Report>(&bytes),
+            "KeyCounts" => decoded_and_encoded::<KeyCounts>(&bytes),
+            "Demand" => decoded_and_encoded::<Demand>(&bytes),
+            "Capacity" => decoded_and_encoded::<Capacity>(&bytes),
+            "Distance" => decoded_and_encoded::<Distance>(&bytes),
+            "Digests" => decoded_and_encoded::<Digests>(&bytes),
+            "Mend" => decoded_and_encoded::<Mend>(&bytes),
+            "Change" => decoded_and_encoded::<Change>(&bytes),
+            "OrderTag" => decoded_and_encoded::<OrderTag>(&bytes),
+            "LedgerImage" => decoded_and_encoded::<LedgerImage>(&bytes),
+            "TakenOrder" => decoded_and_encoded::<TakenOrder>(&bytes),
+            "JudgedOrder" => decoded_and_encoded::<JudgedOrder>(&bytes),
+            "ReplaceDelta" => decoded_and_encoded::<ReplaceDelta>(&bytes),
+            "DeltaPart" => decoded_and_encoded::<DeltaPart>(&bytes),
+            "EvacuationChange" => decoded_and_encoded::<EvacuationChange>(&bytes),
+            "Worker" => decoded_and_encoded::<Worker>(&bytes),
+            "Cast" => decoded_and_encoded::<Cast>(&bytes),
+            "WorkersChange" => decoded_and_encoded::<WorkersChange>(&bytes),
+            "Holding" => decoded_and_encoded::<Holding>(&bytes),
+            "KeysChange" => decoded_and_encoded::<KeysChange>(&bytes),
+            "Fraction" => decoded_and_encoded::<Fraction>(&bytes),
+            "PlacementChange" => decoded_and_encoded::<PlacementChange>(&bytes),
+            "BenchChange" => decoded_and_encoded::<BenchChange>(&bytes),
+            "AllowanceChange" => decoded_and_encoded::<AllowanceChange>(&bytes),
+            "StageImage" => decoded_and_encoded::<StageImage>(&bytes),
+            "ZoneReturn" => decoded_and_encoded::<ZoneReturn>(&bytes),
+            other => panic!("{other} is no message"),
+        };
+        assert_eq!(encoded, bytes, "{name}");
+        messages += 1;
+    }
+    assert_eq!(messages, MESSAGES);
+}
