--- a/crates/playhouse/src/control_tests.rs
+++ b/crates/playhouse/src/control_tests.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 
 /// A folder that goes with the test.
-struct Folder(std::path::PathBuf);
+pub(crate) struct Folder(std::path::PathBuf);
 
 impl Drop for Folder {
     fn drop(&mut self) {
@@ -20,7 +20,7 @@
 }
 
 /// A node that leads alone, and the address of its control.
-async fn control() -> (Rc<House>, SocketAddrV4, Folder) {
+pub(crate) async fn control() -> (Rc<House>, SocketAddrV4, Folder) {
     let folder = Folder(std::env::temp_dir().join(format!("control-{:x}", rand::random::<u64>())));
     let (internal, port) = (free_port(), free_port());
     let text = format!(
@@ -78,7 +78,7 @@
 }
 
 /// Sends bytes, as far as they are taken, and reads until the other side closes.
-async fn raw(address: SocketAddrV4, text: &str) -> String {
+pub(crate) async fn raw(address: SocketAddrV4, text: &str) -> String {
     let io = TcpStream::connect(address).await.expect("connects");
     let (mut reading, mut writing) = io.into_split();
     let text = text.to_string();
--- a/crates/playhouse/src/main.rs
+++ b/crates/playhouse/src/main.rs
@@ -22,10 +22,14 @@
 #[cfg(test)]
 mod answers_tests;
 #[cfg(test)]
+mod control_answers_tests;
+#[cfg(test)]
 mod control_tests;
 #[cfg(test)]
 mod forwarding_tests;
 #[cfg(test)]
+mod stored_data_tests;
+#[cfg(test)]
 mod vault_tests;
 
 use kernel::House;
--- /dev/null
+++ b/crates/playhouse/src/stored_data_tests.rs
@@ -0,0 +1,100 @@
+//! A data folder that an earlier version wrote (commit 7a4bca1) opens with all of it, and a
+//! damaged one is still set aside. `tests/data/store` holds its files, packed, and the
+//! encoded state that its snapshot and log come to.
+
+use crate::vault::{Opened, Vault};
+use flate2::read::GzDecoder;
+use playbill::Stage;
+use prompter::{EntryKind, Roll};
+use std::io::Read;
+use std::path::{Path, PathBuf};
+
+const STORE: &[u8] = include_bytes!("../tests/data/store/prompter.redb.gz");
+const HIGH_WATER: &[u8] = include_bytes!("../tests/data/store/prompter.mark.gz");
+const STATE: &[u8] = include_bytes!("../tests/data/store/state.gz");
+/// The identity that the folder's node drew.
+const NODE: u64 = 0xef72_9571_b6e1_1ff5;
+
+/// A folder that is removed at the end of a test.
+struct Folder(PathBuf);
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        std::fs::remove_dir_all(&self.0).ok();
+    }
+}
+
+fn unpacked(packed: &[u8]) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    GzDecoder::new(packed).read_to_end(&mut bytes).expect("packed");
+    bytes
+}
+
+/// The folder as the earlier version left it, with its store as `store`.
+fn folder(store: &[u8]) -> Folder {
+    let path = std::env::temp_dir().join(format!("stored-{:x}", rand::random::<u64>()));
+    std::fs::create_dir_all(&path).expect("a folder");
+    std::fs::write(path.join("prompter.redb"), store).expect("written");
+    std::fs::write(path.join("prompter.mark"), unpacked(HIGH_WATER)).expect("written");
+    Folder(path)
+}
+
+fn open(path: &Path) -> Opened {
+    let (words, _) = tokio::sync::mpsc::unbounded_channel();
+    Vault::open(path.to_str().expect("utf-8"), words).expect("opens")
+}
+
+#[test]
+fn a_store_of_an_earlier_version_opens_with_all_of_it() {
+    let folder = folder(&unpacked(STORE));
+    let opened = open(&folder.0);
+    assert_eq!((opened.identity.id, opened.identity.cluster), (NODE, 0xc1));
+    assert_eq!((opened.empty, opened.damage), (false, None));
+    let saved = &opened.saved;
+    assert_eq!((saved.term, saved.vote), (5, 2));
+    assert_eq!((saved.snapshot.index, saved.snapshot.term), (8, 4));
+    let roll = saved.snapshot.roll.clone().expect("the voters");
+    let ids = |roll: &Roll| -> Vec<u64> { roll.voters.iter().map(|v| v.id).collect() };
+    assert_eq!((ids(&roll), roll.vacant.len()), (vec![NODE, 2], 1));
+    let indexes: Vec<u64> = saved.entries.iter().map(|e| e.index).collect();
+    assert_eq!(indexes, (9..=17).collect::<Vec<u64>>());
+
+    let mut state: Stage = opened.stage;
+    assert_eq!((state.index, state.version()), (8, 1));
+    for entry in &saved.entries {
+        assert_eq!(entry.kind, EntryKind::Change as i32);
+        state.apply(entry.index, &entry.data);
+    }
+    assert_eq!(
+        state.version(),
+        20,
+        "a replace, a modify, and one logged as a delta"
+    );
+    assert!(state.evacuated.contains_key("n2") && state.returned.contains_key("n1"));
+    assert_eq!(state.rollouts.len(), 1);
+    assert_eq!(state.holding("pages", 1000).map(|h| h.fence), Some(2));
+    assert!(state.kill_switch.as_ref().is_some_and(|k| k.on));
+    let encoded = prost::Message::encode_to_vec(&state.image());
+    assert_eq!(encoded, unpacked(STATE), "byte for byte");
+}
+
+#[test]
+fn a_damaged_store_of_an_earlier_version_is_set_aside() {
+    let mut store = unpacked(STORE);
+    let middle = store.len() / 2;
+    store.truncate(middle);
+    let folder = folder(&store);
+    let opened = open(&folder.0);
+    assert!(opened.damage.is_some() && !opened.empty);
+    assert_ne!(opened.identity.id, NODE, "joins as somebody new");
+    assert_eq!(opened.saved, prompter::Saved::default());
+    assert!(folder.0.join("prompter.redb.damaged").exists());
+}
+
+#[test]
+fn a_store_that_is_older_than_its_high_water_mark_is_set_aside() {
+    let folder = folder(&unpacked(STORE));
+    std::fs::remove_file(folder.0.join("prompter.redb")).expect("removed");
+    let opened = open(&folder.0);
+    assert!(opened.damage.is_some() && !opened.empty);
+}
