--- a/crates/playhouse/src/forwarding_tests.rs
+++ b/crates/playhouse/src/forwarding_tests.rs
@@ -436,3 +436,44 @@
         actix_rt::task::yield_now().await;
     }
 }
+
+/// Header lines with the values that differ from run to run left out.
+fn without_values(text: &str) -> String {
+    let line = |line: &str| match line.split_once(": ") {
+        Some((name, _)) if ["date", "deadline-ms", "host"].contains(&name) => format!("{name}: *"),
+        _ => line.to_string(),
+    };
+    let mut lines: Vec<String> = text.lines().map(line).collect();
+    let end = lines.iter().position(String::is_empty).unwrap_or(lines.len());
+    // Their order differs from run to run.
+    lines[1..end].sort();
+    lines.join("\n")
+}
+
+#[actix_rt::test]
+async fn headers_to_workers_and_clients_stay_as_they_were() {
+    let (script, address) = worker(vec![ok("fine")]).await;
+    let front = front(&[address]).await;
+    let mut told = Vec::new();
+    for request in [
+        get("/again/a"),
+        post("/once/a", "body"),
+        get("/nowhere/a"),
+        get("/again/a").replace("a.example", "b.example"),
+        post("/once/a", &"x".repeat(2000)),
+        get("/again/a").replace("X-Kept: 2", &format!("X-Kept: {}", "2".repeat(3000))),
+    ] {
+        told.push(without_values(&raw(front, &request).await));
+    }
+    let seen: Vec<String> = script.seen.borrow().iter().map(|s| without_values(s)).collect();
+    let now = format!(
+        "to workers:\n{}\n\nto clients:\n{}\n",
+        seen.join("\n--\n"),
+        told.join("\n--\n")
+    );
+    if now != include_str!("../tests/data/headers.txt") {
+        let path = std::env::temp_dir().join("headers.txt");
+        std::fs::write(&path, &now).expect("written");
+        panic!("the headers have changed; as they are now: {}", path.display());
+    }
+}
