--- a/crates/playhouse/src/conductor/mod.rs
+++ b/crates/playhouse/src/conductor/mod.rs
@@ -19,8 +19,8 @@
 use playbill::pairing::{CallId, Calls, Life};
 use playbill::stage::Outcome;
 use playbill::Stage;
-use prompter::{Cue, EntryKind, Following, Prompter, Role, Snapshot, Timing, Write};
 use prost::Message as _;
+use raft::{Cue, EntryKind, Following, Prompter, Role, Snapshot, Timing, Write};
 use rand::Rng;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
@@ -54,7 +54,7 @@
             let id = rand::thread_rng().gen_range(1..u64::MAX);
             (
                 Identity { id, cluster: 0 },
-                prompter::Saved::default(),
+                raft::Saved::default(),
                 Stage::default(),
                 true,
                 None,
@@ -376,7 +376,7 @@
         self.prompter.applied(self.stage.index);
     }
 
-    fn apply(&mut self, entry: prompter::Entry) {
+    fn apply(&mut self, entry: raft::Entry) {
         let mut outcome = None;
         if entry.kind == EntryKind::Change as i32 {
             let before = self.stage.version();
--- a/crates/playhouse/src/conductor/orders.rs
+++ b/crates/playhouse/src/conductor/orders.rs
@@ -7,7 +7,7 @@
 use playbill::ledger::key_of;
 use playbill::letters::*;
 use playbill::stage::{encode_order, Judgement, Outcome};
-use prompter::{bears, bears_loss};
+use raft::{bears, bears_loss};
 use rand::seq::SliceRandom;
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/crates/playhouse/src/conductor/status.rs
+++ b/crates/playhouse/src/conductor/status.rs
@@ -80,7 +80,7 @@
             "live": leads.then_some(live), "caught_up": leads.then_some(able),
             "learning": leads.then_some(learners),
             "further_losses": leads.then(|| able as i64 - roll.majority() as i64),
-            "bears_tolerance": prompter::bears(roll, self.losses()),
+            "bears_tolerance": raft::bears(roll, self.losses()),
             "roll_change_under_way": p.roll_pending(),
             "snapshot_index": snapshot_index, "snapshot_bytes": snapshot_bytes,
             "log_entries": p.log_len(), "log_bytes": p.log_bytes(),
--- a/crates/playhouse/src/conductor/tending.rs
+++ b/crates/playhouse/src/conductor/tending.rs
@@ -5,7 +5,7 @@
 use callboard::Member;
 use playbill::constants as c;
 use playbill::letters::{Digests, Matter};
-use prompter::{next_roll, FollowTiming, Losses, Patience, Seen, Source, Voter};
+use raft::{next_roll, FollowTiming, Losses, Patience, Seen, Source, Voter};
 use rand::seq::SliceRandom;
 use rand::Rng;
 use std::collections::BTreeSet;
--- a/crates/playhouse/src/stored_data_tests.rs
+++ b/crates/playhouse/src/stored_data_tests.rs
@@ -5,7 +5,7 @@
 use crate::vault::{Opened, Vault};
 use flate2::read::GzDecoder;
 use playbill::Stage;
-use prompter::{EntryKind, Roll};
+use raft::{EntryKind, Roll};
 use std::io::Read;
 use std::path::{Path, PathBuf};
 
@@ -87,7 +87,7 @@
     let opened = open(&folder.0);
     assert!(opened.damage.is_some() && !opened.empty);
     assert_ne!(opened.identity.id, NODE, "joins as somebody new");
-    assert_eq!(opened.saved, prompter::Saved::default());
+    assert_eq!(opened.saved, raft::Saved::default());
     assert!(folder.0.join("prompter.redb.damaged").exists());
 }
 
--- a/crates/playhouse/src/vault/load.rs
+++ b/crates/playhouse/src/vault/load.rs
@@ -6,8 +6,8 @@
 
 use super::{high_water, meta_number, open_store, sync_folder, Fallible, Identity, Paths, LOG, META};
 use playbill::Stage;
-use prompter::{Entry, Saved, Snapshot};
 use prost::Message;
+use raft::{Entry, Saved, Snapshot};
 use rand::Rng;
 use redb::{Database, DatabaseError, ReadableDatabase, StorageError, TableError};
 use std::io::ErrorKind;
--- a/crates/playhouse/src/vault/power_tests.rs
+++ b/crates/playhouse/src/vault/power_tests.rs
@@ -3,7 +3,7 @@
 
 use super::load::read_all;
 use super::*;
-use prompter::{Entry, Snapshot};
+use raft::{Entry, Snapshot};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use redb::StorageBackend;
--- a/crates/playhouse/src/vault_tests.rs
+++ b/crates/playhouse/src/vault_tests.rs
@@ -1,7 +1,7 @@
 //! The store of a node under damage, torn ends and faults of the disk.
 
 use crate::vault::{Opened, Vault, Word};
-use prompter::{Entry, Snapshot, Write};
+use raft::{Entry, Snapshot, Write};
 use rand::{Rng, SeedableRng};
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/prompter/tests/cluster/mod.rs
+++ b/crates/raft/tests/cluster/mod.rs
@@ -2,7 +2,7 @@
 //! once, links that take a step.
 #![allow(dead_code)]
 
-use prompter::*;
+use raft::*;
 
 pub const STEP_MS: u64 = 50;
 /// A machine counts as lost for so long after it is back.
--- a/crates/prompter/tests/leaving.rs
+++ b/crates/raft/tests/leaving.rs
@@ -3,7 +3,7 @@
 mod cluster;
 
 use cluster::*;
-use prompter::{bears_loss, may_end, next_roll, Prompter};
+use raft::{bears_loss, may_end, next_roll, Prompter};
 
 const SIX: [usize; 6] = [0, 0, 1, 1, 2, 2];
 
--- a/crates/prompter/tests/narrow.rs
+++ b/crates/raft/tests/narrow.rs
@@ -1,7 +1,7 @@
 //! Links that carry 2 Mbit/s, and messages that take seconds on them.
 
-use prompter::{Cue, Prompter, Roll, Saved, Snapshot, Timing, Voter, Write};
 use prost::Message;
+use raft::{Cue, Prompter, Roll, Saved, Snapshot, Timing, Voter, Write};
 use std::collections::BTreeMap;
 
 const TIMING: Timing = Timing {
--- a/crates/prompter/tests/relay.rs
+++ b/crates/raft/tests/relay.rs
@@ -1,6 +1,6 @@
 //! Passing the log on to nodes that do not vote.
 
-use prompter::*;
+use raft::*;
 
 const TIMING: Timing = Timing {
     heartbeat: 100,
--- a/crates/prompter/tests/repair_ways.rs
+++ b/crates/raft/tests/repair_ways.rs
@@ -5,7 +5,7 @@
 mod cluster;
 
 use cluster::*;
-use prompter::{next_roll, Prompter};
+use raft::{next_roll, Prompter};
 
 const SIZES: [&[usize]; 5] = [
     &[0, 1, 2],
--- a/crates/prompter/tests/roll_model.rs
+++ b/crates/raft/tests/roll_model.rs
@@ -6,7 +6,7 @@
 mod cluster;
 
 use cluster::*;
-use prompter::{bears, next_roll, Losses, Patience, Prompter, Roll, Seen};
+use raft::{bears, next_roll, Losses, Patience, Prompter, Roll, Seen};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
--- a/crates/prompter/tests/roll_rules.rs
+++ b/crates/raft/tests/roll_rules.rs
@@ -3,7 +3,7 @@
 mod cluster;
 
 use cluster::{LOSSES, PATIENCE, TIMING};
-use prompter::*;
+use raft::*;
 
 fn voter(id: u64) -> Voter {
     Voter {
--- a/crates/rehearsal/src/disk.rs
+++ b/crates/rehearsal/src/disk.rs
@@ -1,7 +1,7 @@
 //! A disk that loses what was not synced when the power goes.
 
-use prompter::{Entry, Saved, Write};
 use prost::Message;
+use raft::{Entry, Saved, Write};
 
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
--- a/crates/rehearsal/src/front.rs
+++ b/crates/rehearsal/src/front.rs
@@ -10,7 +10,7 @@
 use playbill::letters::{self, ChangeKind, EvacuationChange, OrderTag, ReplaceOrder, TakenOrder};
 use playbill::stage::{encode_order, Judgement, Outcome};
 use playbill::{CallId, Calls};
-use prompter::{bears, bears_loss};
+use raft::{bears, bears_loss};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What may be wrong with a front, planted to see that the checker finds it.
--- a/crates/rehearsal/src/node.rs
+++ b/crates/rehearsal/src/node.rs
@@ -5,7 +5,7 @@
 use playbill::letters::ReplaceOrder;
 use playbill::stage::Outcome;
 use playbill::Stage;
-use prompter::{Cue, EntryKind, Following, Prompter, Timing};
+use raft::{Cue, EntryKind, Following, Prompter, Timing};
 use std::collections::VecDeque;
 use wardrobe::Wardrobe;
 
@@ -92,7 +92,7 @@
                 }
                 (disk.id, disk.load())
             }
-            None => (id, prompter::Saved::default()),
+            None => (id, raft::Saved::default()),
         };
         let stage = Stage::from_snapshot(saved.snapshot.index, &saved.snapshot.data);
         let stage = stage.expect("the disk gives back what was written");
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -383,7 +383,7 @@
                 if roll != self.roll {
                     self.roll = roll;
                     self.reached.roll_changes += 1;
-                    let voter = |v: &prompter::Voter| format!("{}#{}", v.address, v.id);
+                    let voter = |v: &raft::Voter| format!("{}#{}", v.address, v.id);
                     let voters = prompter.roll().voters.iter().map(voter).collect();
                     notes.push((name.clone(), Saw::Roll { voters }));
                 }
--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -6,7 +6,7 @@
 use playbill::constants as c;
 use playbill::letters::*;
 use playbill::stage::{encode_change, Outcome};
-use prompter::{bears, next_roll, Cue, FollowTiming, Losses, Patience, Seen, Source, Voter};
+use raft::{bears, next_roll, Cue, FollowTiming, Losses, Patience, Seen, Source, Voter};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/rehearsal/tests/wire.rs
+++ b/crates/rehearsal/tests/wire.rs
@@ -6,8 +6,8 @@
 use callboard::{Member, Notice};
 use playbill::letters::*;
 use preview::{Audit, Create, Preview, PreviewChange, Review, Showing, Trial};
-use prompter::{Cue, Entry, Roll, Snapshot, Voter};
 use prost::Message;
+use raft::{Cue, Entry, Roll, Snapshot, Voter};
 
 /// Messages in `wire.hex`.
 const MESSAGES: usize = 67;
