--- a/crates/playhouse/src/conductor/mod.rs
+++ b/crates/playhouse/src/conductor/mod.rs
@@ -20,7 +20,7 @@
 use playbill::stage::Outcome;
 use playbill::Stage;
 use prost::Message as _;
-use raft::{Cue, EntryKind, Following, Prompter, Role, Snapshot, Timing, Write};
+use raft::{Config, EntryType, RaftNode, Role, Snapshot, StorageWrite, UpstreamSelector};
 use rand::Rng;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
@@ -54,7 +54,7 @@
             let id = rand::thread_rng().gen_range(1..u64::MAX);
             (
                 Identity { id, cluster: 0 },
-                raft::Saved::default(),
+                raft::PersistentState::default(),
                 Stage::default(),
                 true,
                 None,
@@ -68,7 +68,7 @@
         identity.cluster,
         vault.is_some()
     );
-    let timing = Timing {
+    let timing = Config {
         heartbeat: c::HEARTBEAT_MS,
         observer_heartbeat: c::OBSERVER_HEARTBEAT_MS,
         election_min: c::ELECTION_MIN_MS,
@@ -80,7 +80,7 @@
         append_bytes: c::APPEND_BYTES,
         tail_bytes: c::LOG_TAIL_BYTES,
     };
-    let mut prompter = Prompter::new(identity.id, saved, timing, house.now(), rand::thread_rng().gen());
+    let mut prompter = RaftNode::new(identity.id, saved, timing, house.now(), rand::thread_rng().gen());
     prompter.set_readable(Stage::is_readable);
     let mut standing = Standing {
         id: identity.id,
@@ -117,7 +117,7 @@
         in_contact: true,
         roll_under_way: false,
         role: Role::Follower,
-        following: Following::default(),
+        following: UpstreamSelector::default(),
         introduced: HashMap::new(),
     }
     .start();
@@ -152,7 +152,7 @@
 pub struct Leave;
 
 /// What waits for a write: its number, messages, and the last entry and its term.
-type Held = (u64, Vec<(u64, Cue)>, (u64, u64));
+type Held = (u64, Vec<(u64, raft::Message)>, (u64, u64));
 /// Nodes kept that have introduced themselves, nodes.
 const INTRODUCED_KEPT: usize = 256;
 type Waiter = oneshot::Sender<orders::Settled>;
@@ -169,7 +169,7 @@
 
 pub struct Conductor {
     house: Rc<House>,
-    prompter: Prompter,
+    prompter: RaftNode,
     stage: Stage,
     vault: Option<Vault>,
     /// Empty at the first start of the whole system.
@@ -202,7 +202,7 @@
     roll_under_way: bool,
     role: Role,
     /// Which voter this node follows, if it has no disk.
-    following: Following,
+    following: UpstreamSelector,
     /// Where nodes can be answered that the membership may not show yet.
     introduced: HashMap<u64, String>,
 }
@@ -274,7 +274,7 @@
             .or_else(|| self.introduced.get(&id).cloned())
     }
 
-    fn send_cues(&self, cues: Vec<(u64, Cue)>) {
+    fn send_cues(&self, cues: Vec<(u64, raft::Message)>) {
         for (to, cue) in cues {
             if let Some(address) = self.address_of(to) {
                 self.post(address, Matter::Agreement(cue.encode_to_vec()));
@@ -327,7 +327,12 @@
     }
 
     /// Hands a write to the disk; the messages that need not wait for one.
-    fn write(&mut self, write: Write, after: Vec<(u64, Cue)>, last: (u64, u64)) -> Vec<(u64, Cue)> {
+    fn write(
+        &mut self,
+        write: StorageWrite,
+        after: Vec<(u64, raft::Message)>,
+        last: (u64, u64),
+    ) -> Vec<(u64, raft::Message)> {
         let Some(vault) = &self.vault else {
             self.prompter.persisted(last.0, last.1);
             return after;
@@ -349,13 +354,13 @@
 
     /// Sends answers, with what has been applied by now: the leader need not wait for the
     /// next one to learn that a change is in force here.
-    fn send_answers(&self, mut answers: Vec<(u64, Cue)>) {
+    fn send_answers(&self, mut answers: Vec<(u64, raft::Message)>) {
         self.prompter.stamp(&mut answers);
         self.send_cues(answers);
     }
 
     /// Takes a message of the agreement in.
-    fn receive(&mut self, now: u64, from: u64, cue: Cue) {
+    fn receive(&mut self, now: u64, from: u64, cue: raft::Message) {
         let before = self.prompter.unreadable();
         self.prompter.receive(now, from, cue);
         if self.prompter.unreadable() > before {
@@ -378,7 +383,7 @@
 
     fn apply(&mut self, entry: raft::Entry) {
         let mut outcome = None;
-        if entry.kind == EntryKind::Change as i32 {
+        if entry.kind == EntryType::Command as i32 {
             let before = self.stage.version();
             outcome = Some(self.stage.apply(entry.index, &entry.data));
             if self.stage.version() != before {
@@ -541,7 +546,7 @@
         let now = self.house.now();
         match letter.matter {
             Some(Matter::Agreement(bytes)) => {
-                let Ok(cue) = Cue::decode(bytes.as_slice()) else {
+                let Ok(cue) = raft::Message::decode(bytes.as_slice()) else {
                     self.house.counters.add("malformed_frames");
                     return;
                 };
--- a/crates/playhouse/src/conductor/tending.rs
+++ b/crates/playhouse/src/conductor/tending.rs
@@ -5,7 +5,9 @@
 use callboard::Member;
 use playbill::constants as c;
 use playbill::letters::{Digests, Matter};
-use raft::{next_roll, FollowTiming, Losses, Patience, Seen, Source, Voter};
+use raft::{
+    next_roll, FaultTolerance, PeerObservation, SilenceTimeouts, UpstreamCandidate, UpstreamTimeouts, Voter,
+};
 use rand::seq::SliceRandom;
 use rand::Rng;
 use std::collections::BTreeSet;
@@ -100,7 +102,7 @@
         let roll = self.prompter.roll();
         let any_votes = able.iter().any(|m| roll.has(m.id));
         let own = &settings.own_entity;
-        let source = |id, zone: &str, region: &str| Source {
+        let source = |id, zone: &str, region: &str| UpstreamCandidate {
             id,
             same_zone: zone == own.zone,
             same_region: region == own.region,
@@ -109,13 +111,13 @@
         // then all would be fed by the first, most of them from afar.
         let unheard = |v: &&Voter| members.iter().all(|m| m.address != v.address);
         let named = roll.voters.iter().filter(unheard);
-        let sources: Vec<Source> = able
+        let sources: Vec<UpstreamCandidate> = able
             .iter()
             .filter(|m| roll.has(m.id) || !any_votes)
             .map(|m| source(m.id, &m.zone, &m.region))
             .chain(named.map(|v| source(v.id, &v.zone, &v.region)))
             .collect();
-        let timing = FollowTiming {
+        let timing = UpstreamTimeouts {
             silent: c::SOURCE_SILENT_MS,
             shun: c::SOURCE_SHUN_MS,
         };
@@ -164,7 +166,7 @@
         self.prompter.set_observers(&self.observers());
         let standing = self.house.standing.get();
         let members = self.house.members.get();
-        let seen: Vec<Seen> = members
+        let seen: Vec<PeerObservation> = members
             .iter()
             .filter(|m| m.id != 0 && m.id != standing.id)
             // Who has answered the log has joined, whether word of it came or not.
@@ -172,7 +174,7 @@
                 let answered = self.prompter.progress(m.id).is_some_and(|p| p.matched > 0);
                 m.cluster == standing.cluster || m.cluster == 0 && answered
             })
-            .map(|m| Seen {
+            .map(|m| PeerObservation {
                 voter: Voter {
                     id: m.id,
                     address: m.address.clone(),
@@ -183,7 +185,7 @@
                 alive: m.is_alive(),
             })
             .collect();
-        let patience = Patience {
+        let patience = SilenceTimeouts {
             contact: c::CONTACT_MS,
             gone: c::VOTER_GONE_MS,
             left: c::VOTER_LEFT_MS,
@@ -217,9 +219,9 @@
     }
 
     /// What may be lost at the same time.
-    pub(super) fn losses(&self) -> Losses {
+    pub(super) fn losses(&self) -> FaultTolerance {
         let t = self.house.settings.get().terms.tolerance;
-        Losses {
+        FaultTolerance {
             machines: t.machines,
             zones: t.zones,
             regions: t.regions,
--- a/crates/playhouse/src/stored_data_tests.rs
+++ b/crates/playhouse/src/stored_data_tests.rs
@@ -5,7 +5,7 @@
 use crate::vault::{Opened, Vault};
 use flate2::read::GzDecoder;
 use playbill::Stage;
-use raft::{EntryKind, Roll};
+use raft::{EntryType, Membership};
 use std::io::Read;
 use std::path::{Path, PathBuf};
 
@@ -54,7 +54,7 @@
     assert_eq!((saved.term, saved.vote), (5, 2));
     assert_eq!((saved.snapshot.index, saved.snapshot.term), (8, 4));
     let roll = saved.snapshot.roll.clone().expect("the voters");
-    let ids = |roll: &Roll| -> Vec<u64> { roll.voters.iter().map(|v| v.id).collect() };
+    let ids = |roll: &Membership| -> Vec<u64> { roll.voters.iter().map(|v| v.id).collect() };
     assert_eq!((ids(&roll), roll.vacant.len()), (vec![NODE, 2], 1));
     let indexes: Vec<u64> = saved.entries.iter().map(|e| e.index).collect();
     assert_eq!(indexes, (9..=17).collect::<Vec<u64>>());
@@ -62,7 +62,7 @@
     let mut state: Stage = opened.stage;
     assert_eq!((state.index, state.version()), (8, 1));
     for entry in &saved.entries {
-        assert_eq!(entry.kind, EntryKind::Change as i32);
+        assert_eq!(entry.kind, EntryType::Command as i32);
         state.apply(entry.index, &entry.data);
     }
     assert_eq!(
@@ -87,7 +87,7 @@
     let opened = open(&folder.0);
     assert!(opened.damage.is_some() && !opened.empty);
     assert_ne!(opened.identity.id, NODE, "joins as somebody new");
-    assert_eq!(opened.saved, raft::Saved::default());
+    assert_eq!(opened.saved, raft::PersistentState::default());
     assert!(folder.0.join("prompter.redb.damaged").exists());
 }
 
--- a/crates/playhouse/src/vault.rs
+++ b/crates/playhouse/src/vault.rs
@@ -14,7 +14,7 @@
 use playbill::constants as c;
 use playbill::Stage;
 use prost::Message;
-use raft::{Saved, Write};
+use raft::{PersistentState, StorageWrite};
 use redb::{Builder, Database, ReadableTable, TableDefinition};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc;
@@ -57,7 +57,7 @@
 /// What the disk held at the start.
 pub struct Opened {
     pub identity: Identity,
-    pub saved: Saved,
+    pub saved: PersistentState,
     /// The state of the snapshot.
     pub stage: Stage,
     /// The disk held nothing of ours.
@@ -69,7 +69,7 @@
 
 /// A job for the disk.
 enum Job {
-    Write { seq: u64, write: Write },
+    Write { seq: u64, write: StorageWrite },
     Cluster(u64),
 }
 
@@ -125,7 +125,7 @@
     }
 
     /// Queues a write; [`Word::Done`] tells when it is on disk.
-    pub fn write(&self, seq: u64, write: Write) {
+    pub fn write(&self, seq: u64, write: StorageWrite) {
         // The thread ends only with the process.
         let _ = self.jobs.send(Job::Write { seq, write });
     }
--- a/crates/playhouse/src/vault/load.rs
+++ b/crates/playhouse/src/vault/load.rs
@@ -7,7 +7,7 @@
 use super::{high_water, meta_number, open_store, sync_folder, Fallible, Identity, Paths, LOG, META};
 use playbill::Stage;
 use prost::Message;
-use raft::{Entry, Saved, Snapshot};
+use raft::{Entry, PersistentState, Snapshot};
 use rand::Rng;
 use redb::{Database, DatabaseError, ReadableDatabase, StorageError, TableError};
 use std::io::ErrorKind;
@@ -15,7 +15,7 @@
 pub(super) struct Loaded {
     pub db: Database,
     pub identity: Identity,
-    pub saved: Saved,
+    pub saved: PersistentState,
     pub stage: Stage,
     pub commits: u64,
     pub empty: bool,
@@ -87,7 +87,7 @@
     Ok(Loaded {
         db,
         identity,
-        saved: Saved::default(),
+        saved: PersistentState::default(),
         stage: Stage::default(),
         commits: 0,
         empty: damage.is_none(),
@@ -149,7 +149,7 @@
     }
 }
 
-pub(super) type Content = (Identity, Saved, u64);
+pub(super) type Content = (Identity, PersistentState, u64);
 
 pub(super) fn read_all(db: &Database) -> Fallible<Result<Content, Unfit>> {
     let tx = db.begin_read()?;
@@ -177,7 +177,7 @@
         }
         entries.push(entry);
     }
-    let saved = Saved {
+    let saved = PersistentState {
         term: get("term")?,
         vote: get("vote")?,
         snapshot,
@@ -187,7 +187,7 @@
 }
 
 /// The log goes on from the snapshot without a gap, and terms never fall.
-fn check_log(saved: &Saved) -> Result<(), String> {
+fn check_log(saved: &PersistentState) -> Result<(), String> {
     let (mut index, mut term) = (saved.snapshot.index, saved.snapshot.term);
     for e in &saved.entries {
         if e.index != index + 1 || e.term < term {
--- a/crates/playhouse/src/vault/power_tests.rs
+++ b/crates/playhouse/src/vault/power_tests.rs
@@ -134,8 +134,8 @@
 }
 
 /// Writes as a voter makes them: entries, at times cut off, a term, a snapshot.
-fn some_write(rng: &mut SmallRng, last: &mut u64, folded: &mut u64, term: &mut u64) -> Write {
-    let mut write = Write::default();
+fn some_write(rng: &mut SmallRng, last: &mut u64, folded: &mut u64, term: &mut u64) -> StorageWrite {
+    let mut write = StorageWrite::default();
     if rng.gen_ratio(1, 6) {
         *term += 1;
         write.hard = Some((*term, rng.gen_range(1..9)));
@@ -164,7 +164,7 @@
     write
 }
 
-fn content(db: &Database) -> (u64, Saved) {
+fn content(db: &Database) -> (u64, PersistentState) {
     let read = read_all(db).expect("readable");
     let (_, saved, commits) = read.unwrap_or_else(|_| panic!("a store after a loss of power is whole"));
     (commits, saved)
@@ -224,14 +224,14 @@
         data: vec![1; 100],
     };
     let job = |write| Job::Write { seq: 1, write };
-    let first = Write {
+    let first = StorageWrite {
         hard: Some((3, 5)),
         entries: (1..=40).map(entry).collect(),
         ..Default::default()
     };
     disk.commit(&[job(first)]).expect("room");
     let snapshot = || {
-        job(Write {
+        job(StorageWrite {
             snapshot: Some(Snapshot {
                 index: 40,
                 term: 3,
--- a/crates/playhouse/src/vault_tests.rs
+++ b/crates/playhouse/src/vault_tests.rs
@@ -1,7 +1,7 @@
 //! The store of a node under damage, torn ends and faults of the disk.
 
 use crate::vault::{Opened, Vault, Word};
-use raft::{Entry, Snapshot, Write};
+use raft::{Entry, Snapshot, StorageWrite};
 use rand::{Rng, SeedableRng};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -72,7 +72,7 @@
     }
 
     /// Writes, and waits for the acknowledgement.
-    fn write(&mut self, write: Write) {
+    fn write(&mut self, write: StorageWrite) {
         self.seq += 1;
         self.opened.vault.write(self.seq, write);
         while !matches!(self.words.blocking_recv(), Some(Word::Done(seq)) if seq == self.seq) {}
@@ -107,7 +107,7 @@
     let mut store = Store::new(Folder::new());
     store.opened.vault.set_cluster(9);
     for index in 1..=12 {
-        store.write(Write {
+        store.write(StorageWrite {
             hard: (index == 1).then_some((2, 5)),
             entries: vec![entry(index)],
             ..Default::default()
@@ -119,12 +119,12 @@
         data: playbill::Stage::default().to_snapshot(),
         ..Default::default()
     };
-    store.write(Write {
+    store.write(StorageWrite {
         snapshot: Some(snapshot),
         ..Default::default()
     });
     for index in 13..=30 {
-        store.write(Write {
+        store.write(StorageWrite {
             hard: (index == 30).then_some((7, 3)),
             entries: vec![entry(index)],
             ..Default::default()
@@ -246,7 +246,7 @@
     first.vault.set_cluster(9);
     first.vault.write(
         1,
-        Write {
+        StorageWrite {
             hard: Some((2, 5)),
             entries: (1..=6).map(entry).collect(),
             ..Default::default()
@@ -260,7 +260,7 @@
     };
     first.vault.write(
         2,
-        Write {
+        StorageWrite {
             snapshot: Some(snapshot),
             cut_from: Some(5),
             entries: vec![entry(5)],
@@ -300,7 +300,7 @@
     let mut store = written();
     let id = store.opened.identity.id;
     let before = store.folder.copy();
-    store.write(Write {
+    store.write(StorageWrite {
         hard: Some((8, 1)),
         ..Default::default()
     });
@@ -386,17 +386,17 @@
         data,
         ..Default::default()
     };
-    let gap = Write {
+    let gap = StorageWrite {
         entries: vec![entry(33)],
         ..Default::default()
     };
-    let unread = Write {
+    let unread = StorageWrite {
         snapshot: Some(snapshot(vec![0, 77])),
         ..Default::default()
     };
     let mut older = entry(31);
     older.term = 1;
-    let falling = Write {
+    let falling = StorageWrite {
         entries: vec![older],
         ..Default::default()
     };
@@ -424,7 +424,7 @@
             data: data[..bytes / 3].to_vec(),
             ..Default::default()
         };
-        store.write(Write {
+        store.write(StorageWrite {
             hard: (index == 1).then_some((2, 5)),
             snapshot: (index > 1).then_some(snapshot),
             entries: vec![Entry { data, ..entry(index) }],
--- a/crates/raft/src/fragment.rs
+++ b/crates/raft/src/fragment.rs
@@ -7,8 +7,8 @@
 //! message is on its way another large one to the same peer is dropped: the
 //! agreement bears lost messages, and offers what is still wanted again.
 
-use crate::cue::{Cue, CueKind};
-use prost::Message;
+use crate::message::{Message, MessageType};
+use prost::Message as _;
 use std::collections::BTreeMap;
 
 /// Messages up to this size go whole, bytes: to eight peers at the same time that is
@@ -55,7 +55,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Fragments {
+pub(crate) struct Fragmenter {
     next_number: u64,
     /// An unacknowledged fragment is sent again after this time, ms.
     resend: u64,
@@ -68,13 +68,13 @@
 }
 
 impl Outgoing {
-    fn fragment(&mut self, now: u64) -> Cue {
+    fn fragment(&mut self, now: u64) -> Message {
         self.sent_at = now;
         let end = (self.acknowledged + self.size).min(self.bytes.len());
-        Cue {
-            kind: CueKind::Fragment as i32,
+        Message {
+            kind: MessageType::Fragment as i32,
             term: self.term,
-            message: self.number,
+            message_number: self.number,
             offset: self.acknowledged as u64,
             total: self.bytes.len() as u64,
             fragment: self.bytes[self.acknowledged..end].to_vec(),
@@ -83,11 +83,11 @@
     }
 }
 
-impl Fragments {
+impl Fragmenter {
     /// Numbers of messages begin anywhere, so that no life of this node uses those of
     /// another.
-    pub fn new(first_number: u64, resend: u64, gone: u64) -> Fragments {
-        Fragments {
+    pub fn new(first_number: u64, resend: u64, gone: u64) -> Fragmenter {
+        Fragmenter {
             next_number: first_number,
             resend,
             gone,
@@ -100,25 +100,26 @@
     /// What to send in place of a message: itself, its first fragment, or nothing
     /// while another is on its way. What an append says besides its entries is
     /// always said.
-    pub fn send(&mut self, now: u64, to: u64, cue: Cue) -> Option<Cue> {
-        if cue.kind == CueKind::Fragment as i32 || cue.encoded_len() <= WHOLE_BYTES {
-            return Some(cue);
+    pub fn send(&mut self, now: u64, to: u64, message: Message) -> Option<Message> {
+        if message.kind == MessageType::Fragment as i32 || message.encoded_len() <= WHOLE_BYTES {
+            return Some(message);
         }
         let busy = self
             .outgoing
             .get(&to)
-            .is_some_and(|o| o.term == cue.term && now.saturating_sub(o.heard_at) < self.gone);
+            .is_some_and(|o| o.term == message.term && now.saturating_sub(o.heard_at) < self.gone);
         if busy {
             let entries = Vec::new();
-            return (cue.kind == CueKind::Append as i32).then_some(Cue { entries, ..cue });
+            return (message.kind == MessageType::AppendEntries as i32)
+                .then_some(Message { entries, ..message });
         }
         self.next_number = self.next_number.wrapping_add(1);
         let others = self.outgoing.keys().filter(|peer| **peer != to).count();
         let first = (FIRST_BYTES / (others + 1)).max(LEAST_BYTES);
         let mut outgoing = Outgoing {
             number: self.next_number,
-            term: cue.term,
-            bytes: cue.encode_to_vec(),
+            term: message.term,
+            bytes: message.encode_to_vec(),
             acknowledged: 0,
             size: self.sizes.get(&to).map_or(first, |s| first.min(*s)),
             sent_at: now,
@@ -130,9 +131,12 @@
     }
 
     /// A fragment has arrived at a peer: the next one, if there is one.
-    pub fn acknowledged(&mut self, now: u64, from: u64, cue: &Cue) -> Option<Cue> {
-        let o = self.outgoing.get_mut(&from).filter(|o| o.number == cue.message)?;
-        let offset = cue.offset as usize;
+    pub fn acknowledged(&mut self, now: u64, from: u64, message: &Message) -> Option<Message> {
+        let o = self
+            .outgoing
+            .get_mut(&from)
+            .filter(|o| o.number == message.message_number)?;
+        let offset = message.offset as usize;
         o.heard_at = now;
         // Said before, unless the peer has begun anew.
         if offset == o.acknowledged && offset > 0 || offset > o.bytes.len() {
@@ -159,7 +163,7 @@
     }
 
     /// Sends again what has had no answer, and gives up peers that are gone.
-    pub fn tick(&mut self, now: u64) -> Vec<(u64, Cue)> {
+    pub fn tick(&mut self, now: u64) -> Vec<(u64, Message)> {
         let (resend, gone) = (self.resend, self.gone);
         let heard = |at: u64| now.saturating_sub(at) < gone;
         self.outgoing.retain(|_, o| heard(o.heard_at));
@@ -182,12 +186,15 @@
     }
 
     /// Takes a fragment in: the answer, and the message once it is whole.
-    pub fn receive(&mut self, now: u64, from: u64, cue: Cue) -> (Option<Cue>, Option<Cue>) {
-        if cue.total > MESSAGE_BYTES {
+    pub fn receive(&mut self, now: u64, from: u64, message: Message) -> (Option<Message>, Option<Message>) {
+        if message.total > MESSAGE_BYTES {
             return (None, None);
         }
-        let known = self.incoming.get(&from).is_some_and(|i| i.number == cue.message);
-        if !known && cue.offset == 0 {
+        let known = self
+            .incoming
+            .get(&from)
+            .is_some_and(|i| i.number == message.message_number);
+        if !known && message.offset == 0 {
             if self.incoming.len() >= PEERS {
                 let oldest = self
                     .incoming
@@ -197,35 +204,39 @@
                 oldest.map(|p| self.incoming.remove(&p));
             }
             let fresh = Incoming {
-                number: cue.message,
-                total: cue.total,
+                number: message.message_number,
+                total: message.total,
                 bytes: Vec::new(),
                 received: 0,
                 heard_at: now,
             };
             self.incoming.insert(from, fresh);
         }
-        let mut reply = Cue {
-            kind: CueKind::FragmentTaken as i32,
-            term: cue.term,
-            message: cue.message,
+        let mut reply = Message {
+            kind: MessageType::FragmentAck as i32,
+            term: message.term,
+            message_number: message.message_number,
             ..Default::default()
         };
-        let Some(i) = self.incoming.get_mut(&from).filter(|i| i.number == cue.message) else {
+        let Some(i) = self
+            .incoming
+            .get_mut(&from)
+            .filter(|i| i.number == message.message_number)
+        else {
             // The middle of a message whose beginning this life has not seen.
             return (Some(reply), None);
         };
         i.heard_at = now;
-        let fits = i.received + cue.fragment.len() as u64 <= i.total;
-        let news = cue.offset == i.received && !cue.fragment.is_empty() && fits;
+        let fits = i.received + message.fragment.len() as u64 <= i.total;
+        let news = message.offset == i.received && !message.fragment.is_empty() && fits;
         if news {
-            i.bytes.extend_from_slice(&cue.fragment);
-            i.received += cue.fragment.len() as u64;
+            i.bytes.extend_from_slice(&message.fragment);
+            i.received += message.fragment.len() as u64;
         }
         reply.offset = i.received;
         let whole = news && i.received == i.total;
-        let message = whole.then(|| std::mem::take(&mut i.bytes));
-        let message = message.and_then(|bytes| Cue::decode(bytes.as_slice()).ok());
-        (Some(reply), message)
+        let assembled = whole.then(|| std::mem::take(&mut i.bytes));
+        let assembled = assembled.and_then(|bytes| Message::decode(bytes.as_slice()).ok());
+        (Some(reply), assembled)
     }
 }
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -5,17 +5,17 @@
 //! reached the disk) go in; effects (messages, writes, committed entries) come
 //! out through [`Prompter::take_effects`].
 
-mod cue;
 mod fragment;
 mod losses;
 mod machine;
+mod message;
 mod near;
 mod progress;
 mod tend;
 
-pub use cue::{Cue, CueKind, Entry, EntryKind, Roll, Snapshot, Voter};
-pub use losses::{bears, Losses};
-pub use near::{FollowTiming, Following, Source};
-pub use tend::{bears_loss, may_end, next_roll, Patience, Seen};
+pub use losses::{bears, FaultTolerance};
+pub use message::{Entry, EntryType, Membership, Message, MessageType, Snapshot, Voter};
+pub use near::{UpstreamCandidate, UpstreamSelector, UpstreamTimeouts};
+pub use tend::{bears_loss, may_end, next_roll, PeerObservation, SilenceTimeouts};
 
-pub use machine::{Effects, Prompter, Role, Saved, Timing, Write};
+pub use machine::{Config, PersistentState, RaftNode, Ready, Role, StorageWrite};
--- a/crates/raft/src/machine.rs
+++ b/crates/raft/src/machine.rs
@@ -1,17 +1,17 @@
 mod relay;
 
-use crate::cue::*;
-use crate::fragment::Fragments;
+use crate::fragment::Fragmenter;
+use crate::message::*;
 use crate::progress::Progress;
 use crate::tend::may_end;
-use prost::Message;
+use prost::Message as _;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// The times that the agreement goes by, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Timing {
+pub struct Config {
     pub heartbeat: u64,
     pub observer_heartbeat: u64,
     pub election_min: u64,
@@ -36,7 +36,7 @@
 
 /// What a disk gave back at the start.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Saved {
+pub struct PersistentState {
     pub term: u64,
     pub vote: u64,
     pub snapshot: Snapshot,
@@ -45,7 +45,7 @@
 
 /// What has to reach the disk, in this order.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Write {
+pub struct StorageWrite {
     pub hard: Option<(u64, u64)>,
     pub snapshot: Option<Snapshot>,
     /// Entries from this index on are void.
@@ -53,19 +53,19 @@
     pub entries: Vec<Entry>,
 }
 
-impl Write {
+impl StorageWrite {
     pub fn is_empty(&self) -> bool {
-        *self == Write::default()
+        *self == StorageWrite::default()
     }
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Effects {
-    pub write: Write,
+pub struct Ready {
+    pub write: StorageWrite,
     /// To be sent at once.
-    pub now: Vec<(u64, Cue)>,
+    pub now: Vec<(u64, Message)>,
     /// To be sent once the write, and all before it, is on disk.
-    pub after: Vec<(u64, Cue)>,
+    pub after: Vec<(u64, Message)>,
     /// A snapshot that replaces the applied state.
     pub install: Option<Snapshot>,
     pub committed: Vec<Entry>,
@@ -75,9 +75,9 @@
 
 /// One node's part in the agreement. Copies serve tests that play what may follow.
 #[derive(Clone)]
-pub struct Prompter {
+pub struct RaftNode {
     id: u64,
-    timing: Timing,
+    timing: Config,
     rng: SmallRng,
     now: u64,
     term: u64,
@@ -97,7 +97,7 @@
     applied: u64,
     role: Role,
     leader: u64,
-    roll: Roll,
+    roll: Membership,
     roll_index: u64,
     /// Since when this roll is in force here.
     roll_since: u64,
@@ -128,19 +128,19 @@
     /// The leader and term that followers were last told of.
     fed_leader: (u64, u64),
     /// Whom this node follows, if it does not vote.
-    feed: relay::Feed,
-    fragments: Fragments,
+    feed: relay::Upstream,
+    fragments: Fragmenter,
     /// Whether the data of a snapshot at an index can be read.
     readable: fn(u64, &[u8]) -> bool,
     /// Snapshots that could not.
     unreadable: u64,
-    out: Effects,
+    out: Ready,
 }
 
-impl Prompter {
+impl RaftNode {
     /// A node as its disk left it. `id` is its own identity.
-    pub fn new(id: u64, saved: Saved, timing: Timing, now: u64, seed: u64) -> Prompter {
-        let mut me = Prompter {
+    pub fn new(id: u64, saved: PersistentState, timing: Config, now: u64, seed: u64) -> RaftNode {
+        let mut me = RaftNode {
             id,
             timing,
             rng: SmallRng::seed_from_u64(seed),
@@ -158,7 +158,7 @@
             snapshot: saved.snapshot,
             role: Role::Follower,
             leader: 0,
-            roll: Roll::default(),
+            roll: Membership::default(),
             roll_index: 0,
             roll_since: now,
             votes: BTreeSet::new(),
@@ -181,14 +181,14 @@
             followers: BTreeMap::new(),
             feed_beat_at: 0,
             fed_leader: (0, 0),
-            feed: relay::Feed::default(),
-            fragments: Fragments::new(0, timing.resend, timing.follower_gone),
+            feed: relay::Upstream::default(),
+            fragments: Fragmenter::new(0, timing.resend, timing.follower_gone),
             readable: |_, _| true,
             unreadable: 0,
-            out: Effects::default(),
+            out: Ready::default(),
         };
         let first = SmallRng::seed_from_u64(seed ^ id).gen();
-        me.fragments = Fragments::new(first, timing.resend, timing.follower_gone);
+        me.fragments = Fragmenter::new(first, timing.resend, timing.follower_gone);
         me.read_roll();
         // Before it ended, the node may have answered a round that a lease
         // rests on; once that must be over it may vote, and stand.
@@ -216,14 +216,14 @@
         }
         self.term = 1;
         self.note_hard();
-        let roll = Roll {
+        let roll = Membership {
             voters: vec![me],
             ..Default::default()
         };
         self.push(Entry {
             index: 1,
             term: 1,
-            kind: EntryKind::Roll as i32,
+            kind: EntryType::Membership as i32,
             data: roll.encode_to_vec(),
         });
         self.deadline = self.now;
@@ -242,7 +242,7 @@
     pub fn leader(&self) -> u64 {
         self.leader
     }
-    pub fn roll(&self) -> &Roll {
+    pub fn roll(&self) -> &Membership {
         &self.roll
     }
     pub fn commit(&self) -> u64 {
@@ -330,7 +330,7 @@
         self.roll_index > self.commit
     }
 
-    pub fn take_effects(&mut self) -> Effects {
+    pub fn take_effects(&mut self) -> Ready {
         self.feed_by_time();
         if self.commit > self.handed {
             self.feed_all(false);
@@ -344,13 +344,13 @@
             self.handed = to;
         }
         let mut out = std::mem::take(&mut self.out);
-        for (to, cue) in out.now.iter_mut().chain(&mut out.after) {
-            cue.to = *to;
+        for (to, message) in out.now.iter_mut().chain(&mut out.after) {
+            message.to = *to;
         }
         let whole = std::mem::take(&mut out.now).into_iter();
-        let sent = whole.filter_map(|(to, cue)| {
-            let cue = self.fragments.send(self.now, to, cue)?;
-            Some((to, Cue { to, ..cue }))
+        let sent = whole.filter_map(|(to, message)| {
+            let message = self.fragments.send(self.now, to, message)?;
+            Some((to, Message { to, ..message }))
         });
         out.now = sent.collect();
         out
@@ -365,10 +365,13 @@
     }
 
     /// Puts into answers that are about to go what has been applied since they were made.
-    pub fn stamp(&self, answers: &mut [(u64, Cue)]) {
+    pub fn stamp(&self, answers: &mut [(u64, Message)]) {
         let applied = self.applied_by_all();
-        for (_, cue) in answers.iter_mut().filter(|(_, c)| c.kind() == CueKind::Appended) {
-            cue.applied = cue.applied.max(applied);
+        for (_, message) in answers
+            .iter_mut()
+            .filter(|(_, c)| c.kind() == MessageType::AppendEntriesResponse)
+        {
+            message.applied = message.applied.max(applied);
         }
     }
 
@@ -459,12 +462,12 @@
     }
 
     fn send_take_over(&mut self, to: u64) {
-        let cue = Cue {
-            kind: CueKind::TakeOver as i32,
+        let message = Message {
+            kind: MessageType::TimeoutNow as i32,
             term: self.term,
             ..Default::default()
         };
-        self.out.now.push((to, cue));
+        self.out.now.push((to, message));
     }
 
     /// This node is about to end: it passes leadership on, or tells the leader so. To be
@@ -476,13 +479,13 @@
             self.may_end = false;
             self.hand_over();
         } else if self.leader != 0 {
-            let cue = Cue {
-                kind: CueKind::Leaving as i32,
+            let message = Message {
+                kind: MessageType::ShutdownRequest as i32,
                 term: self.term,
                 index: self.last_index(),
                 ..Default::default()
             };
-            self.out.now.push((self.leader, cue));
+            self.out.now.push((self.leader, message));
         }
     }
 
@@ -493,18 +496,18 @@
     }
 
     /// A voter says that it is about to end.
-    fn on_leaving(&mut self, from: u64, cue: Cue) {
+    fn on_leaving(&mut self, from: u64, message: Message) {
         let now = self.now;
-        if !self.is_leader() || cue.term != self.term {
+        if !self.is_leader() || message.term != self.term {
             return;
         }
         if let Some(p) = self.progress.get_mut(&from) {
             p.heard_at = now;
             p.leaving_at = Some(now);
         }
-        let all_committed = cue.index <= self.commit;
-        let reply = Cue {
-            kind: CueKind::MayEnd as i32,
+        let all_committed = message.index <= self.commit;
+        let reply = Message {
+            kind: MessageType::ShutdownResponse as i32,
             term: self.term,
             yes: all_committed && may_end(self, from, now, self.timing.election_min),
             ..Default::default()
@@ -517,11 +520,11 @@
         if !self.is_leader() || self.handing_over.is_some() {
             return None;
         }
-        Some(self.propose_kind(EntryKind::Change, data))
+        Some(self.propose_kind(EntryType::Command, data))
     }
 
     /// Proposes another roll that differs by one voter.
-    pub fn propose_roll(&mut self, roll: Roll) -> bool {
+    pub fn propose_roll(&mut self, roll: Membership) -> bool {
         if !self.is_settled() || self.roll_pending() || roll.voters.is_empty() {
             return false;
         }
@@ -530,11 +533,11 @@
         if before.symmetric_difference(&after).count() > 1 {
             return false;
         }
-        self.propose_kind(EntryKind::Roll, roll.encode_to_vec());
+        self.propose_kind(EntryType::Membership, roll.encode_to_vec());
         true
     }
 
-    fn propose_kind(&mut self, kind: EntryKind, data: Vec<u8>) -> (u64, u64) {
+    fn propose_kind(&mut self, kind: EntryType, data: Vec<u8>) -> (u64, u64) {
         let index = self.last_index() + 1;
         let term = self.term;
         self.push(Entry {
@@ -649,7 +652,7 @@
             if self.votes.len() >= self.roll.majority() {
                 self.stand(false);
             } else {
-                self.ask(CueKind::AskPreVote, self.term + 1, false);
+                self.ask(MessageType::PreVoteRequest, self.term + 1, false);
             }
         }
     }
@@ -681,15 +684,15 @@
         if self.votes.len() >= self.roll.majority() {
             self.lead();
         } else {
-            self.ask(CueKind::AskVote, self.term, asked);
+            self.ask(MessageType::VoteRequest, self.term, asked);
         }
     }
 
-    fn ask(&mut self, kind: CueKind, term: u64, asked: bool) {
+    fn ask(&mut self, kind: MessageType, term: u64, asked: bool) {
         let index = self.last_index();
         let log_term = self.term_at(index).unwrap_or(0);
         for to in self.others() {
-            let cue = Cue {
+            let message = Message {
                 kind: kind as i32,
                 term,
                 index,
@@ -698,10 +701,10 @@
                 ..Default::default()
             };
             // A vote for oneself counts only once it is on disk.
-            if kind == CueKind::AskVote {
-                self.out.after.push((to, cue));
+            if kind == MessageType::VoteRequest {
+                self.out.after.push((to, message));
             } else {
-                self.out.now.push((to, cue));
+                self.out.now.push((to, message));
             }
         }
     }
@@ -730,7 +733,7 @@
                 )
             })
             .collect();
-        self.propose_kind(EntryKind::Nothing, Vec::new());
+        self.propose_kind(EntryType::NoOp, Vec::new());
         self.beat_at = now;
         self.observer_beat_at = now;
     }
@@ -784,71 +787,75 @@
 
     // ---- messages ----
 
-    pub fn receive(&mut self, now: u64, from: u64, cue: Cue) {
+    pub fn receive(&mut self, now: u64, from: u64, message: Message) {
         self.now = now;
-        let Ok(kind) = CueKind::try_from(cue.kind) else {
+        let Ok(kind) = MessageType::try_from(message.kind) else {
             return;
         };
-        if cue.to != 0 && cue.to != self.id {
+        if message.to != 0 && message.to != self.id {
             return;
         }
         match kind {
-            CueKind::AskPreVote | CueKind::AskVote => return self.on_ask(from, kind, cue),
-            CueKind::PreVote => {
-                if self.role == Role::PreCandidate && cue.yes && cue.term == self.term + 1 {
+            MessageType::PreVoteRequest | MessageType::VoteRequest => {
+                return self.on_ask(from, kind, message)
+            }
+            MessageType::PreVoteResponse => {
+                if self.role == Role::PreCandidate && message.yes && message.term == self.term + 1 {
                     self.votes.insert(from);
                     if self.votes_won() {
                         self.stand(false);
                     }
-                } else if cue.term > self.term && !cue.yes {
-                    self.become_follower(cue.term, 0);
+                } else if message.term > self.term && !message.yes {
+                    self.become_follower(message.term, 0);
                 }
                 return;
             }
-            CueKind::Follow => return self.on_follow(from, cue),
-            CueKind::Fragment => {
+            MessageType::Subscribe => return self.on_follow(from, message),
+            MessageType::Fragment => {
                 self.hear_feed(from);
-                let (reply, message) = self.fragments.receive(now, from, cue);
+                let (reply, assembled) = self.fragments.receive(now, from, message);
                 self.out.now.extend(reply.map(|r| (from, r)));
-                if let Some(cue) = message.filter(|m| m.kind != CueKind::Fragment as i32) {
-                    self.receive(now, from, cue);
+                if let Some(message) = assembled.filter(|m| m.kind != MessageType::Fragment as i32) {
+                    self.receive(now, from, message);
                 }
                 return;
             }
-            CueKind::FragmentTaken => {
+            MessageType::FragmentAck => {
                 if let Some(f) = self.followers.get_mut(&from) {
                     f.heard_at = now;
                 }
-                let next = self.fragments.acknowledged(now, from, &cue);
+                let next = self.fragments.acknowledged(now, from, &message);
                 self.out.now.extend(next.map(|n| (from, n)));
                 return;
             }
             _ => {}
         }
-        let passed_on = cue.leader != 0;
+        let passed_on = message.leader != 0;
         if passed_on && !self.takes_feed(from) {
             return;
         }
-        let leader = if passed_on { cue.leader } else { from };
-        if cue.term > self.term {
-            let leader = if matches!(kind, CueKind::Append | CueKind::Install) {
+        let leader = if passed_on { message.leader } else { from };
+        if message.term > self.term {
+            let leader = if matches!(kind, MessageType::AppendEntries | MessageType::InstallSnapshot) {
                 leader
             } else {
                 0
             };
-            self.become_follower(cue.term, leader);
+            self.become_follower(message.term, leader);
         }
         match kind {
-            CueKind::Vote if self.role == Role::Candidate && cue.yes && cue.term == self.term => {
+            MessageType::VoteResponse
+                if self.role == Role::Candidate && message.yes && message.term == self.term =>
+            {
                 self.votes.insert(from);
                 if self.votes_won() {
                     self.lead();
                 }
             }
-            CueKind::Append | CueKind::Install => {
-                if cue.term < self.term {
-                    let reply = Cue {
-                        kind: CueKind::Appended as i32,
+            MessageType::AppendEntries | MessageType::InstallSnapshot => {
+                if message.term < self.term {
+                    let reply = Message {
+                        kind: MessageType::AppendEntriesResponse as i32,
                         term: self.term,
                         index: self.commit,
                         applied: self.applied,
@@ -858,21 +865,23 @@
                     return;
                 }
                 if self.role != Role::Follower || self.leader != leader {
-                    self.become_follower(cue.term, leader);
+                    self.become_follower(message.term, leader);
                 }
                 self.heard_at = now;
                 self.rest();
-                if kind == CueKind::Append {
-                    self.on_append(from, cue);
+                if kind == MessageType::AppendEntries {
+                    self.on_append(from, message);
                 } else {
-                    self.on_install(from, cue);
+                    self.on_install(from, message);
                 }
             }
-            CueKind::Appended if self.on_fed(from, &cue) => {}
-            CueKind::Appended => self.on_appended(from, cue),
-            CueKind::Leaving => self.on_leaving(from, cue),
-            CueKind::MayEnd if from == self.leader && cue.term == self.term => self.may_end = cue.yes,
-            CueKind::TakeOver if cue.term == self.term && self.role == Role::Follower => {
+            MessageType::AppendEntriesResponse if self.on_fed(from, &message) => {}
+            MessageType::AppendEntriesResponse => self.on_appended(from, message),
+            MessageType::ShutdownRequest => self.on_leaving(from, message),
+            MessageType::ShutdownResponse if from == self.leader && message.term == self.term => {
+                self.may_end = message.yes
+            }
+            MessageType::TimeoutNow if message.term == self.term && self.role == Role::Follower => {
                 self.campaign(true);
             }
             _ => {}
@@ -884,23 +893,23 @@
         counted >= self.roll.majority()
     }
 
-    fn on_ask(&mut self, from: u64, kind: CueKind, cue: Cue) {
+    fn on_ask(&mut self, from: u64, kind: MessageType, message: Message) {
         // A node that hears a leader, or has only just started, elects nobody:
         // leases rest on it. A hand-over by the leader itself is excepted.
-        let loyal = !cue.yes
+        let loyal = !message.yes
             && (self.role == Role::Leader && self.heard_by_majority(self.timing.election_min)
                 || self.role != Role::Leader
                     && self.now.saturating_sub(self.heard_at) < self.timing.election_min);
         let last = self.last_index();
-        let up_to_date = (cue.log_term, cue.index) >= (self.term_at(last).unwrap_or(0), last);
-        if kind == CueKind::AskPreVote {
-            let yes = !loyal && up_to_date && cue.term > self.term;
+        let up_to_date = (message.log_term, message.index) >= (self.term_at(last).unwrap_or(0), last);
+        if kind == MessageType::PreVoteRequest {
+            let yes = !loyal && up_to_date && message.term > self.term;
             if yes && self.role == Role::PreCandidate && from > self.id {
                 self.give_way();
             }
-            let term = if yes { cue.term } else { self.term };
-            let reply = Cue {
-                kind: CueKind::PreVote as i32,
+            let term = if yes { message.term } else { self.term };
+            let reply = Message {
+                kind: MessageType::PreVoteResponse as i32,
                 term,
                 yes,
                 ..Default::default()
@@ -908,14 +917,14 @@
             self.out.now.push((from, reply));
             return;
         }
-        if loyal && cue.term > self.term {
+        if loyal && message.term > self.term {
             return;
         }
-        if cue.term > self.term {
-            self.become_follower(cue.term, 0);
+        if message.term > self.term {
+            self.become_follower(message.term, 0);
         }
         let free = self.vote == 0 || self.vote == from;
-        let yes = cue.term == self.term && free && up_to_date && self.role == Role::Follower;
+        let yes = message.term == self.term && free && up_to_date && self.role == Role::Follower;
         if yes && self.vote != from {
             self.vote = from;
             self.note_hard();
@@ -923,8 +932,8 @@
         if yes {
             self.rest();
         }
-        let reply = Cue {
-            kind: CueKind::Vote as i32,
+        let reply = Message {
+            kind: MessageType::VoteResponse as i32,
             term: self.term,
             yes,
             ..Default::default()
@@ -932,26 +941,27 @@
         self.out.after.push((from, reply));
     }
 
-    fn on_append(&mut self, from: u64, cue: Cue) {
-        let mut reply = Cue {
-            kind: CueKind::Appended as i32,
+    fn on_append(&mut self, from: u64, message: Message) {
+        let mut reply = Message {
+            kind: MessageType::AppendEntriesResponse as i32,
             term: self.term,
-            round: cue.round,
+            round: message.round,
             applied: self.applied_by_all(),
             ..Default::default()
         };
-        self.told_commit = self.told_commit.max(cue.commit);
-        let fits = cue.index <= self.snapshot.index || self.term_at(cue.index) == Some(cue.log_term);
+        self.told_commit = self.told_commit.max(message.commit);
+        let fits =
+            message.index <= self.snapshot.index || self.term_at(message.index) == Some(message.log_term);
         if !fits {
             reply.index = self
                 .last_index()
-                .min(cue.index.saturating_sub(1))
+                .min(message.index.saturating_sub(1))
                 .max(self.commit);
             self.out.now.push((from, reply));
             return;
         }
-        let mut last = cue.index.max(self.snapshot.index);
-        for entry in cue.entries {
+        let mut last = message.index.max(self.snapshot.index);
+        for entry in message.entries {
             if entry.index <= self.snapshot.index {
                 continue;
             }
@@ -966,7 +976,7 @@
             }
             self.push(entry);
         }
-        let commit = cue.commit.min(last);
+        let commit = message.commit.min(last);
         if commit > self.commit {
             self.commit = commit;
         }
@@ -975,15 +985,15 @@
         self.out.after.push((from, reply));
     }
 
-    fn on_install(&mut self, from: u64, cue: Cue) {
-        let mut reply = Cue {
-            kind: CueKind::Appended as i32,
+    fn on_install(&mut self, from: u64, message: Message) {
+        let mut reply = Message {
+            kind: MessageType::AppendEntriesResponse as i32,
             term: self.term,
-            round: cue.round,
+            round: message.round,
             yes: true,
             ..Default::default()
         };
-        let Some(snapshot) = cue.snapshot else { return };
+        let Some(snapshot) = message.snapshot else { return };
         if snapshot.index <= self.commit {
             reply.index = self.commit;
             reply.applied = self.applied_by_all();
@@ -1016,8 +1026,8 @@
         self.out.after.push((from, reply));
     }
 
-    fn on_appended(&mut self, from: u64, cue: Cue) {
-        if !self.is_leader() || cue.term != self.term {
+    fn on_appended(&mut self, from: u64, message: Message) {
+        if !self.is_leader() || message.term != self.term {
             return;
         }
         let now = self.now;
@@ -1027,18 +1037,18 @@
             return;
         };
         p.heard_at = now;
-        p.round = p.round.max(cue.round);
-        p.applied = cue.applied;
-        if cue.yes {
-            if cue.index > p.matched {
-                p.matched = cue.index;
+        p.round = p.round.max(message.round);
+        p.applied = message.applied;
+        if message.yes {
+            if message.index > p.matched {
+                p.matched = message.index;
             }
             p.next = p.next.max(p.matched + 1);
             if p.matched >= snapshot_index {
                 p.snapshot_at = None;
             }
-        } else if cue.index + 1 < p.next {
-            p.next = (cue.index + 1).max(p.matched + 1);
+        } else if message.index + 1 < p.next {
+            p.next = (message.index + 1).max(p.matched + 1);
         }
         let behind = p.next <= last;
         self.advance();
@@ -1152,14 +1162,14 @@
             if !p.awaits_snapshot(self.now, self.timing.snapshot_resend) {
                 p.snapshot_at = Some(self.now);
                 p.sent_at = self.now;
-                let cue = Cue {
-                    kind: CueKind::Install as i32,
+                let message = Message {
+                    kind: MessageType::InstallSnapshot as i32,
                     term: self.term,
                     round: self.round,
                     snapshot: Some(self.snapshot.clone()),
                     ..Default::default()
                 };
-                self.out.now.push((to, cue));
+                self.out.now.push((to, message));
             } else if always {
                 self.heartbeat(to);
             }
@@ -1175,8 +1185,8 @@
             p.next = first + entries.len() as u64;
         }
         let index = first - 1;
-        let cue = Cue {
-            kind: CueKind::Append as i32,
+        let message = Message {
+            kind: MessageType::AppendEntries as i32,
             term: self.term,
             index,
             log_term: self.term_at(index).unwrap_or(0),
@@ -1185,7 +1195,7 @@
             round: self.round,
             ..Default::default()
         };
-        self.out.now.push((to, cue));
+        self.out.now.push((to, message));
     }
 
     /// Entries of the log, as many as one message may carry.
@@ -1207,8 +1217,8 @@
     /// snapshot.
     fn heartbeat(&mut self, to: u64) {
         let index = self.last_index();
-        let cue = Cue {
-            kind: CueKind::Append as i32,
+        let message = Message {
+            kind: MessageType::AppendEntries as i32,
             term: self.term,
             index,
             log_term: self.term_at(index).unwrap_or(0),
@@ -1216,7 +1226,7 @@
             round: self.round,
             ..Default::default()
         };
-        self.out.now.push((to, cue));
+        self.out.now.push((to, message));
     }
 
     // ---- the log ----
@@ -1230,8 +1240,8 @@
     }
 
     fn push(&mut self, entry: Entry) {
-        if entry.kind == EntryKind::Roll as i32 {
-            if let Ok(roll) = Roll::decode(entry.data.as_slice()) {
+        if entry.kind == EntryType::Membership as i32 {
+            if let Ok(roll) = Membership::decode(entry.data.as_slice()) {
                 self.adopt_roll(roll, entry.index);
             }
         }
@@ -1254,7 +1264,7 @@
         }
     }
 
-    fn adopt_roll(&mut self, roll: Roll, index: u64) {
+    fn adopt_roll(&mut self, roll: Membership, index: u64) {
         self.roll = roll;
         self.roll_index = index;
         self.roll_since = self.now;
@@ -1278,16 +1288,16 @@
         self.roll_index = index;
     }
 
-    fn roll_at(&self, index: u64) -> Roll {
+    fn roll_at(&self, index: u64) -> Membership {
         self.roll_before(index).0
     }
 
-    fn roll_before(&self, index: u64) -> (Roll, u64) {
+    fn roll_before(&self, index: u64) -> (Membership, u64) {
         self.log
             .iter()
             .rev()
-            .filter(|e| e.index <= index && e.kind == EntryKind::Roll as i32)
-            .find_map(|e| Roll::decode(e.data.as_slice()).ok().map(|r| (r, e.index)))
+            .filter(|e| e.index <= index && e.kind == EntryType::Membership as i32)
+            .find_map(|e| Membership::decode(e.data.as_slice()).ok().map(|r| (r, e.index)))
             .unwrap_or_else(|| {
                 (
                     self.snapshot.roll.clone().unwrap_or_default(),
--- a/crates/raft/src/machine/relay.rs
+++ b/crates/raft/src/machine/relay.rs
@@ -2,13 +2,13 @@
 //! of the leader: a voter sends on what is committed, and only while it hears
 //! the leader itself. Nothing here decides anything: what is committed stays.
 
-use super::{Prompter, Role};
-use crate::cue::*;
+use super::{RaftNode, Role};
+use crate::message::*;
 use crate::progress::Progress;
 
 /// What a follower keeps of the node it follows.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Feed {
+pub(super) struct Upstream {
     /// The node followed; 0 for the leader itself.
     from: u64,
     heard_at: u64,
@@ -16,11 +16,11 @@
     answered: bool,
 }
 
-impl Prompter {
+impl RaftNode {
     /// Follows a voter from now on, and asks it to begin.
     pub fn follow(&mut self, now: u64, from: u64) {
         self.now = now;
-        self.feed = Feed {
+        self.feed = Upstream {
             from,
             heard_at: now,
             answered: false,
@@ -34,14 +34,14 @@
             return;
         }
         let index = self.commit;
-        let cue = Cue {
-            kind: CueKind::Follow as i32,
+        let message = Message {
+            kind: MessageType::Subscribe as i32,
             term: self.term,
             index,
             applied: self.applied,
             ..Default::default()
         };
-        self.out.now.push((self.feed.from, cue));
+        self.out.now.push((self.feed.from, message));
     }
 
     /// The node followed, and when it was last heard, or first asked.
@@ -55,7 +55,7 @@
         // Until one answers, any that was asked will do.
         let good = (self.feed.from == from || !self.feed.answered) && !self.roll.has(self.id);
         if good {
-            self.feed = Feed {
+            self.feed = Upstream {
                 from,
                 heard_at: self.now,
                 answered: true,
@@ -74,14 +74,14 @@
 
     /// A node asks for the log after `index`, up to which it has what is
     /// committed.
-    pub(super) fn on_follow(&mut self, from: u64, cue: Cue) {
+    pub(super) fn on_follow(&mut self, from: u64, message: Message) {
         if !self.roll.has(self.id) {
             return;
         }
         let progress = Progress {
-            matched: cue.index,
-            next: cue.index + 1,
-            applied: cue.applied,
+            matched: message.index,
+            next: message.index + 1,
+            applied: message.applied,
             heard_at: self.now,
             ..Default::default()
         };
@@ -90,25 +90,25 @@
     }
 
     /// A follower's answer; `false` if it follows somebody else.
-    pub(super) fn on_fed(&mut self, from: u64, cue: &Cue) -> bool {
+    pub(super) fn on_fed(&mut self, from: u64, message: &Message) -> bool {
         let before = self.applied_by_all();
         let (now, commit) = (self.now, self.commit);
         let Some(f) = self.followers.get_mut(&from) else {
             return false;
         };
         f.heard_at = now;
-        f.applied = cue.applied;
+        f.applied = message.applied;
         // While a snapshot is on its way a no to something else is no news: sent
         // again for each, snapshots would fill a narrow link.
         let waits = f.awaits_snapshot(now, self.timing.snapshot_resend);
-        if cue.yes || !waits {
+        if message.yes || !waits {
             f.snapshot_at = None;
-            f.matched = cue.index;
+            f.matched = message.index;
         }
-        if cue.yes {
+        if message.yes {
             f.next = f.next.max(f.matched + 1);
         } else if !waits {
-            f.next = cue.index + 1;
+            f.next = message.index + 1;
         }
         let behind = f.next <= commit;
         if behind {
@@ -116,13 +116,13 @@
         }
         // The leader waits for this node's followers as well.
         if self.applied_by_all() > before && !self.is_leader() && self.leader != 0 {
-            let cue = Cue {
-                kind: CueKind::Appended as i32,
+            let message = Message {
+                kind: MessageType::AppendEntriesResponse as i32,
                 term: self.term,
                 applied: self.applied_by_all(),
                 ..Default::default()
             };
-            self.out.now.push((self.leader, cue));
+            self.out.now.push((self.leader, message));
         }
         true
     }
@@ -188,8 +188,8 @@
                 // What comes after the snapshot may follow at once.
                 f.next = self.snapshot.index + 1;
                 let snapshot = Some(self.snapshot.clone());
-                let cue = self.passed_on(CueKind::Install, 0);
-                self.out.now.push((to, Cue { snapshot, ..cue }));
+                let message = self.passed_on(MessageType::InstallSnapshot, 0);
+                self.out.now.push((to, Message { snapshot, ..message }));
             }
             return;
         }
@@ -202,13 +202,13 @@
             f.sent_at = now;
             f.next = last.index + 1;
         }
-        let cue = self.passed_on(CueKind::Append, first - 1);
-        self.out.now.push((to, Cue { entries, ..cue }));
+        let message = self.passed_on(MessageType::AppendEntries, first - 1);
+        self.out.now.push((to, Message { entries, ..message }));
     }
 
     /// A cue that says who leads besides.
-    fn passed_on(&self, kind: CueKind, index: u64) -> Cue {
-        Cue {
+    fn passed_on(&self, kind: MessageType, index: u64) -> Message {
+        Message {
             kind: kind as i32,
             term: self.term,
             index,
--- a/crates/raft/src/cue.rs
+++ b/crates/raft/src/message.rs
@@ -1,9 +1,9 @@
 //! What the voters say to each other, and what they keep.
 
-use prost::{Enumeration, Message};
+use prost::Enumeration;
 
 /// A machine with a disk that takes part in decisions.
-#[derive(Clone, PartialEq, Eq, Message)]
+#[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Voter {
     #[prost(uint64, tag = "1")]
     pub id: u64,
@@ -16,8 +16,8 @@
 }
 
 /// The voters, as one entry of the log lays them down.
-#[derive(Clone, PartialEq, Message)]
-pub struct Roll {
+#[derive(Clone, PartialEq, prost::Message)]
+pub struct Membership {
     #[prost(message, repeated, tag = "1")]
     pub voters: Vec<Voter>,
     /// Voters that were lost and removed, for as long as the rest would not bear a loss
@@ -26,7 +26,7 @@
     pub vacant: Vec<Voter>,
 }
 
-impl Roll {
+impl Membership {
     pub fn has(&self, id: u64) -> bool {
         self.voters.iter().any(|v| v.id == id)
     }
@@ -39,66 +39,66 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Enumeration)]
 #[repr(i32)]
-pub enum EntryKind {
+pub enum EntryType {
     /// The first entry of a term; says nothing.
-    Nothing = 0,
-    Change = 1,
-    Roll = 2,
+    NoOp = 0,
+    Command = 1,
+    Membership = 2,
 }
 
-#[derive(Clone, PartialEq, Message)]
+#[derive(Clone, PartialEq, prost::Message)]
 pub struct Entry {
     #[prost(uint64, tag = "1")]
     pub index: u64,
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    #[prost(enumeration = "EntryKind", tag = "3")]
+    #[prost(enumeration = "EntryType", tag = "3")]
     pub kind: i32,
     #[prost(bytes = "vec", tag = "4")]
     pub data: Vec<u8>,
 }
 
 /// The state up to an index, in place of the log up to there.
-#[derive(Clone, PartialEq, Message)]
+#[derive(Clone, PartialEq, prost::Message)]
 pub struct Snapshot {
     #[prost(uint64, tag = "1")]
     pub index: u64,
     #[prost(uint64, tag = "2")]
     pub term: u64,
     #[prost(message, optional, tag = "3")]
-    pub roll: Option<Roll>,
+    pub roll: Option<Membership>,
     #[prost(bytes = "vec", tag = "4")]
     pub data: Vec<u8>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Enumeration)]
 #[repr(i32)]
-pub enum CueKind {
-    AskPreVote = 0,
-    PreVote = 1,
-    AskVote = 2,
-    Vote = 3,
-    Append = 4,
-    Appended = 5,
-    Install = 6,
+pub enum MessageType {
+    PreVoteRequest = 0,
+    PreVoteResponse = 1,
+    VoteRequest = 2,
+    VoteResponse = 3,
+    AppendEntries = 4,
+    AppendEntriesResponse = 5,
+    InstallSnapshot = 6,
     /// The leader hands over: campaign at once.
-    TakeOver = 7,
+    TimeoutNow = 7,
     /// A node without a vote asks a voter to pass the log on to it.
-    Follow = 8,
+    Subscribe = 8,
     /// A voter tells the leader that it is about to end; `index` is its last entry.
-    Leaving = 9,
+    ShutdownRequest = 9,
     /// The answer: whether the others go on with all that is committed.
-    MayEnd = 10,
+    ShutdownResponse = 10,
     /// A part of a message that is too large for one frame.
     Fragment = 11,
     /// How much of such a message has arrived.
-    FragmentTaken = 12,
+    FragmentAck = 12,
 }
 
 /// A message of the agreement.
-#[derive(Clone, PartialEq, Message)]
-pub struct Cue {
-    #[prost(enumeration = "CueKind", tag = "1")]
+#[derive(Clone, PartialEq, prost::Message)]
+pub struct Message {
+    #[prost(enumeration = "MessageType", tag = "1")]
     pub kind: i32,
     #[prost(uint64, tag = "2")]
     pub term: u64,
@@ -132,7 +132,7 @@
     pub to: u64,
     /// Fragment, FragmentTaken: the number of the message, as its sender counts.
     #[prost(fixed64, tag = "13")]
-    pub message: u64,
+    pub message_number: u64,
     /// Fragment: where in the message it begins, bytes; FragmentTaken: how much of the
     /// message is there.
     #[prost(uint64, tag = "14")]
--- a/crates/raft/src/near.rs
+++ b/crates/raft/src/near.rs
@@ -5,7 +5,7 @@
 
 /// A machine with a disk that could be followed.
 #[derive(Clone, Debug)]
-pub struct Source {
+pub struct UpstreamCandidate {
     pub id: u64,
     pub same_zone: bool,
     pub same_region: bool,
@@ -13,7 +13,7 @@
 
 /// How long silence is borne, in ms.
 #[derive(Clone, Copy, Debug)]
-pub struct FollowTiming {
+pub struct UpstreamTimeouts {
     /// A source that is silent for longer is left.
     pub silent: u64,
     /// A source that was left is not asked again for this long.
@@ -22,11 +22,11 @@
 
 /// Remembers which sources fell silent.
 #[derive(Debug, Default)]
-pub struct Following {
+pub struct UpstreamSelector {
     left: BTreeMap<u64, u64>,
 }
 
-impl Following {
+impl UpstreamSelector {
     /// The source to follow from now on, if it is another than now. `feed` is
     /// the one followed, and when it was last heard.
     pub fn next(
@@ -34,8 +34,8 @@
         now: u64,
         me: u64,
         feed: (u64, u64),
-        sources: &[Source],
-        timing: FollowTiming,
+        sources: &[UpstreamCandidate],
+        timing: UpstreamTimeouts,
     ) -> Option<u64> {
         let (from, heard_at) = feed;
         self.left.retain(|_, until| now < *until);
@@ -44,7 +44,7 @@
             self.left.insert(from, now + timing.shun);
         }
         let mix = |id: u64| (id ^ me).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29);
-        let rank = |s: &&Source| {
+        let rank = |s: &&UpstreamCandidate| {
             let shunned = self.left.get(&s.id).copied().unwrap_or(0);
             (shunned, !s.same_zone, !s.same_region, mix(s.id))
         };
@@ -59,11 +59,11 @@
 
     #[test]
     fn the_nearest_is_followed_and_left_when_silent() {
-        let timing = FollowTiming {
+        let timing = UpstreamTimeouts {
             silent: 1000,
             shun: 5000,
         };
-        let source = |id, same_zone, same_region| Source {
+        let source = |id, same_zone, same_region| UpstreamCandidate {
             id,
             same_zone,
             same_region,
@@ -73,7 +73,7 @@
             source(2, false, true),
             source(3, true, true),
         ];
-        let mut f = Following::default();
+        let mut f = UpstreamSelector::default();
         assert_eq!(f.next(0, 9, (0, 0), &sources, timing), Some(3));
         assert_eq!(
             f.next(900, 9, (3, 0), &sources, timing),
@@ -100,7 +100,7 @@
         assert_eq!(f.next(9000, 9, (0, 0), &[], timing), None);
         let two = [source(5, true, true), source(6, true, true)];
         let chosen: Vec<_> = (100..140)
-            .map(|me| Following::default().next(0, me, (0, 0), &two, timing))
+            .map(|me| UpstreamSelector::default().next(0, me, (0, 0), &two, timing))
             .collect();
         let first = chosen.iter().filter(|c| **c == Some(5)).count();
         assert!((10..=30).contains(&first), "equal sources share: {first} of 40");
--- a/crates/raft/src/tend.rs
+++ b/crates/raft/src/tend.rs
@@ -1,14 +1,16 @@
 //! The leader's care for the roll: who is to vote, one voter at a time, and whether
 //! what is acknowledged bears a loss.
 
-use crate::cue::{Roll, Voter};
-use crate::losses::{are_enough, cases, majority, spare, spare_later, vacant, Case, Losses};
-use crate::machine::Prompter;
+use crate::losses::{
+    are_enough, cases, majority, spare, spare_later, vacant, FailureScenario, FaultTolerance,
+};
+use crate::machine::RaftNode;
+use crate::message::{Membership, Voter};
 use crate::progress::Progress;
 
 /// Another node of this cluster, as the membership shows it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct PeerObservation {
     pub voter: Voter,
     pub disk: bool,
     pub alive: bool,
@@ -16,7 +18,7 @@
 
 /// How long silence is borne, in ms.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct SilenceTimeouts {
     /// A node silent for longer is not in contact.
     pub contact: u64,
     /// A voter silent for longer may be removed.
@@ -30,9 +32,9 @@
 const NEARLY: u64 = 8;
 
 /// Whether this node has heard another within `contact` ms, and since it leads.
-fn in_contact(prompter: &Prompter, id: u64, now: u64, contact: u64) -> bool {
-    id == prompter.id()
-        || prompter
+fn in_contact(raft: &RaftNode, id: u64, now: u64, contact: u64) -> bool {
+    id == raft.id()
+        || raft
             .progress(id)
             .is_some_and(|p| p.round > 0 && now.saturating_sub(p.heard_at) < contact)
 }
@@ -42,14 +44,14 @@
 /// there is by now (voters not heard for `contact` ms are part of it, not on top of
 /// it), a majority is left, any of which holds the entry in at least one disk. `false`
 /// on a node that does not lead.
-pub fn bears_loss(prompter: &Prompter, index: u64, now: u64, losses: Losses, contact: u64) -> bool {
-    if !prompter.is_settled() || index > prompter.commit() {
+pub fn bears_loss(raft: &RaftNode, index: u64, now: u64, losses: FaultTolerance, contact: u64) -> bool {
+    if !raft.is_settled() || index > raft.commit() {
         return false;
     }
-    let voters: Vec<&Voter> = prompter.roll().voters.iter().collect();
-    let holders = voters.iter().filter(|v| prompter.on_disk(v.id) >= index).count();
-    let silent = |v: &&Voter| !in_contact(prompter, v.id, now, contact);
-    let there = voters.iter().copied().chain(vacant(prompter.roll()));
+    let voters: Vec<&Voter> = raft.roll().voters.iter().collect();
+    let holders = voters.iter().filter(|v| raft.on_disk(v.id) >= index).count();
+    let silent = |v: &&Voter| !in_contact(raft, v.id, now, contact);
+    let there = voters.iter().copied().chain(vacant(raft.roll()));
     let lost: Vec<&Voter> = there.filter(silent).collect();
     let held = holders >= majority(voters.len()) && are_enough(voters.len(), losses);
     held && spare(&voters, &lost, losses) >= 0
@@ -57,20 +59,20 @@
 
 /// Whether the core goes on, with all that was committed, if voter `id` ends now:
 /// the others in contact are a majority, any of which holds every committed entry.
-pub fn may_end(prompter: &Prompter, id: u64, now: u64, contact: u64) -> bool {
-    let majority = prompter.roll().majority();
-    let others: Vec<u64> = prompter
+pub fn may_end(raft: &RaftNode, id: u64, now: u64, contact: u64) -> bool {
+    let majority = raft.roll().majority();
+    let others: Vec<u64> = raft
         .roll()
         .voters
         .iter()
         .map(|v| v.id)
-        .filter(|v| *v != id && in_contact(prompter, *v, now, contact))
+        .filter(|v| *v != id && in_contact(raft, *v, now, contact))
         .collect();
     let lack = others
         .iter()
-        .filter(|v| prompter.on_disk(**v) < prompter.commit())
+        .filter(|v| raft.on_disk(**v) < raft.commit())
         .count();
-    prompter.is_settled() && others.len() >= majority && lack < majority
+    raft.is_settled() && others.len() >= majority && lack < majority
 }
 
 /// The roll that should come next, if another one should. A caught-up newcomer with a
@@ -79,33 +81,33 @@
 /// spare; none that would leave too few after a loss that may still come, if there
 /// are enough now.
 pub fn next_roll(
-    prompter: &Prompter,
+    raft: &RaftNode,
     now: u64,
-    seen: &[Seen],
-    losses: Losses,
-    patience: Patience,
-) -> Option<Roll> {
-    if !prompter.is_settled() || prompter.roll_pending() {
+    seen: &[PeerObservation],
+    losses: FaultTolerance,
+    patience: SilenceTimeouts,
+) -> Option<Membership> {
+    if !raft.is_settled() || raft.roll_pending() {
         return None;
     }
-    let view = View {
-        prompter,
+    let view = LeaderView {
+        raft,
         now,
         seen,
         patience,
     };
-    let voters: Vec<&Voter> = prompter.roll().voters.iter().collect();
+    let voters: Vec<&Voter> = raft.roll().voters.iter().collect();
     let lost: Vec<&Voter> = voters.iter().filter(|v| view.is_lost(v)).copied().collect();
     // A new leader waits for word of all: who has not answered yet may well live.
-    if !lost.is_empty() && now.saturating_sub(prompter.led_since()) < patience.contact {
+    if !lost.is_empty() && now.saturating_sub(raft.led_since()) < patience.contact {
         return None;
     }
     // The latest loss first.
-    let mut vacant = vacant(prompter.roll());
+    let mut vacant = vacant(raft.roll());
     vacant.retain(|v| !view.is_back(v));
     let mut absent: Vec<&Voter> = lost.iter().chain(&vacant).copied().collect();
     absent.sort_by_key(|v| std::cmp::Reverse(view.lost_at(v)));
-    let care = Care {
+    let care = ChangePlanner {
         cases: cases(&absent, |v| view.lost_at(v), losses),
         newcomers: view.newcomers(),
         later_now: spare_later(&voters, &lost, losses),
@@ -120,7 +122,7 @@
     let best = changes.rev().max_by_key(|c| c.spare);
     let best = best.or_else(|| care.step_back())?;
     let own = |voters: Vec<&Voter>| voters.into_iter().cloned().collect();
-    Some(Roll {
+    Some(Membership {
         vacant: match spare(&best.voters, &[], losses) {
             0.. => Vec::new(),
             _ => own(best.vacant),
@@ -130,24 +132,24 @@
 }
 
 /// What the leader sees of the others.
-struct View<'a> {
-    prompter: &'a Prompter,
+struct LeaderView<'a> {
+    raft: &'a RaftNode,
     now: u64,
-    seen: &'a [Seen],
-    patience: Patience,
+    seen: &'a [PeerObservation],
+    patience: SilenceTimeouts,
 }
 
-impl<'a> View<'a> {
+impl<'a> LeaderView<'a> {
     fn in_contact(&self, v: &Voter) -> bool {
-        in_contact(self.prompter, v.id, self.now, self.patience.contact)
+        in_contact(self.raft, v.id, self.now, self.patience.contact)
     }
 
     fn heard_at(&self, v: &Voter) -> u64 {
-        self.prompter.progress(v.id).map_or(0, |p| p.heard_at)
+        self.raft.progress(v.id).map_or(0, |p| p.heard_at)
     }
 
     fn leaves(&self, v: &Voter) -> bool {
-        let progress = self.prompter.progress(v.id);
+        let progress = self.raft.progress(v.id);
         progress.is_some_and(Progress::was_leaving)
     }
 
@@ -165,8 +167,8 @@
     /// Whether a lost machine is there again and caught up, with its disk or an empty one:
     /// it may be taken in, and whatever is lost next is a loss of its own.
     fn is_back(&self, v: &Voter) -> bool {
-        let same = |s: &&Seen| s.voter.id == v.id || s.voter.address == v.address;
-        let back = |s: &Seen| self.in_contact(&s.voter) && is_caught_up(self.prompter, s.voter.id);
+        let same = |s: &&PeerObservation| s.voter.id == v.id || s.voter.address == v.address;
+        let back = |s: &PeerObservation| self.in_contact(&s.voter) && is_caught_up(self.raft, s.voter.id);
         self.seen.iter().filter(same).any(back)
     }
 
@@ -184,14 +186,14 @@
     fn newcomers(&self) -> Vec<&'a Voter> {
         let seen = self.seen.iter().filter(|s| s.disk && s.alive);
         seen.map(|s| &s.voter)
-            .filter(|v| !self.prompter.roll().has(v.id) && self.in_contact(v) && !self.leaves(v))
-            .filter(|v| is_caught_up(self.prompter, v.id))
+            .filter(|v| !self.raft.roll().has(v.id) && self.in_contact(v) && !self.leaves(v))
+            .filter(|v| is_caught_up(self.raft, v.id))
             .collect()
     }
 }
 
 /// A change of the roll that could come next.
-struct Change<'a> {
+struct Command<'a> {
     voters: Vec<&'a Voter>,
     vacant: Vec<&'a Voter>,
     /// What it leaves to spare once a fresh loss may come, and now.
@@ -199,21 +201,21 @@
 }
 
 /// What the next change of the roll is chosen by.
-struct Care<'a> {
-    view: View<'a>,
-    losses: Losses,
+struct ChangePlanner<'a> {
+    view: LeaderView<'a>,
+    losses: FaultTolerance,
     voters: Vec<&'a Voter>,
     /// Voters that are lost or leave.
     lost: Vec<&'a Voter>,
     /// See [`Roll::vacant`].
     vacant: Vec<&'a Voter>,
-    cases: Vec<Case<'a>>,
+    cases: Vec<FailureScenario<'a>>,
     newcomers: Vec<&'a Voter>,
     /// What the voters have to spare for a fresh loss.
     later_now: i64,
 }
 
-impl<'a> Care<'a> {
+impl<'a> ChangePlanner<'a> {
     fn spare(&self, voters: &[&Voter]) -> i64 {
         let spares = self.cases.iter().map(|c| c.spare(voters, self.losses));
         spares.min().unwrap_or(0)
@@ -267,7 +269,7 @@
         view.is_wiped(v) && self.silent(v) >= patience.contact || self.silent(v) > bound
     }
 
-    fn removals(&self) -> Vec<Change<'a>> {
+    fn removals(&self) -> Vec<Command<'a>> {
         let removable = |v: &&&Voter| self.is_removable(v);
         let gone: Vec<&Voter> = self.lost.iter().filter(removable).copied().collect();
         let later_all = self.spare_later(&self.without(&gone));
@@ -285,7 +287,7 @@
                 let absent: Vec<&Voter> = self.lost.iter().chain(&self.vacant).copied().collect();
                 let spare = (later, spare(&voters, &absent, self.losses));
                 let vacant = self.vacant.iter().chain([v]).copied().collect();
-                changes.push(Change {
+                changes.push(Command {
                     voters,
                     vacant,
                     spare,
@@ -299,15 +301,15 @@
     /// too many in some place: the newest of those step back, one by one, if that leads to
     /// voters that bear one and is no worse at any step. What is just coming up has its
     /// time first.
-    fn step_back(&self) -> Option<Change<'a>> {
-        let prompter = self.view.prompter;
+    fn step_back(&self) -> Option<Command<'a>> {
+        let raft = self.view.raft;
         let spare = |voters: &[&Voter]| spare(voters, &self.vacant, self.losses);
         if !self.lost.is_empty() || spare(&self.voters) >= 0 {
             return None;
         }
-        let learning = |s: &Seen| {
-            let votes = prompter.roll().has(s.voter.id);
-            s.disk && s.alive && !votes && !is_caught_up(prompter, s.voter.id)
+        let learning = |s: &PeerObservation| {
+            let votes = raft.roll().has(s.voter.id);
+            s.disk && s.alive && !votes && !is_caught_up(raft, s.voter.id)
         };
         let patience = self.view.patience;
         let pause = if self.view.seen.iter().any(learning) {
@@ -315,7 +317,7 @@
         } else {
             patience.contact
         };
-        let since = prompter.roll_since().max(prompter.led_since());
+        let since = raft.roll_since().max(raft.led_since());
         if self.view.now.saturating_sub(since) < pause {
             return None;
         }
@@ -324,7 +326,7 @@
         let one = self.voters.iter().rev().find(|v| !has(&kept, v))?;
         let voters = self.without(&[one]);
         let later = spare_later(&voters, &[], self.losses);
-        Some(Change {
+        Some(Command {
             spare: (later, later),
             vacant: self.vacant.clone(),
             voters,
@@ -335,7 +337,7 @@
     /// left out, the last first; `None` if that leads nowhere or is worse at some step.
     fn bearing(&self, all: &[&'a Voter]) -> Option<Vec<&'a Voter>> {
         let spare = |voters: &[&Voter]| spare(voters, &self.vacant, self.losses);
-        let me = self.view.prompter.id();
+        let me = self.view.raft.id();
         let mut kept = all.to_vec();
         while spare(&kept) < 0 {
             let without =
@@ -350,7 +352,7 @@
         Some(kept)
     }
 
-    fn additions(&self) -> Vec<Change<'a>> {
+    fn additions(&self) -> Vec<Command<'a>> {
         let with = |voters: &[&'a Voter], v: &'a Voter| -> Vec<&'a Voter> {
             voters.iter().copied().chain([v]).collect()
         };
@@ -371,7 +373,7 @@
             let calm = self.lost.is_empty();
             if (keeps || calm && grows) && (stays(v) || !calm) {
                 let vacant = self.vacant.clone();
-                changes.push(Change {
+                changes.push(Command {
                     voters,
                     vacant,
                     spare,
@@ -387,7 +389,7 @@
 }
 
 /// Whether a node has on its disk nearly all that there is.
-fn is_caught_up(prompter: &Prompter, id: u64) -> bool {
-    let matched = prompter.progress(id).map_or(0, |p| p.matched);
-    matched > 0 && matched + NEARLY >= prompter.last_index()
+fn is_caught_up(raft: &RaftNode, id: u64) -> bool {
+    let matched = raft.progress(id).map_or(0, |p| p.matched);
+    matched > 0 && matched + NEARLY >= raft.last_index()
 }
--- a/crates/raft/tests/cluster/mod.rs
+++ b/crates/raft/tests/cluster/mod.rs
@@ -14,17 +14,17 @@
 pub const GRACE_MS: u64 = 5400;
 /// A process is back after so long.
 pub const RESTART_MS: u64 = 700;
-pub const LOSSES: Losses = Losses {
+pub const LOSSES: FaultTolerance = FaultTolerance {
     machines: 1,
     zones: 1,
     regions: 1,
 };
-pub const PATIENCE: Patience = Patience {
+pub const PATIENCE: SilenceTimeouts = SilenceTimeouts {
     contact: 1000,
     gone: 5000,
     left: 2000,
 };
-pub const TIMING: Timing = Timing {
+pub const TIMING: Config = Config {
     heartbeat: 100,
     observer_heartbeat: 400,
     election_min: 450,
@@ -37,15 +37,16 @@
     tail_bytes: 0,
 };
 
-pub type NextRoll = fn(&Prompter, u64, &[Seen], Losses, Patience) -> Option<Roll>;
+pub type NextRoll =
+    fn(&RaftNode, u64, &[PeerObservation], FaultTolerance, SilenceTimeouts) -> Option<Membership>;
 
 #[derive(Clone)]
 pub struct Machine {
     pub address: String,
     pub region: usize,
     pub id: u64,
-    pub saved: Saved,
-    pub life: Option<Prompter>,
+    pub saved: PersistentState,
+    pub life: Option<RaftNode>,
     /// Until when it counts as lost, ms; `u64::MAX` while it is down.
     pub lost_until: u64,
     /// It will not come back.
@@ -60,7 +61,7 @@
 pub struct Cluster {
     pub now: u64,
     pub machines: Vec<Machine>,
-    pub wire: Vec<(u64, u64, Cue)>,
+    pub wire: Vec<(u64, u64, Message)>,
     pub next_id: u64,
     /// Orders in the log of a leader that are not acknowledged yet: index, term, and
     /// since when there is a leader for them.
@@ -110,7 +111,7 @@
             address,
             region,
             id: 0,
-            saved: Saved::default(),
+            saved: PersistentState::default(),
             life: None,
             lost_until: 0,
             removed: false,
@@ -127,7 +128,7 @@
             self.next_id += 1;
         }
         let saved = m.saved.clone();
-        m.life = Some(Prompter::new(m.id, saved, TIMING, self.now, m.id));
+        m.life = Some(RaftNode::new(m.id, saved, TIMING, self.now, m.id));
         let cut = self.cuts.contains(&(i, i));
         m.lost_until = if cut { u64::MAX } else { self.now + CATCH_UP_MS };
         (m.leaving, m.back_at) = (None, None);
@@ -139,7 +140,7 @@
         m.back_at = None;
         m.lost_until = u64::MAX;
         if wiped {
-            m.saved = Saved::default();
+            m.saved = PersistentState::default();
             m.id = 0;
         }
     }
@@ -154,7 +155,7 @@
         }
     }
 
-    pub fn leader(&self) -> Option<&Prompter> {
+    pub fn leader(&self) -> Option<&RaftNode> {
         let lives = self.machines.iter().filter_map(|m| m.life.as_ref());
         lives.filter(|l| l.is_settled()).max_by_key(|l| l.term())
     }
@@ -162,7 +163,7 @@
     pub fn tick(&mut self) {
         self.now += STEP_MS;
         let now = self.now;
-        for (from, to, cue) in std::mem::take(&mut self.wire) {
+        for (from, to, message) in std::mem::take(&mut self.wire) {
             let of = |id: u64| self.machines.iter().position(|m| m.id == id);
             let (Some(a), Some(b)) = (of(from), of(to)) else {
                 continue;
@@ -171,7 +172,7 @@
                 continue;
             }
             if let Some(life) = &mut self.machines[b].life {
-                life.receive(now, from, cue);
+                life.receive(now, from, message);
             }
         }
         for i in 0..self.machines.len() {
@@ -235,9 +236,9 @@
 
     pub fn tend(&mut self, i: usize) {
         let others = |j: &usize| *j != i && self.machines[*j].life.is_some();
-        let seen: Vec<Seen> = (0..self.machines.len())
+        let seen: Vec<PeerObservation> = (0..self.machines.len())
             .filter(others)
-            .map(|j| Seen {
+            .map(|j| PeerObservation {
                 voter: self.voter(j),
                 disk: true,
                 alive: true,
@@ -262,7 +263,7 @@
             write(&mut m.saved, effects.write);
             life.persisted(last.0, last.1);
             let sent = effects.now.into_iter().chain(effects.after);
-            self.wire.extend(sent.map(|(to, cue)| (m.id, to, cue)));
+            self.wire.extend(sent.map(|(to, message)| (m.id, to, message)));
             if let Some(snapshot) = effects.install {
                 life.applied(snapshot.index);
             }
@@ -377,7 +378,7 @@
     }
 }
 
-fn write(saved: &mut Saved, write: Write) {
+fn write(saved: &mut PersistentState, write: StorageWrite) {
     if let Some((term, vote)) = write.hard {
         (saved.term, saved.vote) = (term, vote);
     }
--- a/crates/raft/tests/leaving.rs
+++ b/crates/raft/tests/leaving.rs
@@ -3,16 +3,16 @@
 mod cluster;
 
 use cluster::*;
-use raft::{bears_loss, may_end, next_roll, Prompter};
+use raft::{bears_loss, may_end, next_roll, RaftNode};
 
 const SIX: [usize; 6] = [0, 0, 1, 1, 2, 2];
 
 fn leader(c: &Cluster) -> usize {
-    let leads = |m: &Machine| m.life.as_ref().is_some_and(Prompter::is_settled);
+    let leads = |m: &Machine| m.life.as_ref().is_some_and(RaftNode::is_settled);
     c.machines.iter().position(leads).expect("somebody leads")
 }
 
-fn life(c: &mut Cluster, i: usize) -> &mut Prompter {
+fn life(c: &mut Cluster, i: usize) -> &mut RaftNode {
     c.machines[i].life.as_mut().expect("it is up")
 }
 
--- a/crates/raft/tests/narrow.rs
+++ b/crates/raft/tests/narrow.rs
@@ -1,10 +1,10 @@
 //! Links that carry 2 Mbit/s, and messages that take seconds on them.
 
-use prost::Message;
-use raft::{Cue, Prompter, Roll, Saved, Snapshot, Timing, Voter, Write};
+use prost::Message as _;
+use raft::{Config, Membership, Message, PersistentState, RaftNode, Snapshot, StorageWrite, Voter};
 use std::collections::BTreeMap;
 
-const TIMING: Timing = Timing {
+const TIMING: Config = Config {
     heartbeat: 100,
     observer_heartbeat: 400,
     election_min: 450,
@@ -26,23 +26,23 @@
 #[derive(Default)]
 struct Net {
     now: u64,
-    nodes: BTreeMap<u64, Prompter>,
-    disks: BTreeMap<u64, Saved>,
+    nodes: BTreeMap<u64, RaftNode>,
+    disks: BTreeMap<u64, PersistentState>,
     width: BTreeMap<u64, u64>,
     carried_at: BTreeMap<(u64, bool), u64>,
-    flights: Vec<(u64, u64, u64, Cue)>,
+    flights: Vec<(u64, u64, u64, Message)>,
     bytes_to: BTreeMap<u64, usize>,
     largest: usize,
     /// Size of the state, bytes.
     state: usize,
 }
 
-fn roll(ids: &[u64]) -> Roll {
+fn roll(ids: &[u64]) -> Membership {
     let voter = |id: &u64| Voter {
         id: *id,
         ..Default::default()
     };
-    Roll {
+    Membership {
         voters: ids.iter().map(voter).collect(),
         ..Default::default()
     }
@@ -65,7 +65,7 @@
                     data: vec![7; state],
                 };
             }
-            let saved = Saved {
+            let saved = PersistentState {
                 term: 1,
                 snapshot,
                 ..Default::default()
@@ -79,11 +79,11 @@
     /// Starts a node from its disk.
     fn start(&mut self, id: u64) {
         let saved = self.disks.get(&id).cloned().unwrap_or_default();
-        let node = Prompter::new(id, saved, TIMING, self.now, self.now + id);
+        let node = RaftNode::new(id, saved, TIMING, self.now, self.now + id);
         self.nodes.insert(id, node);
     }
 
-    fn write(&mut self, id: u64, write: Write) {
+    fn write(&mut self, id: u64, write: StorageWrite) {
         let disk = self.disks.entry(id).or_default();
         if let Some((term, vote)) = write.hard {
             (disk.term, disk.vote) = (term, vote);
@@ -113,9 +113,9 @@
         let flights = std::mem::take(&mut self.flights);
         let (due, rest): (Vec<_>, Vec<_>) = flights.into_iter().partition(|f| f.0 <= now);
         self.flights = rest;
-        for (_, from, to, cue) in due {
+        for (_, from, to, message) in due {
             if let Some(node) = self.nodes.get_mut(&to) {
-                node.receive(now, from, cue);
+                node.receive(now, from, message);
             }
         }
         let ids: Vec<u64> = self.nodes.keys().copied().collect();
@@ -142,13 +142,13 @@
                 node.compact(vec![7; self.state]);
             }
             self.nodes.insert(id, node);
-            for (to, cue) in sent {
-                let bytes = cue.encoded_len();
+            for (to, message) in sent {
+                let bytes = message.encoded_len();
                 self.largest = self.largest.max(bytes);
                 *self.bytes_to.entry(to).or_default() += bytes;
                 let out = self.carry(id, true, now, bytes);
                 let at = self.carry(to, false, out + LATENCY, bytes);
-                self.flights.push((at, id, to, cue));
+                self.flights.push((at, id, to, message));
             }
         }
     }
@@ -161,8 +161,8 @@
     }
 
     fn leader(&self) -> Option<u64> {
-        let leads = |n: &&Prompter| n.holds_lease(self.now);
-        self.nodes.values().find(leads).map(Prompter::id)
+        let leads = |n: &&RaftNode| n.holds_lease(self.now);
+        self.nodes.values().find(leads).map(RaftNode::id)
     }
 
     fn propose(&mut self, bytes: usize) -> u64 {
@@ -180,9 +180,9 @@
             if change > 0 && self.now.is_multiple_of(every) && self.leader().is_some() {
                 self.propose(change);
             }
-            let most = self.nodes.values().map(Prompter::commit).max().unwrap_or(0);
+            let most = self.nodes.values().map(RaftNode::commit).max().unwrap_or(0);
             // Two changes may be on their way.
-            let near = |n: &Prompter| n.is_current() && n.commit() + 2 >= most && n.commit() >= least;
+            let near = |n: &RaftNode| n.is_current() && n.commit() + 2 >= most && n.commit() >= least;
             if self.nodes.values().all(near) {
                 return self.now - from;
             }
@@ -260,7 +260,7 @@
     let mut net = Net::new(1_000_000, 3);
     net.run(2000);
     net.width.insert(9, NARROW);
-    let mut node = Prompter::new(9, Saved::default(), TIMING, net.now, 9);
+    let mut node = RaftNode::new(9, PersistentState::default(), TIMING, net.now, 9);
     node.follow(net.now, 2);
     net.nodes.insert(9, node);
     let from = net.now;
--- a/crates/raft/tests/relay.rs
+++ b/crates/raft/tests/relay.rs
@@ -2,7 +2,7 @@
 
 use raft::*;
 
-const TIMING: Timing = Timing {
+const TIMING: Config = Config {
     heartbeat: 100,
     observer_heartbeat: 400,
     election_min: 450,
@@ -15,9 +15,9 @@
     tail_bytes: 1 << 14,
 };
 
-fn append(index: u64, log_term: u64, commit: u64, entries: Vec<Entry>) -> Cue {
-    Cue {
-        kind: CueKind::Append as i32,
+fn append(index: u64, log_term: u64, commit: u64, entries: Vec<Entry>) -> Message {
+    Message {
+        kind: MessageType::AppendEntries as i32,
         term: 4,
         index,
         log_term,
@@ -35,7 +35,7 @@
     let snapshot = Snapshot {
         index: 5,
         term: 4,
-        roll: Some(Roll {
+        roll: Some(Membership {
             voters: vec![
                 Voter {
                     id: 2,
@@ -50,48 +50,51 @@
         }),
         data: vec![],
     };
-    let saved = Saved {
+    let saved = PersistentState {
         term: 4,
         snapshot,
         ..Default::default()
     };
-    let mut relay = Prompter::new(2, saved, TIMING, 0, 1);
+    let mut relay = RaftNode::new(2, saved, TIMING, 0, 1);
     relay.tick(10);
     relay.receive(10, 1, append(5, 4, 5, vec![]));
     relay.take_effects();
-    let follow = |index| Cue {
-        kind: CueKind::Follow as i32,
+    let follow = |index| Message {
+        kind: MessageType::Subscribe as i32,
         term: 4,
         index,
         ..Default::default()
     };
     relay.receive(20, 8, follow(5));
     relay.receive(20, 9, follow(0));
-    let mut node = Prompter::new(9, Saved::default(), TIMING, 0, 1);
+    let mut node = RaftNode::new(9, PersistentState::default(), TIMING, 0, 1);
     node.follow(20, 2);
     let mut installs = 0;
-    for (to, cue) in relay.take_effects().now {
-        installs += usize::from(cue.kind() == CueKind::Install);
+    for (to, message) in relay.take_effects().now {
+        installs += usize::from(message.kind() == MessageType::InstallSnapshot);
         // Both lives have one address.
         if to == 8 {
-            node.receive(30, 2, cue);
+            node.receive(30, 2, message);
         }
     }
     let answers = node.take_effects();
-    let said = |(_, cue): &(u64, Cue)| cue.kind() == CueKind::Appended;
+    let said = |(_, message): &(u64, Message)| message.kind() == MessageType::AppendEntriesResponse;
     assert!(
         !answers.now.iter().chain(&answers.after).any(said),
         "not meant for it"
     );
     for _ in 0..5 {
-        let no = Cue {
-            kind: CueKind::Appended as i32,
+        let no = Message {
+            kind: MessageType::AppendEntriesResponse as i32,
             term: 4,
             ..Default::default()
         };
         relay.receive(40, 9, no);
         let now = relay.take_effects().now;
-        installs += now.iter().filter(|(_, c)| c.kind() == CueKind::Install).count();
+        installs += now
+            .iter()
+            .filter(|(_, c)| c.kind() == MessageType::InstallSnapshot)
+            .count();
     }
     assert_eq!(installs, 1);
     // Nor while it takes its time over a narrow link, nor once it is there.
@@ -100,11 +103,11 @@
     let entry = Entry {
         index: 6,
         term: 4,
-        kind: EntryKind::Change as i32,
+        kind: EntryType::Command as i32,
         data: vec![1],
     };
-    let yes = Cue {
-        kind: CueKind::Appended as i32,
+    let yes = Message {
+        kind: MessageType::AppendEntriesResponse as i32,
         term: 4,
         index: 5,
         yes: true,
@@ -113,14 +116,17 @@
     relay.receive(700, 9, yes);
     relay.receive(700, 1, append(5, 4, 6, vec![entry]));
     let now = relay.take_effects().now;
-    let to_it = |(to, _): &&(u64, Cue)| *to == 9;
+    let to_it = |(to, _): &&(u64, Message)| *to == 9;
     let sent: Vec<_> = now
         .iter()
         .filter(to_it)
         .map(|(_, c)| (c.kind(), c.entries.len()))
         .collect();
-    assert!(sent.iter().all(|(kind, _)| *kind == CueKind::Append), "{sent:?}");
-    assert!(sent.contains(&(CueKind::Append, 1)), "{sent:?}");
+    assert!(
+        sent.iter().all(|(kind, _)| *kind == MessageType::AppendEntries),
+        "{sent:?}"
+    );
+    assert!(sent.contains(&(MessageType::AppendEntries, 1)), "{sent:?}");
 }
 
 /// A voter is back from its disk and hears at once that more is committed
@@ -131,12 +137,12 @@
         id,
         ..Default::default()
     };
-    let saved = Saved {
+    let saved = PersistentState {
         term: 4,
         snapshot: Snapshot {
             index: 5,
             term: 4,
-            roll: Some(Roll {
+            roll: Some(Membership {
                 voters: vec![voter(1), voter(2)],
                 ..Default::default()
             }),
@@ -144,20 +150,20 @@
         },
         ..Default::default()
     };
-    let mut relay = Prompter::new(2, saved, TIMING, 0, 1);
-    let mut node = Prompter::new(9, Saved::default(), TIMING, 0, 1);
+    let mut relay = RaftNode::new(2, saved, TIMING, 0, 1);
+    let mut node = RaftNode::new(9, PersistentState::default(), TIMING, 0, 1);
     relay.tick(10);
     relay.receive(10, 1, append(7, 4, 7, vec![]));
     node.follow(10, 2);
-    let pass = |from: &mut Prompter, to: &mut Prompter, me: u64, other: u64| {
+    let pass = |from: &mut RaftNode, to: &mut RaftNode, me: u64, other: u64| {
         let effects = from.take_effects();
-        for (_, cue) in effects
+        for (_, message) in effects
             .now
             .into_iter()
             .chain(effects.after)
             .filter(|(id, _)| *id == other)
         {
-            to.receive(20, me, cue);
+            to.receive(20, me, message);
         }
     };
     for _ in 0..4 {
@@ -168,7 +174,7 @@
     let entry = |index| Entry {
         index,
         term: 4,
-        kind: EntryKind::Change as i32,
+        kind: EntryType::Command as i32,
         data: vec![1],
     };
     relay.receive(30, 1, append(5, 4, 7, vec![entry(6), entry(7)]));
@@ -183,8 +189,8 @@
 /// it asks must not look as if it had heard.
 #[test]
 fn asking_another_voter_is_not_hearing_the_core() {
-    let mut node = Prompter::new(9, Saved::default(), TIMING, 0, 1);
-    let passed_on = Cue {
+    let mut node = RaftNode::new(9, PersistentState::default(), TIMING, 0, 1);
+    let passed_on = Message {
         leader: 1,
         ..append(0, 0, 0, vec![])
     };
--- a/crates/raft/tests/repair_ways.rs
+++ b/crates/raft/tests/repair_ways.rs
@@ -5,7 +5,7 @@
 mod cluster;
 
 use cluster::*;
-use raft::{next_roll, Prompter};
+use raft::{next_roll, RaftNode};
 
 const SIZES: [&[usize]; 5] = [
     &[0, 1, 2],
@@ -17,13 +17,13 @@
 
 /// Voters that were lost, that came in their place, and that were never lost, by region.
 #[derive(Clone, Copy)]
-struct Roll {
+struct Voters {
     dead: i64,
     new: i64,
     others: [i64; 2],
 }
 
-impl Roll {
+impl Voters {
     fn majority(self) -> i64 {
         (self.dead + self.new + self.others.iter().sum::<i64>()) / 2 + 1
     }
@@ -43,7 +43,7 @@
 /// and the steps until a fresh loss is borne for good.
 fn play(regions: &[usize], way: &str) -> (i64, usize) {
     let of = |r: usize| regions.iter().filter(|x| **x == r).count() as i64;
-    let mut roll = Roll {
+    let mut roll = Voters {
         dead: of(0),
         new: 0,
         others: [of(1), of(2)],
@@ -85,7 +85,7 @@
     for regions in SIZES {
         for led in [false, true] {
             let mut c = Cluster::new(regions, next_roll);
-            let leads = |m: &Machine| m.life.as_ref().is_some_and(Prompter::is_settled);
+            let leads = |m: &Machine| m.life.as_ref().is_some_and(RaftNode::is_settled);
             let leader = c.machines.iter().position(leads).expect("somebody leads");
             let home = regions[leader];
             let lost = if led { home } else { (home + 1) % 3 };
--- a/crates/raft/tests/roll_model.rs
+++ b/crates/raft/tests/roll_model.rs
@@ -6,7 +6,7 @@
 mod cluster;
 
 use cluster::*;
-use raft::{bears, next_roll, Losses, Patience, Prompter, Roll, Seen};
+use raft::{bears, next_roll, FaultTolerance, Membership, PeerObservation, RaftNode, SilenceTimeouts};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -122,7 +122,7 @@
         Step::Wait(600),
         Step::Wait(CATCH_UP_MS + 100),
     ];
-    let leads = |m: &Machine| m.life.as_ref().is_some_and(Prompter::is_leader);
+    let leads = |m: &Machine| m.life.as_ref().is_some_and(RaftNode::is_leader);
     let leader = cluster.machines.iter().position(leads).unwrap_or(0);
     let home = cluster.machines[leader].region;
     let there = |i: &usize| !cluster.machines[*i].removed;
@@ -348,27 +348,27 @@
 
 /// The care for the roll as it was: newcomers first, and the dead counted with the rest.
 fn counting_the_dead(
-    prompter: &Prompter,
+    raft: &RaftNode,
     now: u64,
-    seen: &[Seen],
-    losses: Losses,
-    patience: Patience,
-) -> Option<Roll> {
-    if !prompter.is_settled() || prompter.roll_pending() {
+    seen: &[PeerObservation],
+    losses: FaultTolerance,
+    patience: SilenceTimeouts,
+) -> Option<Membership> {
+    if !raft.is_settled() || raft.roll_pending() {
         return None;
     }
-    let roll = prompter.roll();
-    let heard_at = |id: u64| prompter.progress(id).map_or(0, |p| p.heard_at);
-    let heard = |id: u64| id == prompter.id() || now.saturating_sub(heard_at(id)) < patience.contact;
-    let matched = |id: u64| prompter.progress(id).map_or(0, |p| p.matched);
+    let roll = raft.roll();
+    let heard_at = |id: u64| raft.progress(id).map_or(0, |p| p.heard_at);
+    let heard = |id: u64| id == raft.id() || now.saturating_sub(heard_at(id)) < patience.contact;
+    let matched = |id: u64| raft.progress(id).map_or(0, |p| p.matched);
     let newcomer = seen.iter().find(|s| {
-        let caught_up = matched(s.voter.id) > 0 && matched(s.voter.id) + 8 >= prompter.last_index();
+        let caught_up = matched(s.voter.id) > 0 && matched(s.voter.id) + 8 >= raft.last_index();
         s.disk && s.alive && !roll.has(s.voter.id) && heard(s.voter.id) && caught_up
     });
     if let Some(s) = newcomer {
         let mut voters = roll.voters.clone();
         voters.push(s.voter.clone());
-        return Some(Roll {
+        return Some(Membership {
             voters,
             ..Default::default()
         });
@@ -378,7 +378,7 @@
             .iter()
             .any(|s| s.voter.address == v.address && s.voter.id != v.id);
         let silent = now.saturating_sub(heard_at(v.id)) > patience.gone;
-        let rest = Roll {
+        let rest = Membership {
             voters: roll.voters.iter().filter(|o| o.id != v.id).cloned().collect(),
             ..Default::default()
         };
--- a/crates/raft/tests/roll_rules.rs
+++ b/crates/raft/tests/roll_rules.rs
@@ -14,33 +14,33 @@
     }
 }
 
-fn roll(ids: &[u64]) -> Roll {
-    Roll {
+fn roll(ids: &[u64]) -> Membership {
+    Membership {
         voters: ids.iter().map(|id| voter(*id)).collect(),
         ..Default::default()
     }
 }
 
 /// Node 1 of three, elected by node 2 at this time; nothing of its term is committed.
-fn elected(now: &mut u64) -> Prompter {
+fn elected(now: &mut u64) -> RaftNode {
     let snapshot = Snapshot {
         index: 5,
         term: 3,
         roll: Some(roll(&[1, 2, 3])),
         data: Vec::new(),
     };
-    let saved = Saved {
+    let saved = PersistentState {
         term: 3,
         snapshot,
         ..Default::default()
     };
-    let mut me = Prompter::new(1, saved, TIMING, *now, 1);
-    for kind in [CueKind::PreVote, CueKind::Vote] {
+    let mut me = RaftNode::new(1, saved, TIMING, *now, 1);
+    for kind in [MessageType::PreVoteResponse, MessageType::VoteResponse] {
         while !matches!(me.role(), Role::PreCandidate | Role::Candidate) {
             *now += 50;
             me.tick(*now);
         }
-        let yes = Cue {
+        let yes = Message {
             kind: kind as i32,
             term: 4,
             yes: true,
@@ -53,16 +53,16 @@
     me
 }
 
-fn appended(me: &mut Prompter, now: u64, from: u64, index: u64) {
-    let cue = Cue {
-        kind: CueKind::Appended as i32,
+fn appended(me: &mut RaftNode, now: u64, from: u64, index: u64) {
+    let message = Message {
+        kind: MessageType::AppendEntriesResponse as i32,
         term: me.term(),
         index,
         yes: true,
         round: 1,
         ..Default::default()
     };
-    me.receive(now, from, cue);
+    me.receive(now, from, message);
     me.persisted(me.last_index(), me.term());
 }
 
@@ -97,7 +97,7 @@
     let last = me.last_index();
     appended(&mut me, now, 2, last);
     appended(&mut me, now, 3, last);
-    let seen = [Seen {
+    let seen = [PeerObservation {
         voter: voter(4),
         disk: true,
         alive: true,
@@ -108,12 +108,12 @@
     let sent = me.take_effects().now;
     let install = sent
         .into_iter()
-        .find(|(to, c)| *to == 4 && c.kind() == CueKind::Install);
-    let next = |me: &Prompter, now| next_roll(me, now, &seen, LOSSES, PATIENCE);
-    let mut newcomer = Prompter::new(4, Saved::default(), TIMING, now, 4);
+        .find(|(to, c)| *to == 4 && c.kind() == MessageType::InstallSnapshot);
+    let next = |me: &RaftNode, now| next_roll(me, now, &seen, LOSSES, PATIENCE);
+    let mut newcomer = RaftNode::new(4, PersistentState::default(), TIMING, now, 4);
     newcomer.receive(now, 1, install.expect("a snapshot").1);
-    let lacks = Cue {
-        kind: CueKind::Appended as i32,
+    let lacks = Message {
+        kind: MessageType::AppendEntriesResponse as i32,
         term: 4,
         round: 1,
         ..Default::default()
@@ -126,8 +126,8 @@
         "not before the disk has it"
     );
     // Four voters bear no more than three; of four regions one may be lost.
-    for (_, cue) in effects.after {
-        me.receive(now, 4, cue);
+    for (_, message) in effects.after {
+        me.receive(now, 4, message);
     }
     let behind = me.progress(4).map(|p| p.matched);
     assert_eq!(behind, Some(5));
@@ -140,7 +140,7 @@
 fn an_acknowledgement_counts_the_disks_of_the_roll_in_force() {
     let mut now = 1000;
     let mut me = elected(&mut now);
-    let bears = |me: &Prompter, index, now| bears_loss(me, index, now, LOSSES, PATIENCE.contact);
+    let bears = |me: &RaftNode, index, now| bears_loss(me, index, now, LOSSES, PATIENCE.contact);
     let last = me.last_index();
     assert!(!bears(&me, last, now), "not committed");
     appended(&mut me, now, 2, last);
--- a/crates/rehearsal/src/disk.rs
+++ b/crates/rehearsal/src/disk.rs
@@ -1,16 +1,16 @@
 //! A disk that loses what was not synced when the power goes.
 
 use prost::Message;
-use raft::{Entry, Saved, Write};
+use raft::{Entry, PersistentState, StorageWrite};
 
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
     /// Identity written when the store was begun; 0 on an empty disk.
     pub id: u64,
     pub cluster: u64,
-    saved: Saved,
+    saved: PersistentState,
     /// Writes not synced yet: when they will be, their number, and what.
-    pending: Vec<(u64, u64, Write)>,
+    pending: Vec<(u64, u64, StorageWrite)>,
     /// Extra time that a sync takes.
     pub slow_ms: u64,
     pub stuck: bool,
@@ -19,7 +19,7 @@
 }
 
 impl Disk {
-    pub fn write(&mut self, now: u64, seq: u64, write: Write) {
+    pub fn write(&mut self, now: u64, seq: u64, write: StorageWrite) {
         let entries = write.entries.iter().map(|e| e.encoded_len());
         self.written += entries.sum::<usize>() + write.snapshot.as_ref().map_or(0, |s| s.encoded_len());
         let after = self.pending.last().map_or(now, |(at, _, _)| (*at).max(now));
@@ -37,7 +37,7 @@
         last
     }
 
-    fn apply(&mut self, write: Write) {
+    fn apply(&mut self, write: StorageWrite) {
         if let Some((term, vote)) = write.hard {
             self.saved.term = term;
             self.saved.vote = vote;
@@ -79,7 +79,7 @@
         last.map_or(0, |e| e.index).max(self.saved.snapshot.index)
     }
 
-    pub fn load(&self) -> Saved {
+    pub fn load(&self) -> PersistentState {
         self.saved.clone()
     }
 }
--- a/crates/rehearsal/src/node.rs
+++ b/crates/rehearsal/src/node.rs
@@ -5,11 +5,11 @@
 use playbill::letters::ReplaceOrder;
 use playbill::stage::Outcome;
 use playbill::Stage;
-use raft::{Cue, EntryKind, Following, Prompter, Timing};
+use raft::{Config, EntryType, RaftNode, UpstreamSelector};
 use std::collections::VecDeque;
 use wardrobe::Wardrobe;
 
-pub const TIMING: Timing = Timing {
+pub const TIMING: Config = Config {
     heartbeat: c::HEARTBEAT_MS,
     observer_heartbeat: c::OBSERVER_HEARTBEAT_MS,
     election_min: c::ELECTION_MIN_MS,
@@ -23,11 +23,11 @@
 };
 
 /// What waits for a write: its number, messages, and the last entry and its term.
-type Held = (u64, Vec<(u64, Cue)>, (u64, u64));
+type Held = (u64, Vec<(u64, raft::Message)>, (u64, u64));
 
 /// A running process.
 pub struct Life {
-    pub prompter: Prompter,
+    pub prompter: RaftNode,
     pub stage: Stage,
     pub wardrobe: Wardrobe,
     pub wardrobe_since: Option<u64>,
@@ -41,7 +41,7 @@
     written_at: u64,
     waiting: VecDeque<Held>,
     pub orders: Vec<Pending>,
-    pub following: Following,
+    pub following: UpstreamSelector,
     /// It has been told to end.
     pub leaving: bool,
 }
@@ -66,7 +66,7 @@
 /// What a node did in one step.
 #[derive(Default)]
 pub struct Did {
-    pub sent: Vec<(u64, Cue)>,
+    pub sent: Vec<(u64, raft::Message)>,
     /// Orders settled: name, order, outcome.
     pub settled: Vec<(String, ReplaceOrder, Option<Outcome>)>,
     /// Entries applied: index, term, and for a change its outcome.
@@ -92,11 +92,11 @@
                 }
                 (disk.id, disk.load())
             }
-            None => (id, raft::Saved::default()),
+            None => (id, raft::PersistentState::default()),
         };
         let stage = Stage::from_snapshot(saved.snapshot.index, &saved.snapshot.data);
         let stage = stage.expect("the disk gives back what was written");
-        let mut prompter = Prompter::new(id, saved, TIMING, now, id);
+        let mut prompter = RaftNode::new(id, saved, TIMING, now, id);
         prompter.set_readable(Stage::is_readable);
         self.life = Some(Life {
             prompter,
@@ -112,7 +112,7 @@
             written_at: 0,
             waiting: VecDeque::new(),
             orders: Vec::new(),
-            following: Following::default(),
+            following: UpstreamSelector::default(),
             leaving: false,
         });
     }
@@ -169,7 +169,7 @@
             }
             for entry in effects.committed {
                 let mut outcome = None;
-                if entry.kind == EntryKind::Change as i32 {
+                if entry.kind == EntryType::Command as i32 {
                     outcome = Some(life.stage.apply(entry.index, &entry.data));
                 } else {
                     life.stage.index = life.stage.index.max(entry.index);
--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -6,13 +6,16 @@
 use playbill::constants as c;
 use playbill::letters::*;
 use playbill::stage::{encode_change, Outcome};
-use raft::{bears, next_roll, Cue, FollowTiming, Losses, Patience, Seen, Source, Voter};
+use raft::{
+    bears, next_roll, FaultTolerance, PeerObservation, SilenceTimeouts, UpstreamCandidate, UpstreamTimeouts,
+    Voter,
+};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 use wardrobe::{Act, GrantCall, Granted, ReleaseCall, Released};
 
-pub const LOSSES: Losses = Losses {
+pub const LOSSES: FaultTolerance = FaultTolerance {
     machines: 1,
     zones: 1,
     regions: 1,
@@ -21,11 +24,11 @@
 pub const STEP_MS: u64 = 10;
 
 enum Flight {
-    Cue {
+    Raft {
         from: String,
         sender: u64,
         to: u64,
-        cue: Cue,
+        cue: raft::Message,
     },
     Grant {
         leader: String,
@@ -262,7 +265,7 @@
         self.answers.insert(order, outcome);
     }
 
-    fn send(&mut self, from: &str, to: u64, cue: Cue) {
+    fn send(&mut self, from: &str, to: u64, cue: raft::Message) {
         let Some(name) = self.nodes.values().find(|n| n.id() == to).map(|n| n.name.clone()) else {
             return;
         };
@@ -277,7 +280,7 @@
         let sender = self.nodes.get(from).map_or(0, Node::id);
         self.flights.push((
             at,
-            Flight::Cue {
+            Flight::Raft {
                 from: from.into(),
                 sender,
                 to,
@@ -306,14 +309,14 @@
             .filter_map(|n| self.nodes.get(n))
             .map(Node::id)
             .collect();
-        let waits = |f: &Flight| matches!(f, Flight::Cue { to, .. } if frozen.contains(to));
+        let waits = |f: &Flight| matches!(f, Flight::Raft { to, .. } if frozen.contains(to));
         let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.flights)
             .into_iter()
             .partition(|(at, flight)| *at <= now && !waits(flight));
         self.flights = rest;
         for (_, flight) in due {
             match flight {
-                Flight::Cue { sender, to, cue, .. } => {
+                Flight::Raft { sender, to, cue, .. } => {
                     if let Some(life) = self
                         .nodes
                         .values_mut()
@@ -424,7 +427,7 @@
             .filter(|n| n.disk.is_some() && n.life.is_some())
             .map(|n| (n.id(), n.region.clone()))
             .collect();
-        let timing = FollowTiming {
+        let timing = UpstreamTimeouts {
             silent: c::SOURCE_SILENT_MS,
             shun: c::SOURCE_SHUN_MS,
         };
@@ -432,12 +435,12 @@
         let runs = |n: &&mut Node| n.disk.is_none() && !frozen.contains(&n.name);
         for node in self.nodes.values_mut().filter(runs) {
             let Some(life) = &mut node.life else { continue };
-            let source = |(id, region): &(u64, String)| Source {
+            let source = |(id, region): &(u64, String)| UpstreamCandidate {
                 id: *id,
                 same_zone: false,
                 same_region: *region == node.region,
             };
-            let sources: Vec<Source> = disks.iter().map(source).collect();
+            let sources: Vec<UpstreamCandidate> = disks.iter().map(source).collect();
             let (me, feed) = (life.prompter.id(), life.prompter.feed());
             if let Some(source) = life.following.next(now, me, feed, &sources, timing) {
                 life.prompter.follow(now, source);
@@ -450,11 +453,11 @@
     /// The duties of whoever holds the lease, and the leader's care for the roll.
     fn lead(&mut self) {
         let now = self.now;
-        let seen: Vec<Seen> = self
+        let seen: Vec<PeerObservation> = self
             .nodes
             .values()
             .filter(|n| n.life.is_some())
-            .map(|n| Seen {
+            .map(|n| PeerObservation {
                 voter: voter_of(n),
                 disk: n.disk.is_some(),
                 alive: true,
@@ -476,8 +479,8 @@
             let me = life.prompter.id();
             let others: BTreeSet<u64> = observers.iter().copied().filter(|id| *id != me).collect();
             life.prompter.set_observers(&others);
-            let others: Vec<Seen> = seen.iter().filter(|s| s.voter.id != me).cloned().collect();
-            let patience = Patience {
+            let others: Vec<PeerObservation> = seen.iter().filter(|s| s.voter.id != me).cloned().collect();
+            let patience = SilenceTimeouts {
                 contact: c::CONTACT_MS,
                 gone: c::VOTER_GONE_MS,
                 left: c::VOTER_LEFT_MS,
@@ -601,7 +604,7 @@
             self.nodes.get(b).map_or(0, Node::id),
         );
         self.flights.retain(|(_, f)| match f {
-            Flight::Cue { from, to, .. } => !(from == a && *to == y || from == b && *to == x),
+            Flight::Raft { from, to, .. } => !(from == a && *to == y || from == b && *to == x),
             _ => true,
         });
     }
--- a/crates/rehearsal/tests/wire.rs
+++ b/crates/rehearsal/tests/wire.rs
@@ -7,7 +7,7 @@
 use playbill::letters::*;
 use preview::{Audit, Create, Preview, PreviewChange, Review, Showing, Trial};
 use prost::Message;
-use raft::{Cue, Entry, Roll, Snapshot, Voter};
+use raft::{Entry, Membership, Snapshot, Voter};
 
 /// Messages in `wire.hex`.
 const MESSAGES: usize = 67;
@@ -29,10 +29,10 @@
         let bytes = bytes_of(hex);
         let encoded = match name {
             "Voter" => decoded_and_encoded::<Voter>(&bytes),
-            "Roll" => decoded_and_encoded::<Roll>(&bytes),
+            "Roll" => decoded_and_encoded::<Membership>(&bytes),
             "Entry" => decoded_and_encoded::<Entry>(&bytes),
             "Snapshot" => decoded_and_encoded::<Snapshot>(&bytes),
-            "Cue" => decoded_and_encoded::<Cue>(&bytes),
+            "Cue" => decoded_and_encoded::<raft::Message>(&bytes),
             "Member" => decoded_and_encoded::<Member>(&bytes),
             "Notice" => decoded_and_encoded::<Notice>(&bytes),
             "Review" => decoded_and_encoded::<Review>(&bytes),
