--- a/crates/playhouse/src/conductor/mod.rs
+++ b/crates/playhouse/src/conductor/mod.rs
@@ -20,7 +20,7 @@
 use playbill::stage::Outcome;
 use playbill::Stage;
 use prost::Message as _;
-use raft::{Config, EntryType, RaftNode, Role, Snapshot, StorageWrite, UpstreamSelector};
+use raft::{Config, EntryType, LogPosition, RaftNode, Role, Snapshot, StorageWrite, UpstreamSelector};
 use rand::Rng;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
@@ -69,31 +69,31 @@
         vault.is_some()
     );
     let timing = Config {
-        heartbeat: c::HEARTBEAT_MS,
-        observer_heartbeat: c::OBSERVER_HEARTBEAT_MS,
-        election_min: c::ELECTION_MIN_MS,
-        election_spread: c::ELECTION_SPREAD_MS,
-        lease: c::LEASE_MS,
-        resend: c::RESEND_MS,
-        snapshot_resend: c::SNAPSHOT_RESEND_MS,
-        follower_gone: c::FOLLOWER_GONE_MS,
+        heartbeat_ms: c::HEARTBEAT_MS,
+        learner_heartbeat_ms: c::OBSERVER_HEARTBEAT_MS,
+        election_timeout_ms: c::ELECTION_MIN_MS,
+        election_jitter_ms: c::ELECTION_SPREAD_MS,
+        lease_ms: c::LEASE_MS,
+        resend_ms: c::RESEND_MS,
+        snapshot_resend_ms: c::SNAPSHOT_RESEND_MS,
+        peer_timeout_ms: c::FOLLOWER_GONE_MS,
         append_bytes: c::APPEND_BYTES,
-        tail_bytes: c::LOG_TAIL_BYTES,
+        retained_bytes: c::LOG_TAIL_BYTES,
     };
-    let mut prompter = RaftNode::new(identity.id, saved, timing, house.now(), rand::thread_rng().gen());
-    prompter.set_readable(Stage::is_readable);
+    let mut raft = RaftNode::new(identity.id, saved, timing, house.now(), rand::thread_rng().gen());
+    raft.set_snapshot_check(Stage::is_readable);
     let mut standing = Standing {
         id: identity.id,
         cluster: identity.cluster,
         ..Default::default()
     };
-    standing.term = prompter.term();
+    standing.term = raft.term();
     house.standing.set(standing);
     house.stage.set(stage.clone());
     let life = Life(rand::thread_rng().gen());
     let conductor = Conductor {
         house: house.clone(),
-        prompter,
+        raft,
         stage,
         vault,
         fresh,
@@ -152,7 +152,7 @@
 pub struct Leave;
 
 /// What waits for a write: its number, messages, and the last entry and its term.
-type Held = (u64, Vec<(u64, raft::Message)>, (u64, u64));
+type Held = (u64, Vec<raft::Message>, LogPosition);
 /// Nodes kept that have introduced themselves, nodes.
 const INTRODUCED_KEPT: usize = 256;
 type Waiter = oneshot::Sender<orders::Settled>;
@@ -169,7 +169,7 @@
 
 pub struct Conductor {
     house: Rc<House>,
-    prompter: RaftNode,
+    raft: RaftNode,
     stage: Stage,
     vault: Option<Vault>,
     /// Empty at the first start of the whole system.
@@ -230,8 +230,8 @@
         let wait = if idle {
             c::CONTACT_MS
         } else {
-            self.prompter
-                .next_tick()
+            self.raft
+                .next_tick_at()
                 .saturating_sub(self.house.now())
                 .clamp(10, 200)
         };
@@ -241,15 +241,15 @@
             if !me.house.standing.get().current {
                 me.choose_source(now);
             }
-            me.prompter.tick(now);
+            me.raft.tick(now);
             me.flush();
             me.schedule(ctx);
         });
     }
 
     fn greet(&self) {
-        let me = self.prompter.id();
-        for voter in self.prompter.roll().voters.iter().filter(|v| v.id != me) {
+        let me = self.raft.id();
+        for voter in self.raft.membership().voters.iter().filter(|v| v.id != me) {
             self.post(voter.address.clone(), Matter::Hello(true));
         }
     }
@@ -265,8 +265,8 @@
         if let Some(m) = members.iter().find(|m| m.id == id) {
             return Some(m.address.clone());
         }
-        self.prompter
-            .roll()
+        self.raft
+            .membership()
             .voters
             .iter()
             .find(|v| v.id == id)
@@ -274,39 +274,39 @@
             .or_else(|| self.introduced.get(&id).cloned())
     }
 
-    fn send_cues(&self, cues: Vec<(u64, raft::Message)>) {
-        for (to, cue) in cues {
-            if let Some(address) = self.address_of(to) {
-                self.post(address, Matter::Agreement(cue.encode_to_vec()));
+    fn send_messages(&self, messages: Vec<raft::Message>) {
+        for message in messages {
+            if let Some(address) = self.address_of(message.to) {
+                self.post(address, Matter::Agreement(message.encode_to_vec()));
             }
         }
     }
 
     /// Carries out whatever the agreement wants done.
     fn flush(&mut self) {
-        if self.prompter.role() != self.role {
-            self.role = self.prompter.role();
-            log::debug!("event=role role={:?} term={}", self.role, self.prompter.term());
+        if self.raft.role() != self.role {
+            self.role = self.raft.role();
+            log::debug!("event=role role={:?} term={}", self.role, self.raft.term());
         }
-        if self.prompter.is_leader() && !self.house.standing.get().is_leader {
+        if self.raft.is_leader() && !self.house.standing.get().is_leader {
             // Whoever waits for a leader hears of it at once.
-            self.prompter.set_observers(&self.observers());
+            self.raft.set_learners(&self.observers());
         }
         loop {
-            let effects = self.prompter.take_effects();
-            self.send_cues(effects.now);
-            let last = (self.prompter.last_index(), self.prompter.term_of_last());
-            let answers = self.write(effects.write, effects.after, last);
-            if let Some(snapshot) = effects.install {
+            let ready = self.raft.take_ready();
+            self.send_messages(ready.messages);
+            let last = self.raft.last_position();
+            let answers = self.write(ready.write, ready.persisted_messages, last);
+            if let Some(snapshot) = ready.snapshot {
                 self.install(&snapshot);
             }
-            let idle = effects.committed.is_empty() && effects.reads.is_empty();
-            for entry in effects.committed {
+            let idle = ready.committed_entries.is_empty() && ready.read_states.is_empty();
+            for entry in ready.committed_entries {
                 self.apply(entry);
             }
-            for (token, good) in effects.reads {
-                if let Some(reader) = self.reads.remove(&token) {
-                    let _ = reader.send(good);
+            for read in ready.read_states {
+                if let Some(reader) = self.reads.remove(&read.token) {
+                    let _ = reader.send(read.confirmed);
                 }
             }
             self.send_answers(answers);
@@ -314,14 +314,14 @@
                 break;
             }
         }
-        let room = c::LOG_KEEP_BYTES.max(self.prompter.snapshot_bytes());
-        let long = self.prompter.log_len() > c::LOG_KEEP || self.prompter.log_bytes() > room;
+        let room = c::LOG_KEEP_BYTES.max(self.raft.snapshot_bytes());
+        let long = self.raft.log_len() > c::LOG_KEEP || self.raft.log_bytes() > room;
         if long {
             // Only voters pass the state on; for all others its image would cost
             // memory and time for nobody.
             let voter = self.vault.is_some();
             let image = voter.then(|| self.stage.to_snapshot());
-            self.prompter.compact(image.unwrap_or_default());
+            self.raft.compact(image.unwrap_or_default());
         }
         self.publish();
     }
@@ -330,11 +330,11 @@
     fn write(
         &mut self,
         write: StorageWrite,
-        after: Vec<(u64, raft::Message)>,
-        last: (u64, u64),
-    ) -> Vec<(u64, raft::Message)> {
+        after: Vec<raft::Message>,
+        last: LogPosition,
+    ) -> Vec<raft::Message> {
         let Some(vault) = &self.vault else {
-            self.prompter.persisted(last.0, last.1);
+            self.raft.on_persisted(last);
             return after;
         };
         if !write.is_empty() {
@@ -354,16 +354,16 @@
 
     /// Sends answers, with what has been applied by now: the leader need not wait for the
     /// next one to learn that a change is in force here.
-    fn send_answers(&self, mut answers: Vec<(u64, raft::Message)>) {
-        self.prompter.stamp(&mut answers);
-        self.send_cues(answers);
+    fn send_answers(&self, mut answers: Vec<raft::Message>) {
+        self.raft.stamp_applied(&mut answers);
+        self.send_messages(answers);
     }
 
     /// Takes a message of the agreement in.
-    fn receive(&mut self, now: u64, from: u64, cue: raft::Message) {
-        let before = self.prompter.unreadable();
-        self.prompter.receive(now, from, cue);
-        if self.prompter.unreadable() > before {
+    fn receive(&mut self, now: u64, from: u64, message: raft::Message) {
+        let before = self.raft.unreadable_snapshots();
+        self.raft.step(now, from, message);
+        if self.raft.unreadable_snapshots() > before {
             self.house.counters.add("unreadable_snapshots");
             log::error!("event=snapshot_unreadable from={from:x}");
         }
@@ -378,12 +378,12 @@
                 self.house.stage.set(self.stage.clone());
             }
         }
-        self.prompter.applied(self.stage.index);
+        self.raft.on_applied(self.stage.index);
     }
 
     fn apply(&mut self, entry: raft::Entry) {
         let mut outcome = None;
-        if entry.kind == EntryType::Command as i32 {
+        if entry.entry_type == EntryType::Command as i32 {
             let before = self.stage.version();
             outcome = Some(self.stage.apply(entry.index, &entry.data));
             if self.stage.version() != before {
@@ -397,7 +397,7 @@
             self.stage.index = self.stage.index.max(entry.index);
         }
         self.house.stage.set(self.stage.clone());
-        self.prompter.applied(entry.index);
+        self.raft.on_applied(entry.index);
         if let Some(Proposal { term, waiters, .. }) = self.proposals.remove(&entry.index) {
             // Another leader's entry may have taken the place.
             let told = outcome.filter(|_| term == entry.term).map(|o| (o, entry.index));
@@ -412,19 +412,19 @@
         let now = self.house.now();
         // Through a voter or from the leader itself; asking a voter does not count.
         let heard = match () {
-            () if self.prompter.holds_lease(now) => now,
-            () if self.prompter.is_leader() => self.house.contact.get(),
-            () => self.prompter.heard_at(),
+            () if self.raft.holds_lease(now) => now,
+            () if self.raft.is_leader() => self.house.contact.get(),
+            () => self.raft.leader_heard_at(),
         };
         self.house.contact.set(heard);
         let before = self.house.standing.get();
         let now = Standing {
-            id: self.prompter.id(),
+            id: self.raft.id(),
             cluster: before.cluster,
-            term: self.prompter.term(),
-            leader: self.prompter.leader(),
-            is_leader: self.prompter.is_leader(),
-            current: before.current || self.mended || self.prompter.is_current(),
+            term: self.raft.term(),
+            leader: self.raft.leader_id(),
+            is_leader: self.raft.is_leader(),
+            current: before.current || self.mended || self.raft.is_current(),
         };
         if now.is_leader != before.is_leader {
             log::info!(
@@ -507,8 +507,8 @@
 impl Handler<Lease> for Conductor {
     type Result = Option<u64>;
     fn handle(&mut self, _: Lease, _: &mut Self::Context) -> Option<u64> {
-        let holds = self.prompter.holds_lease(self.house.now());
-        (holds && !self.house.leaving.get()).then(|| self.prompter.led_since())
+        let holds = self.raft.holds_lease(self.house.now());
+        (holds && !self.house.leaving.get()).then(|| self.raft.leader_since())
     }
 }
 
@@ -529,7 +529,7 @@
                 while self.waiting.front().is_some_and(|(s, _, _)| *s <= seq) {
                     if let Some((_, after, last)) = self.waiting.pop_front() {
                         self.send_answers(after);
-                        self.prompter.persisted(last.0, last.1);
+                        self.raft.on_persisted(last);
                     }
                 }
                 self.watch_disk(self.house.now());
@@ -546,7 +546,7 @@
         let now = self.house.now();
         match letter.matter {
             Some(Matter::Agreement(bytes)) => {
-                let Ok(cue) = raft::Message::decode(bytes.as_slice()) else {
+                let Ok(message) = raft::Message::decode(bytes.as_slice()) else {
                     self.house.counters.add("malformed_frames");
                     return;
                 };
@@ -557,13 +557,13 @@
                     }
                     self.introduced.insert(letter.from, letter.reply_to);
                 }
-                self.receive(now, letter.from, cue);
+                self.receive(now, letter.from, message);
             }
             Some(Matter::Call(call)) => {
                 let ControlCall { id, life, order, tag } = *call;
                 let Some(order) = order else { return };
                 let me = ctx.address();
-                let leads = self.prompter.is_leader() && self.silent_ms() < c::ELECTION_MIN_MS;
+                let leads = self.raft.is_leader() && self.silent_ms() < c::ELECTION_MIN_MS;
                 let house = self.house.clone();
                 actix_rt::spawn(async move {
                     let done = if leads {
--- a/crates/playhouse/src/conductor/orders.rs
+++ b/crates/playhouse/src/conductor/orders.rs
@@ -7,7 +7,7 @@
 use playbill::ledger::key_of;
 use playbill::letters::*;
 use playbill::stage::{encode_order, Judgement, Outcome};
-use raft::{bears, bears_loss};
+use raft::{is_durable, tolerates_faults, LogPosition};
 use rand::seq::SliceRandom;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -42,9 +42,9 @@
             p.waiters.push(tx);
             return rx;
         }
-        if self.prompter.is_settled() {
-            if let Some((index, term)) = self
-                .prompter
+        if self.raft.is_established_leader() {
+            if let Some(LogPosition { index, term }) = self
+                .raft
                 .propose(encode_order(self.stage.for_log(kind), tag.clone()))
             {
                 let proposal = Proposal {
@@ -99,7 +99,7 @@
     /// order.
     pub(super) fn silent_ms(&self) -> u64 {
         let now = self.house.now();
-        now.saturating_sub(self.prompter.contact_at(now))
+        now.saturating_sub(self.raft.majority_heard_at(now))
     }
 
     /// What a node out of contact says at once: it names nodes that may know better.
@@ -116,7 +116,7 @@
             let ip = address.rsplit_once(':').map_or(address, |(ip, _)| ip);
             format!("{ip}:{port}")
         };
-        let me = self.prompter.id();
+        let me = self.raft.id();
         let members = self.house.members.get();
         let able = members.iter().filter(|m| m.id != me && m.is_alive() && m.ready);
         let mut nodes: Vec<String> = able.map(|m| control(&m.address)).collect();
@@ -125,7 +125,7 @@
         // Nobody who could be in contact is in reach from here.
         let status = if nodes.is_empty() { 503 } else { 307 };
         if nodes.is_empty() {
-            let voters = self.prompter.roll().voters.iter().filter(|v| v.id != me);
+            let voters = self.raft.membership().voters.iter().filter(|v| v.id != me);
             nodes.extend(voters.map(|v| control(&v.address)));
         }
         let text = format!("no word of a majority for {} ms", self.silent_ms());
@@ -137,7 +137,7 @@
         let (tx, rx) = oneshot::channel();
         self.last_read += 1;
         self.reads.insert(self.last_read, tx);
-        self.prompter.read(self.last_read);
+        self.raft.request_read(self.last_read);
         self.flush();
         rx
     }
@@ -149,8 +149,8 @@
         members
             .iter()
             .filter(|m| m.is_alive())
-            .filter_map(|m| self.prompter.progress(m.id))
-            .filter(|p| now.saturating_sub(p.heard_at) < c::CONTACT_MS && p.applied < index)
+            .filter_map(|m| self.raft.progress(m.id))
+            .filter(|p| now.saturating_sub(p.last_heard) < c::CONTACT_MS && p.applied < index)
             .count()
     }
 }
@@ -307,9 +307,9 @@
     type Result = MessageResult<HowFirm>;
     fn handle(&mut self, HowFirm(index): HowFirm, _: &mut Self::Context) -> Self::Result {
         let now = self.house.now();
-        MessageResult(if !self.prompter.is_settled() {
+        MessageResult(if !self.raft.is_established_leader() {
             Stands::Elsewhere
-        } else if !bears_loss(&self.prompter, index, now, self.losses(), c::CONTACT_MS) {
+        } else if !is_durable(&self.raft, index, now, self.losses(), c::CONTACT_MS) {
             Stands::TooFew
         } else if self.behind(index) > 0 {
             Stands::Spreading
@@ -390,7 +390,7 @@
 impl Handler<ReadBegin> for Conductor {
     type Result = Option<oneshot::Receiver<bool>>;
     fn handle(&mut self, _: ReadBegin, _: &mut Self::Context) -> Self::Result {
-        self.prompter.is_settled().then(|| self.read())
+        self.raft.is_established_leader().then(|| self.read())
     }
 }
 
@@ -405,7 +405,7 @@
 impl Handler<JudgeOrder> for Conductor {
     type Result = Option<Result<Judgement, ControlAnswer>>;
     fn handle(&mut self, msg: JudgeOrder, _: &mut Self::Context) -> Self::Result {
-        if !self.prompter.is_settled() {
+        if !self.raft.is_established_leader() {
             return None;
         }
         if let Some(answer) = self.too_few() {
@@ -418,7 +418,7 @@
 impl Conductor {
     /// The answer while the voters are too few for anything to be acknowledged.
     pub(super) fn too_few(&self) -> Option<ControlAnswer> {
-        let bears = bears(self.prompter.roll(), self.losses());
+        let bears = tolerates_faults(self.raft.membership(), self.losses());
         (!bears).then(|| refusal(503, "too few voters yet to bear the losses of Tolerance"))
     }
 }
@@ -430,7 +430,7 @@
 impl Handler<Committed> for Conductor {
     type Result = u64;
     fn handle(&mut self, _: Committed, _: &mut Self::Context) -> u64 {
-        self.prompter.commit()
+        self.raft.commit_index()
     }
 }
 
@@ -520,13 +520,13 @@
     type Result = MessageResult<Route>;
     fn handle(&mut self, Route(order, tag): Route, _: &mut Self::Context) -> Self::Result {
         let silent = self.silent_ms();
-        let began = !self.prompter.roll().voters.is_empty();
+        let began = !self.raft.membership().voters.is_empty();
         if began && silent >= c::OUT_OF_CONTACT_MS {
             self.house.counters.add("orders_out_of_contact");
             return MessageResult(Way::Nowhere(Some(self.refer())));
         }
-        let leader = self.prompter.leader();
-        if self.prompter.is_leader() {
+        let leader = self.raft.leader_id();
+        if self.raft.is_leader() {
             let in_contact = silent < c::ELECTION_MIN_MS;
             return MessageResult(if in_contact { Way::Here } else { Way::Nowhere(None) });
         }
--- a/crates/playhouse/src/conductor/rollouts.rs
+++ b/crates/playhouse/src/conductor/rollouts.rs
@@ -44,7 +44,7 @@
 impl Handler<Look> for Conductor {
     type Result = Option<Result<Scene, ControlAnswer>>;
     fn handle(&mut self, _: Look, _: &mut Self::Context) -> Self::Result {
-        if !self.prompter.is_settled() {
+        if !self.raft.is_established_leader() {
             return None;
         }
         Some(match self.too_few() {
--- a/crates/playhouse/src/conductor/status.rs
+++ b/crates/playhouse/src/conductor/status.rs
@@ -15,9 +15,9 @@
                 serde_json::json!({
                     "name": m.name, "address": m.address, "zone": m.zone, "region": m.region,
                     "alive": m.is_alive(), "ready": m.ready, "disk": m.disk,
-                    "votes": self.prompter.roll().has(m.id),
-                    "applied": if m.id == self.prompter.id() { Some(self.stage.index) } else { self.prompter.progress(m.id).map(|p| p.applied) },
-                    "silent_ms": self.prompter.progress(m.id).map(|p| now.saturating_sub(p.heard_at)),
+                    "votes": self.raft.membership().contains(m.id),
+                    "applied": if m.id == self.raft.id() { Some(self.stage.index) } else { self.raft.progress(m.id).map(|p| p.applied) },
+                    "silent_ms": self.raft.progress(m.id).map(|p| now.saturating_sub(p.last_heard)),
                 })
             })
             .collect();
@@ -36,10 +36,10 @@
             .collect();
         let value = serde_json::json!({
             "core": self.core(now),
-            "leader": self.prompter.is_leader(), "leader_id": self.prompter.leader(),
+            "leader": self.raft.is_leader(), "leader_id": self.raft.leader_id(),
             "silent_ms": self.silent_ms(), "in_contact": self.silent_ms() < c::OUT_OF_CONTACT_MS,
-            "lease": self.prompter.holds_lease(now),
-            "term": self.prompter.term(), "commit": self.prompter.commit(), "index": self.stage.index,
+            "lease": self.raft.holds_lease(now),
+            "term": self.raft.term(), "commit": self.raft.commit_index(), "index": self.stage.index,
             "version": self.stage.version(), "evacuated": self.stage.evacuated,
             "workers": self.stage.workers.len(), "members": members, "holdings": holdings,
             "fractions": fractions, "counters": self.house.counters.all(),
@@ -50,14 +50,15 @@
     /// The voters and what they bear, as far as this node knows: only the leader hears
     /// them all.
     fn core(&self, now: u64) -> serde_json::Value {
-        let p = &self.prompter;
-        let roll = p.roll();
+        let p = &self.raft;
+        let roll = p.membership();
         let leads = p.is_leader();
         let heard = |id: u64| {
             let progress = p.progress(id);
-            id == p.id() || progress.is_some_and(|p| now.saturating_sub(p.heard_at) < c::CONTACT_MS)
+            id == p.id() || progress.is_some_and(|p| now.saturating_sub(p.last_heard) < c::CONTACT_MS)
         };
-        let caught_up = |id: u64| id == p.id() || p.progress(id).is_some_and(|o| o.matched >= p.commit());
+        let caught_up =
+            |id: u64| id == p.id() || p.progress(id).is_some_and(|o| o.matched >= p.commit_index());
         let live = roll.voters.iter().filter(|v| heard(v.id)).count();
         let able = roll
             .voters
@@ -67,21 +68,21 @@
         let learners = self
             .observers()
             .into_iter()
-            .filter(|id| !roll.has(*id) && heard(*id))
+            .filter(|id| !roll.contains(*id) && heard(*id))
             .count();
         let (configurations, ahead, others) = self.stage.ledger.sizes();
         let (snapshot_index, snapshot_bytes) = (p.last_index() - p.log_len() as u64, p.snapshot_bytes());
         serde_json::json!({
-            "leads": leads, "leader_id": p.leader(), "term": p.term(), "commit": p.commit(),
+            "leads": leads, "leader_id": p.leader_id(), "term": p.term(), "commit": p.commit_index(),
             "last_index": p.last_index(), "silent_ms": self.silent_ms(),
             "in_contact": self.silent_ms() < c::OUT_OF_CONTACT_MS,
-            "led_for_ms": leads.then(|| now.saturating_sub(p.led_since())),
+            "led_for_ms": leads.then(|| now.saturating_sub(p.leader_since())),
             "voters": roll.voters.len(), "majority": roll.majority(),
             "live": leads.then_some(live), "caught_up": leads.then_some(able),
             "learning": leads.then_some(learners),
             "further_losses": leads.then(|| able as i64 - roll.majority() as i64),
-            "bears_tolerance": raft::bears(roll, self.losses()),
-            "roll_change_under_way": p.roll_pending(),
+            "bears_tolerance": raft::tolerates_faults(roll, self.losses()),
+            "roll_change_under_way": p.is_membership_pending(),
             "snapshot_index": snapshot_index, "snapshot_bytes": snapshot_bytes,
             "log_entries": p.log_len(), "log_bytes": p.log_bytes(),
             "orders": { "configurations": configurations, "ahead": ahead, "others": others },
--- a/crates/playhouse/src/conductor/tending.rs
+++ b/crates/playhouse/src/conductor/tending.rs
@@ -6,7 +6,8 @@
 use playbill::constants as c;
 use playbill::letters::{Digests, Matter};
 use raft::{
-    next_roll, FaultTolerance, PeerObservation, SilenceTimeouts, UpstreamCandidate, UpstreamTimeouts, Voter,
+    next_membership, FaultTolerance, PeerObservation, SilenceTimeouts, UpstreamCandidate, UpstreamTimeouts,
+    Voter,
 };
 use rand::seq::SliceRandom;
 use rand::Rng;
@@ -18,7 +19,7 @@
         self.tell_contact();
         self.begin_system();
         self.choose_source(now);
-        if self.prompter.is_leader() {
+        if self.raft.is_leader() {
             self.tend_roll(now);
         } else {
             self.ask_peers(now);
@@ -30,15 +31,15 @@
     /// A line when the core falls silent, and one when it is heard again.
     fn tell_contact(&mut self) {
         let silent = self.silent_ms();
-        let in_contact = silent < c::OUT_OF_CONTACT_MS || self.prompter.roll().voters.is_empty();
+        let in_contact = silent < c::OUT_OF_CONTACT_MS || self.raft.membership().voters.is_empty();
         if in_contact != self.in_contact {
             self.in_contact = in_contact;
             if in_contact {
-                log::info!("event=in_contact term={}", self.prompter.term());
+                log::info!("event=in_contact term={}", self.raft.term());
             } else {
                 log::warn!(
                     "event=out_of_contact silent_ms={silent} term={}",
-                    self.prompter.term()
+                    self.raft.term()
                 );
             }
         }
@@ -79,7 +80,7 @@
             let cluster = rand::thread_rng().gen_range(1..u64::MAX);
             log::info!("event=begins cluster={cluster:x}");
             self.join_cluster(cluster);
-            self.prompter.begin(self.as_voter());
+            self.raft.bootstrap(self.as_voter());
         }
     }
 
@@ -99,8 +100,8 @@
             .filter(ours)
             .collect();
         // The roll of a node that was cut off for long may be out of date.
-        let roll = self.prompter.roll();
-        let any_votes = able.iter().any(|m| roll.has(m.id));
+        let roll = self.raft.membership();
+        let any_votes = able.iter().any(|m| roll.contains(m.id));
         let own = &settings.own_entity;
         let source = |id, zone: &str, region: &str| UpstreamCandidate {
             id,
@@ -113,24 +114,24 @@
         let named = roll.voters.iter().filter(unheard);
         let sources: Vec<UpstreamCandidate> = able
             .iter()
-            .filter(|m| roll.has(m.id) || !any_votes)
+            .filter(|m| roll.contains(m.id) || !any_votes)
             .map(|m| source(m.id, &m.zone, &m.region))
             .chain(named.map(|v| source(v.id, &v.zone, &v.region)))
             .collect();
         let timing = UpstreamTimeouts {
-            silent: c::SOURCE_SILENT_MS,
-            shun: c::SOURCE_SHUN_MS,
+            silence_ms: c::SOURCE_SILENT_MS,
+            avoid_ms: c::SOURCE_SHUN_MS,
         };
-        let feed = self.prompter.feed();
-        let me = self.prompter.id();
-        if let Some(source) = self.following.next(now, me, feed, &sources, timing) {
+        let feed = self.raft.upstream();
+        let me = self.raft.id();
+        if let Some(source) = self.following.select(now, me, feed, &sources, timing) {
             self.house.counters.add("sources_chosen");
             log::debug!("event=follows source={source:x} of={}", sources.len());
-            self.prompter.follow(now, source);
+            self.raft.subscribe(now, source);
         } else {
-            self.prompter.ask_feed();
+            self.raft.repeat_subscription();
         }
-        let (from, _) = self.prompter.feed();
+        let from = self.raft.upstream().id;
         let address = self.address_of(from);
         if *self.house.source.get() != address {
             self.house.source.set(address);
@@ -140,7 +141,7 @@
     pub(super) fn as_voter(&self) -> Voter {
         let settings = self.house.settings.get();
         Voter {
-            id: self.prompter.id(),
+            id: self.raft.id(),
             address: settings.internal_address().to_string(),
             zone: settings.own_entity.zone.clone(),
             region: settings.own_entity.region.clone(),
@@ -163,7 +164,7 @@
 
     /// The leader's care for observers and voters, one voter at a time.
     pub(super) fn tend_roll(&mut self, now: u64) {
-        self.prompter.set_observers(&self.observers());
+        self.raft.set_learners(&self.observers());
         let standing = self.house.standing.get();
         let members = self.house.members.get();
         let seen: Vec<PeerObservation> = members
@@ -171,7 +172,7 @@
             .filter(|m| m.id != 0 && m.id != standing.id)
             // Who has answered the log has joined, whether word of it came or not.
             .filter(|m| {
-                let answered = self.prompter.progress(m.id).is_some_and(|p| p.matched > 0);
+                let answered = self.raft.progress(m.id).is_some_and(|p| p.matched > 0);
                 m.cluster == standing.cluster || m.cluster == 0 && answered
             })
             .map(|m| PeerObservation {
@@ -181,30 +182,30 @@
                     zone: m.zone.clone(),
                     region: m.region.clone(),
                 },
-                disk: m.disk,
-                alive: m.is_alive(),
+                has_disk: m.disk,
+                is_alive: m.is_alive(),
             })
             .collect();
         let patience = SilenceTimeouts {
-            contact: c::CONTACT_MS,
-            gone: c::VOTER_GONE_MS,
-            left: c::VOTER_LEFT_MS,
+            contact_ms: c::CONTACT_MS,
+            removal_ms: c::VOTER_GONE_MS,
+            urgent_removal_ms: c::VOTER_LEFT_MS,
         };
-        if let Some(roll) = next_roll(&self.prompter, now, &seen, self.losses(), patience) {
-            let before = self.prompter.roll().voters.len();
+        if let Some(roll) = next_membership(&self.raft, now, &seen, self.losses(), patience) {
+            let before = self.raft.membership().voters.len();
             log::info!("event=roll voters={} before={before}", roll.voters.len());
-            self.prompter.propose_roll(roll);
+            self.raft.propose_membership(&roll);
         }
     }
 
     /// Once a change of the roll is committed the next one need not wait for its turn.
     /// `true` if there is one.
     pub(super) fn tend_on(&mut self) -> bool {
-        let under_way = self.prompter.is_leader() && self.prompter.roll_pending();
+        let under_way = self.raft.is_leader() && self.raft.is_membership_pending();
         let done = std::mem::replace(&mut self.roll_under_way, under_way) && !under_way;
-        if done && self.prompter.is_settled() {
+        if done && self.raft.is_established_leader() {
             self.tend_roll(self.house.now());
-            self.roll_under_way = self.prompter.roll_pending();
+            self.roll_under_way = self.raft.is_membership_pending();
         }
         done && self.roll_under_way
     }
@@ -212,10 +213,10 @@
     /// Tells the others that this process is about to end; whether they go on without
     /// it. Without a vote, or with nobody to hand anything to, nothing is to be waited for.
     pub(super) fn leave(&mut self) -> bool {
-        self.prompter.leave(self.house.now());
+        self.raft.announce_shutdown(self.house.now());
         self.say();
         self.flush();
-        self.vault.is_none() || self.prompter.roll().voters.len() < 2 || self.prompter.may_end()
+        self.vault.is_none() || self.raft.membership().voters.len() < 2 || self.raft.is_shutdown_safe()
     }
 
     /// What may be lost at the same time.
@@ -239,7 +240,7 @@
         }
         self.asked_peers = now;
         let members = self.house.members.get();
-        let (me, zone) = (self.prompter.id(), &self.house.settings.get().own_entity.zone);
+        let (me, zone) = (self.raft.id(), &self.house.settings.get().own_entity.zone);
         let able = members.iter().filter(|m| m.id != me && m.ready && m.is_alive());
         let (near, far): (Vec<_>, Vec<_>) = able.partition(|m| m.zone == *zone);
         // After a loss all ask at the same time: not all the same peers.
@@ -263,7 +264,7 @@
                 self.in_trouble = false;
                 log::info!("event=disk_well");
             }
-            self.prompter.set_unfit(false);
+            self.raft.set_storage_failed(false);
         } else if now.saturating_sub(self.written_at) > c::DISK_PATIENCE_MS && !self.in_trouble {
             self.trouble("a write takes too long");
         }
@@ -274,6 +275,6 @@
             self.in_trouble = true;
             log::warn!("event=disk_trouble what={what:?}");
         }
-        self.prompter.set_unfit(true);
+        self.raft.set_storage_failed(true);
     }
 }
--- a/crates/playhouse/src/stored_data_tests.rs
+++ b/crates/playhouse/src/stored_data_tests.rs
@@ -51,18 +51,18 @@
     assert_eq!((opened.identity.id, opened.identity.cluster), (NODE, 0xc1));
     assert_eq!((opened.empty, opened.damage), (false, None));
     let saved = &opened.saved;
-    assert_eq!((saved.term, saved.vote), (5, 2));
+    assert_eq!((saved.hard_state.term, saved.hard_state.vote), (5, 2));
     assert_eq!((saved.snapshot.index, saved.snapshot.term), (8, 4));
-    let roll = saved.snapshot.roll.clone().expect("the voters");
+    let roll = saved.snapshot.membership.clone().expect("the voters");
     let ids = |roll: &Membership| -> Vec<u64> { roll.voters.iter().map(|v| v.id).collect() };
-    assert_eq!((ids(&roll), roll.vacant.len()), (vec![NODE, 2], 1));
+    assert_eq!((ids(&roll), roll.vacancies.len()), (vec![NODE, 2], 1));
     let indexes: Vec<u64> = saved.entries.iter().map(|e| e.index).collect();
     assert_eq!(indexes, (9..=17).collect::<Vec<u64>>());
 
     let mut state: Stage = opened.stage;
     assert_eq!((state.index, state.version()), (8, 1));
     for entry in &saved.entries {
-        assert_eq!(entry.kind, EntryType::Command as i32);
+        assert_eq!(entry.entry_type, EntryType::Command as i32);
         state.apply(entry.index, &entry.data);
     }
     assert_eq!(
--- a/crates/playhouse/src/vault.rs
+++ b/crates/playhouse/src/vault.rs
@@ -14,7 +14,7 @@
 use playbill::constants as c;
 use playbill::Stage;
 use prost::Message;
-use raft::{PersistentState, StorageWrite};
+use raft::{HardState, PersistentState, StorageWrite};
 use redb::{Builder, Database, ReadableTable, TableDefinition};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc;
@@ -232,7 +232,7 @@
                     }
                     Job::Write { write, .. } => write,
                 };
-                if let Some((term, vote)) = write.hard {
+                if let Some(HardState { term, vote }) = write.hard_state {
                     meta.insert("term", term.to_le_bytes().as_slice())?;
                     meta.insert("vote", vote.to_le_bytes().as_slice())?;
                 }
@@ -240,7 +240,7 @@
                     meta.insert("snapshot", snapshot.encode_to_vec().as_slice())?;
                     log.retain_in(..=snapshot.index, |_, _| false)?;
                 }
-                if let Some(from) = write.cut_from {
+                if let Some(from) = write.truncate_from {
                     log.retain_in(from.., |_, _| false)?;
                 }
                 for entry in &write.entries {
--- a/crates/playhouse/src/vault/load.rs
+++ b/crates/playhouse/src/vault/load.rs
@@ -7,7 +7,7 @@
 use super::{high_water, meta_number, open_store, sync_folder, Fallible, Identity, Paths, LOG, META};
 use playbill::Stage;
 use prost::Message;
-use raft::{Entry, PersistentState, Snapshot};
+use raft::{Entry, HardState, PersistentState, Snapshot};
 use rand::Rng;
 use redb::{Database, DatabaseError, ReadableDatabase, StorageError, TableError};
 use std::io::ErrorKind;
@@ -178,8 +178,10 @@
         entries.push(entry);
     }
     let saved = PersistentState {
-        term: get("term")?,
-        vote: get("vote")?,
+        hard_state: HardState {
+            term: get("term")?,
+            vote: get("vote")?,
+        },
         snapshot,
         entries,
     };
@@ -198,10 +200,10 @@
         }
         (index, term) = (e.index, e.term);
     }
-    if term > saved.term {
+    if term > saved.hard_state.term {
         return Err(format!(
             "an entry of term {term} is later than the term {}",
-            saved.term
+            saved.hard_state.term
         ));
     }
     Ok(())
--- a/crates/playhouse/src/vault/power_tests.rs
+++ b/crates/playhouse/src/vault/power_tests.rs
@@ -3,7 +3,7 @@
 
 use super::load::read_all;
 use super::*;
-use raft::{Entry, Snapshot};
+use raft::{Entry, HardState, Snapshot};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use redb::StorageBackend;
@@ -138,7 +138,10 @@
     let mut write = StorageWrite::default();
     if rng.gen_ratio(1, 6) {
         *term += 1;
-        write.hard = Some((*term, rng.gen_range(1..9)));
+        write.hard_state = Some(HardState {
+            term: *term,
+            vote: rng.gen_range(1..9),
+        });
     }
     if rng.gen_ratio(1, 5) && *last > *folded {
         *folded = *last;
@@ -149,7 +152,7 @@
             ..Default::default()
         });
     } else if rng.gen_ratio(1, 6) && *last > *folded + 1 {
-        write.cut_from = Some(*last);
+        write.truncate_from = Some(*last);
         *last -= 1;
     }
     for _ in 0..rng.gen_range(0..3) {
@@ -157,7 +160,7 @@
         write.entries.push(Entry {
             index: *last,
             term: *term,
-            kind: 1,
+            entry_type: 1,
             data: vec![*last as u8; rng.gen_range(0..9_000)],
         });
     }
@@ -220,12 +223,12 @@
     let entry = |index| Entry {
         index,
         term: 3,
-        kind: 1,
+        entry_type: 1,
         data: vec![1; 100],
     };
     let job = |write| Job::Write { seq: 1, write };
     let first = StorageWrite {
-        hard: Some((3, 5)),
+        hard_state: Some(HardState { term: 3, vote: 5 }),
         entries: (1..=40).map(entry).collect(),
         ..Default::default()
     };
@@ -253,7 +256,12 @@
     disk.db = open_store(|b| b.create_with_backend(backend.clone())).ok();
     let (commits, saved) = content(disk.db.as_ref().expect("opens"));
     assert_eq!(
-        (commits, saved.entries.len(), saved.term, saved.vote),
+        (
+            commits,
+            saved.entries.len(),
+            saved.hard_state.term,
+            saved.hard_state.vote
+        ),
         (1, 40, 3, 5)
     );
     disk.commit(&[snapshot()]).expect("room");
--- a/crates/playhouse/src/vault_tests.rs
+++ b/crates/playhouse/src/vault_tests.rs
@@ -1,7 +1,7 @@
 //! The store of a node under damage, torn ends and faults of the disk.
 
 use crate::vault::{Opened, Vault, Word};
-use raft::{Entry, Snapshot, StorageWrite};
+use raft::{Entry, HardState, Snapshot, StorageWrite};
 use rand::{Rng, SeedableRng};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -46,7 +46,7 @@
     Entry {
         index,
         term: 2,
-        kind: 1,
+        entry_type: 1,
         data: vec![index as u8; 40],
     }
 }
@@ -100,7 +100,7 @@
 fn of(opened: &Opened) -> (u64, u64, Vec<u64>) {
     let saved = &opened.saved;
     let log = saved.entries.iter().map(|e| e.index).collect();
-    (saved.term, saved.vote, log)
+    (saved.hard_state.term, saved.hard_state.vote, log)
 }
 
 fn written() -> Store {
@@ -108,7 +108,7 @@
     store.opened.vault.set_cluster(9);
     for index in 1..=12 {
         store.write(StorageWrite {
-            hard: (index == 1).then_some((2, 5)),
+            hard_state: (index == 1).then_some(HardState { term: 2, vote: 5 }),
             entries: vec![entry(index)],
             ..Default::default()
         });
@@ -125,7 +125,7 @@
     });
     for index in 13..=30 {
         store.write(StorageWrite {
-            hard: (index == 30).then_some((7, 3)),
+            hard_state: (index == 30).then_some(HardState { term: 7, vote: 3 }),
             entries: vec![entry(index)],
             ..Default::default()
         });
@@ -247,7 +247,7 @@
     first.vault.write(
         1,
         StorageWrite {
-            hard: Some((2, 5)),
+            hard_state: Some(HardState { term: 2, vote: 5 }),
             entries: (1..=6).map(entry).collect(),
             ..Default::default()
         },
@@ -262,7 +262,7 @@
         2,
         StorageWrite {
             snapshot: Some(snapshot),
-            cut_from: Some(5),
+            truncate_from: Some(5),
             entries: vec![entry(5)],
             ..Default::default()
         },
@@ -277,7 +277,11 @@
         (first.identity.id, 9)
     );
     assert_eq!(
-        (again.saved.term, again.saved.vote, again.saved.snapshot.index),
+        (
+            again.saved.hard_state.term,
+            again.saved.hard_state.vote,
+            again.saved.snapshot.index
+        ),
         (2, 5, 2)
     );
     let kept: Vec<u64> = again.saved.entries.iter().map(|e| e.index).collect();
@@ -301,7 +305,7 @@
     let id = store.opened.identity.id;
     let before = store.folder.copy();
     store.write(StorageWrite {
-        hard: Some((8, 1)),
+        hard_state: Some(HardState { term: 8, vote: 1 }),
         ..Default::default()
     });
     let after = store.folder.copy();
@@ -312,7 +316,7 @@
     put(&after, "prompter.redb", &take(&before, "prompter.redb"));
     let opened = after.open().expect("opens");
     assert_ne!(opened.identity.id, id);
-    assert!(!opened.empty && opened.saved.term == 0);
+    assert!(!opened.empty && opened.saved.hard_state.term == 0);
     assert!(opened.damage.is_some_and(|why| why.contains("acknowledged")));
     assert!(
         !take(&after, "prompter.redb.damaged").is_empty(),
@@ -425,7 +429,7 @@
             ..Default::default()
         };
         store.write(StorageWrite {
-            hard: (index == 1).then_some((2, 5)),
+            hard_state: (index == 1).then_some(HardState { term: 2, vote: 5 }),
             snapshot: (index > 1).then_some(snapshot),
             entries: vec![Entry { data, ..entry(index) }],
             ..Default::default()
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -1,21 +1,73 @@
-//! Agreement: one elected leader orders changes in a log that a majority of
-//! the voters has on disk.
+//! Raft (D. Ongaro, "Consensus: Bridging Theory and Practice"): one elected leader orders
+//! entries in a log that a majority of the voters has on disk.
 //!
-//! A pure state machine. Inputs (time, messages, proposals, word that a write
-//! reached the disk) go in; effects (messages, writes, committed entries) come
-//! out through [`Prompter::take_effects`].
+//! [`RaftNode`] is a pure state machine: it does no I/O and reads no clock. Its driver gives
+//! it the time, messages, proposals and word of completed writes, and then takes what is to
+//! be done out of [`RaftNode::take_ready`], in this order:
+//!
+//! 1. hand [`Ready::write`] to the disk, and call [`RaftNode::on_persisted`] once it is there;
+//! 2. send [`Ready::messages`] at once, and [`Ready::persisted_messages`] once the write, and
+//!    all writes before it, are on disk;
+//! 3. replace the applied state by [`Ready::snapshot`], if there is one;
+//! 4. apply [`Ready::committed_entries`] and call [`RaftNode::on_applied`];
+//! 5. answer the reads in [`Ready::read_states`].
+//!
+//! ```
+//! use raft::{Config, PersistentState, RaftNode, Voter};
+//!
+//! let config = Config {
+//!     heartbeat_ms: 100,
+//!     learner_heartbeat_ms: 400,
+//!     election_timeout_ms: 450,
+//!     election_jitter_ms: 300,
+//!     lease_ms: 260,
+//!     resend_ms: 400,
+//!     snapshot_resend_ms: 1000,
+//!     peer_timeout_ms: 3000,
+//!     append_bytes: 1 << 20,
+//!     retained_bytes: 0,
+//! };
+//! let mut node = RaftNode::new(1, PersistentState::default(), config, 0, 42);
+//! node.bootstrap(Voter { id: 1, ..Default::default() });
+//! node.tick(1);
+//! let position = node.propose(b"first command".to_vec()).expect("the only voter leads");
+//!
+//! let ready = node.take_ready();
+//! assert!(!ready.write.is_empty());
+//! // ... the write reaches the disk ...
+//! node.on_persisted(node.last_position());
+//! let committed = node.take_ready().committed_entries;
+//! assert_eq!(committed.last().map(|entry| entry.index), Some(position.index));
+//! node.on_applied(position.index);
+//! ```
+//!
+//! Beyond the dissertation: log entries reach nodes without a vote through a voter near them
+//! (`node/learner_relay.rs`, [`UpstreamSelector`]); large messages travel in fragments
+//! (`fragmentation.rs`); the leader plans changes of the membership so that a tolerated loss
+//! never takes the majority ([`next_membership`]), and acknowledges an entry only once it
+//! outlasts such a loss ([`is_durable`]).
 
-mod fragment;
-mod losses;
-mod machine;
+mod config;
+mod durability;
+mod fault_tolerance;
+mod fragmentation;
+mod log;
+mod membership_change;
 mod message;
-mod near;
+mod node;
 mod progress;
-mod tend;
+mod ready;
+mod storage;
+mod upstream_selection;
 
-pub use losses::{bears, FaultTolerance};
+pub use config::{Config, SilenceTimeouts};
+pub use durability::{can_shut_down, is_durable};
+pub use fault_tolerance::{tolerates_faults, FaultTolerance};
+pub use log::LogPosition;
+pub use membership_change::{next_membership, PeerObservation};
 pub use message::{Entry, EntryType, Membership, Message, MessageType, Snapshot, Voter};
-pub use near::{UpstreamCandidate, UpstreamSelector, UpstreamTimeouts};
-pub use tend::{bears_loss, may_end, next_roll, PeerObservation, SilenceTimeouts};
-
-pub use machine::{Config, PersistentState, RaftNode, Ready, Role, StorageWrite};
+pub use node::{RaftNode, Role};
+pub use progress::Progress;
+pub use ready::{ReadState, Ready};
+pub use storage::{HardState, PersistentState, StorageWrite};
+pub use upstream_selection::{Upstream, UpstreamCandidate, UpstreamSelector, UpstreamTimeouts};
--- a/crates/raft/tests/cluster/mod.rs
+++ b/crates/raft/tests/cluster/mod.rs
@@ -14,30 +14,30 @@
 pub const GRACE_MS: u64 = 5400;
 /// A process is back after so long.
 pub const RESTART_MS: u64 = 700;
-pub const LOSSES: FaultTolerance = FaultTolerance {
+pub const TOLERANCE: FaultTolerance = FaultTolerance {
     machines: 1,
     zones: 1,
     regions: 1,
 };
-pub const PATIENCE: SilenceTimeouts = SilenceTimeouts {
-    contact: 1000,
-    gone: 5000,
-    left: 2000,
+pub const TIMEOUTS: SilenceTimeouts = SilenceTimeouts {
+    contact_ms: 1000,
+    removal_ms: 5000,
+    urgent_removal_ms: 2000,
 };
-pub const TIMING: Config = Config {
-    heartbeat: 100,
-    observer_heartbeat: 400,
-    election_min: 450,
-    election_spread: 300,
-    lease: 260,
-    resend: 400,
-    snapshot_resend: 1000,
-    follower_gone: 3000,
+pub const CONFIG: Config = Config {
+    heartbeat_ms: 100,
+    learner_heartbeat_ms: 400,
+    election_timeout_ms: 450,
+    election_jitter_ms: 300,
+    lease_ms: 260,
+    resend_ms: 400,
+    snapshot_resend_ms: 1000,
+    peer_timeout_ms: 3000,
     append_bytes: 1 << 20,
-    tail_bytes: 0,
+    retained_bytes: 0,
 };
 
-pub type NextRoll =
+pub type NextMembership =
     fn(&RaftNode, u64, &[PeerObservation], FaultTolerance, SilenceTimeouts) -> Option<Membership>;
 
 #[derive(Clone)]
@@ -46,7 +46,7 @@
     pub region: usize,
     pub id: u64,
     pub saved: PersistentState,
-    pub life: Option<RaftNode>,
+    pub node: Option<RaftNode>,
     /// Until when it counts as lost, ms; `u64::MAX` while it is down.
     pub lost_until: u64,
     /// It will not come back.
@@ -61,37 +61,38 @@
 pub struct Cluster {
     pub now: u64,
     pub machines: Vec<Machine>,
-    pub wire: Vec<(u64, u64, Message)>,
+    /// Messages on their way, with their senders.
+    pub wire: Vec<(u64, Message)>,
     pub next_id: u64,
     /// Orders in the log of a leader that are not acknowledged yet: index, term, and
     /// since when there is a leader for them.
     pub pending: Vec<(u64, u64, u64)>,
-    pub acked: Vec<(u64, u64)>,
-    pub next_roll: NextRoll,
+    pub acknowledged: Vec<(u64, u64)>,
+    pub next_membership: NextMembership,
     pub changes: usize,
     /// Links that carry nothing, by addresses, from and to.
-    pub cuts: Vec<(usize, usize)>,
+    pub cut_links: Vec<(usize, usize)>,
 }
 
 impl Cluster {
-    pub fn new(regions: &[usize], next_roll: NextRoll) -> Cluster {
+    pub fn new(regions: &[usize], next_membership: NextMembership) -> Cluster {
         let mut me = Cluster {
             now: 1000,
             machines: Vec::new(),
             wire: Vec::new(),
             next_id: 1,
             pending: Vec::new(),
-            acked: Vec::new(),
-            next_roll,
+            acknowledged: Vec::new(),
+            next_membership,
             changes: 0,
-            cuts: Vec::new(),
+            cut_links: Vec::new(),
         };
         for region in regions {
             me.add(*region);
         }
         let first = me.voter(0);
-        if let Some(life) = &mut me.machines[0].life {
-            life.begin(first);
+        if let Some(node) = &mut me.machines[0].node {
+            node.bootstrap(first);
         }
         for _ in 0..200 {
             me.tick();
@@ -100,7 +101,7 @@
             m.lost_until = 0;
         }
         let leader = me.leader().expect("somebody leads");
-        let voters = leader.roll().voters.len();
+        let voters = leader.membership().voters.len();
         assert_eq!(voters, regions.len(), "all vote");
         me
     }
@@ -112,7 +113,7 @@
             region,
             id: 0,
             saved: PersistentState::default(),
-            life: None,
+            node: None,
             lost_until: 0,
             removed: false,
             leaving: None,
@@ -128,15 +129,15 @@
             self.next_id += 1;
         }
         let saved = m.saved.clone();
-        m.life = Some(RaftNode::new(m.id, saved, TIMING, self.now, m.id));
-        let cut = self.cuts.contains(&(i, i));
+        m.node = Some(RaftNode::new(m.id, saved, CONFIG, self.now, m.id));
+        let cut = self.cut_links.contains(&(i, i));
         m.lost_until = if cut { u64::MAX } else { self.now + CATCH_UP_MS };
         (m.leaving, m.back_at) = (None, None);
     }
 
     pub fn end(&mut self, i: usize, wiped: bool) {
         let m = &mut self.machines[i];
-        m.life = None;
+        m.node = None;
         m.back_at = None;
         m.lost_until = u64::MAX;
         if wiped {
@@ -156,23 +157,25 @@
     }
 
     pub fn leader(&self) -> Option<&RaftNode> {
-        let lives = self.machines.iter().filter_map(|m| m.life.as_ref());
-        lives.filter(|l| l.is_settled()).max_by_key(|l| l.term())
+        let nodes = self.machines.iter().filter_map(|m| m.node.as_ref());
+        nodes
+            .filter(|l| l.is_established_leader())
+            .max_by_key(|l| l.term())
     }
 
     pub fn tick(&mut self) {
         self.now += STEP_MS;
         let now = self.now;
-        for (from, to, message) in std::mem::take(&mut self.wire) {
+        for (from, message) in std::mem::take(&mut self.wire) {
             let of = |id: u64| self.machines.iter().position(|m| m.id == id);
-            let (Some(a), Some(b)) = (of(from), of(to)) else {
+            let (Some(a), Some(b)) = (of(from), of(message.to)) else {
                 continue;
             };
-            if self.cuts.contains(&(a, b)) {
+            if self.cut_links.contains(&(a, b)) {
                 continue;
             }
-            if let Some(life) = &mut self.machines[b].life {
-                life.receive(now, from, message);
+            if let Some(node) = &mut self.machines[b].node {
+                node.step(now, from, message);
             }
         }
         for i in 0..self.machines.len() {
@@ -180,10 +183,10 @@
             if self.machines[i].back_at.is_some_and(|at| now >= at) {
                 self.start(i);
             }
-            if let Some(life) = &mut self.machines[i].life {
-                life.tick(now);
+            if let Some(node) = &mut self.machines[i].node {
+                node.tick(now);
             }
-            self.tend(i);
+            self.plan_membership(i);
             self.flush(i);
         }
         self.acknowledge();
@@ -193,11 +196,11 @@
     pub fn end_in_order(&mut self, i: usize) {
         let now = self.now;
         let m = &mut self.machines[i];
-        let (Some((since, back)), Some(life)) = (m.leaving, &mut m.life) else {
+        let (Some((since, back)), Some(node)) = (m.leaving, &mut m.node) else {
             return;
         };
-        life.leave(now);
-        if life.may_end() && now >= since + LEAVE_MS || now >= since + GRACE_MS {
+        node.announce_shutdown(now);
+        if node.is_shutdown_safe() && now >= since + LEAVE_MS || now >= since + GRACE_MS {
             m.leaving = None;
             self.end(i, !back);
             self.machines[i].removed = !back;
@@ -214,15 +217,15 @@
     /// Cuts a machine off from all others.
     pub fn cut_off(&mut self, i: usize) {
         let all = 0..self.machines.len();
-        self.cuts.extend(all.flat_map(|j| [(i, j), (j, i)]));
+        self.cut_links.extend(all.flat_map(|j| [(i, j), (j, i)]));
         self.machines[i].lost_until = u64::MAX;
     }
 
     /// Mends all links.
     pub fn heal(&mut self) {
-        for (i, j) in std::mem::take(&mut self.cuts) {
+        for (i, j) in std::mem::take(&mut self.cut_links) {
             let m = &mut self.machines[i];
-            if i != j && m.life.is_some() && m.lost_until == u64::MAX && m.leaving.is_none() {
+            if i != j && m.node.is_some() && m.lost_until == u64::MAX && m.leaving.is_none() {
                 m.lost_until = self.now + CATCH_UP_MS;
             }
         }
@@ -234,47 +237,47 @@
         }
     }
 
-    pub fn tend(&mut self, i: usize) {
-        let others = |j: &usize| *j != i && self.machines[*j].life.is_some();
-        let seen: Vec<PeerObservation> = (0..self.machines.len())
+    pub fn plan_membership(&mut self, i: usize) {
+        let others = |j: &usize| *j != i && self.machines[*j].node.is_some();
+        let peers: Vec<PeerObservation> = (0..self.machines.len())
             .filter(others)
             .map(|j| PeerObservation {
                 voter: self.voter(j),
-                disk: true,
-                alive: true,
+                has_disk: true,
+                is_alive: true,
             })
             .collect();
-        let (now, next_roll) = (self.now, self.next_roll);
-        let Some(life) = self.machines[i].life.as_mut().filter(|l| l.is_leader()) else {
+        let (now, next_membership) = (self.now, self.next_membership);
+        let Some(node) = self.machines[i].node.as_mut().filter(|l| l.is_leader()) else {
             return;
         };
-        life.set_observers(&seen.iter().map(|s| s.voter.id).collect());
-        if let Some(roll) = next_roll(life, now, &seen, LOSSES, PATIENCE) {
-            self.changes += usize::from(life.propose_roll(roll));
+        node.set_learners(&peers.iter().map(|s| s.voter.id).collect());
+        if let Some(membership) = next_membership(node, now, &peers, TOLERANCE, TIMEOUTS) {
+            self.changes += usize::from(node.propose_membership(&membership));
         }
     }
 
     pub fn flush(&mut self, i: usize) {
         let m = &mut self.machines[i];
-        let Some(life) = &mut m.life else { return };
+        let Some(node) = &mut m.node else { return };
         loop {
-            let effects = life.take_effects();
-            let last = (life.last_index(), life.term_of_last());
-            write(&mut m.saved, effects.write);
-            life.persisted(last.0, last.1);
-            let sent = effects.now.into_iter().chain(effects.after);
-            self.wire.extend(sent.map(|(to, message)| (m.id, to, message)));
-            if let Some(snapshot) = effects.install {
-                life.applied(snapshot.index);
+            let ready = node.take_ready();
+            let last = node.last_position();
+            write(&mut m.saved, ready.write);
+            node.on_persisted(last);
+            let sent = ready.messages.into_iter().chain(ready.persisted_messages);
+            self.wire.extend(sent.map(|message| (m.id, message)));
+            if let Some(snapshot) = ready.snapshot {
+                node.on_applied(snapshot.index);
             }
-            let Some(last) = effects.committed.last() else {
+            let Some(last) = ready.committed_entries.last() else {
                 break;
             };
-            life.applied(last.index);
+            node.on_applied(last.index);
         }
-        if life.log_len() > 4 {
-            life.compact(Vec::new());
-            write(&mut m.saved, life.take_effects().write);
+        if node.log_len() > 4 {
+            node.compact(Vec::new());
+            write(&mut m.saved, node.take_ready().write);
         }
     }
 
@@ -285,14 +288,14 @@
             return;
         };
         let term = leader.term();
-        let bears = |index| bears_loss(leader, index, now, LOSSES, PATIENCE.contact);
+        let is_durable_at = |index| is_durable(leader, index, now, TOLERANCE, TIMEOUTS.contact_ms);
         let (done, rest): (Vec<_>, Vec<_>) = self
             .pending
             .iter()
             .filter(|(_, t, _)| *t >= term)
-            .partition(|(index, t, _)| *t == term && bears(*index));
+            .partition(|(index, t, _)| *t == term && is_durable_at(*index));
         self.pending = rest;
-        self.acked
+        self.acknowledged
             .extend(done.into_iter().map(|(index, term, _)| (index, term)));
     }
 
@@ -312,7 +315,7 @@
     }
 
     pub fn up(&self, i: usize) -> bool {
-        self.machines[i].life.is_some()
+        self.machines[i].node.is_some()
     }
 
     pub fn check(&self) -> Result<(), String> {
@@ -344,15 +347,18 @@
             .collect();
         let mut electable = false;
         for x in &left {
-            let Some(life) = &x.life else { continue };
-            let roll = life.roll();
-            let log = |m: &Machine| m.life.as_ref().map(|l| (l.term_of_last(), l.last_index()));
-            let votes = left.iter().filter(|y| roll.has(y.id) && log(x) >= log(y)).count();
-            if !roll.has(x.id) || votes < roll.majority() {
+            let Some(node) = &x.node else { continue };
+            let membership = node.membership();
+            let log = |m: &Machine| m.node.as_ref().map(|l| (l.last_position().term, l.last_index()));
+            let votes = left
+                .iter()
+                .filter(|y| membership.contains(y.id) && log(x) >= log(y))
+                .count();
+            if !membership.contains(x.id) || votes < membership.majority() {
                 continue;
             }
             electable = true;
-            for (index, term) in &self.acked {
+            for (index, term) in &self.acknowledged {
                 let held = *index <= x.saved.snapshot.index
                     || x.saved
                         .entries
@@ -366,27 +372,27 @@
         if electable {
             return Ok(());
         }
-        let rolls: Vec<Vec<u64>> = left
+        let memberships: Vec<Vec<u64>> = left
             .iter()
-            .filter_map(|m| m.life.as_ref())
-            .map(|l| l.roll().voters.iter().map(|v| v.id).collect())
+            .filter_map(|m| m.node.as_ref())
+            .map(|l| l.membership().voters.iter().map(|v| v.id).collect())
             .collect();
         Err(format!(
-            "nobody can be elected; up {:?}, rolls {rolls:?}",
+            "nobody can be elected; up {:?}, memberships {memberships:?}",
             left.iter().map(|m| m.id).collect::<Vec<_>>()
         ))
     }
 }
 
 fn write(saved: &mut PersistentState, write: StorageWrite) {
-    if let Some((term, vote)) = write.hard {
-        (saved.term, saved.vote) = (term, vote);
+    if let Some(hard_state) = write.hard_state {
+        saved.hard_state = hard_state;
     }
     if let Some(snapshot) = write.snapshot {
         saved.entries.retain(|e| e.index > snapshot.index);
         saved.snapshot = snapshot;
     }
-    if let Some(from) = write.cut_from {
+    if let Some(from) = write.truncate_from {
         saved.entries.retain(|e| e.index < from);
     }
     saved.entries.extend(write.entries);
--- a/crates/raft/tests/roll_model.rs
+++ b/crates/raft/tests/membership_model.rs
@@ -1,4 +1,4 @@
-//! Every short history of losses, wipes, returns, swaps, restarts, leavings and orders
+//! Every short history of losses, wipes, returns, swaps, restarts, shutdowns and proposals
 //! over small clusters of the real state machine, each loss inside what may be lost.
 //! At every moment, and for every further loss that may still come, somebody who holds
 //! all that was acknowledged can be elected, and nobody who lacks any of it can.
@@ -6,13 +6,15 @@
 mod cluster;
 
 use cluster::*;
-use raft::{bears, next_roll, FaultTolerance, Membership, PeerObservation, RaftNode, SilenceTimeouts};
+use raft::{
+    next_membership, tolerates_faults, FaultTolerance, Membership, PeerObservation, RaftNode, SilenceTimeouts,
+};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
-    Order,
+    Propose,
     /// The disk is lost; the machine is back at once.
     Wipe(usize),
     WipeRegion(usize),
@@ -41,14 +43,17 @@
 /// Takes a step, if it may be taken now.
 fn take(me: &mut Cluster, step: Step) -> Result<bool, String> {
     match step {
-        Step::Order => {
-            let leading = me.machines.iter_mut().filter_map(|m| m.life.as_mut());
-            let Some(leader) = leading.filter(|l| l.is_settled()).max_by_key(|l| l.term()) else {
+        Step::Propose => {
+            let leading = me.machines.iter_mut().filter_map(|m| m.node.as_mut());
+            let Some(leader) = leading
+                .filter(|l| l.is_established_leader())
+                .max_by_key(|l| l.term())
+            else {
                 return Ok(false);
             };
             let now = me.now;
             let taken = leader.propose(vec![7]);
-            me.pending.extend(taken.map(|(index, term)| (index, term, now)));
+            me.pending.extend(taken.map(|at| (at.index, at.term, now)));
         }
         Step::Wipe(i) if acts(me, i) && me.may_lose(&[i]) => {
             me.end(i, true);
@@ -71,10 +76,10 @@
             let down: Vec<usize> = (0..me.machines.len())
                 .filter(|i| {
                     let m = &me.machines[*i];
-                    m.life.is_none() && !m.removed && m.back_at.is_none()
+                    m.node.is_none() && !m.removed && m.back_at.is_none()
                 })
                 .collect();
-            if down.is_empty() && me.cuts.is_empty() {
+            if down.is_empty() && me.cut_links.is_empty() {
                 return Ok(false);
             }
             me.heal();
@@ -117,21 +122,21 @@
 /// What may come next. Machines of one region are alike but for the leader.
 fn steps(cluster: &Cluster) -> Vec<Step> {
     let mut steps = vec![
-        Step::Order,
+        Step::Propose,
         Step::Return,
         Step::Wait(600),
         Step::Wait(CATCH_UP_MS + 100),
     ];
-    let leads = |m: &Machine| m.life.as_ref().is_some_and(RaftNode::is_leader);
+    let leads = |m: &Machine| m.node.as_ref().is_some_and(RaftNode::is_leader);
     let leader = cluster.machines.iter().position(leads).unwrap_or(0);
     let home = cluster.machines[leader].region;
     let there = |i: &usize| !cluster.machines[*i].removed;
     let all: Vec<usize> = (0..cluster.machines.len()).filter(there).collect();
-    let mate = all
+    let peer = all
         .iter()
         .find(|i| cluster.machines[**i].region == home && **i != leader);
     let other = all.iter().find(|i| cluster.machines[**i].region != home);
-    for i in [Some(&leader), mate, other].into_iter().flatten() {
+    for i in [Some(&leader), peer, other].into_iter().flatten() {
         steps.extend([
             Step::Wipe(*i),
             Step::Power(*i),
@@ -145,12 +150,12 @@
     steps
 }
 
-/// What was played: histories, changes of the roll and acknowledgements at their ends.
+/// What was played: histories, changes of the membership and acknowledgements at their ends.
 #[derive(Clone, Copy, Debug, Default)]
 struct Played {
     histories: usize,
     changes: usize,
-    acked: usize,
+    acknowledged: usize,
 }
 
 /// Plays all that can follow.
@@ -163,7 +168,7 @@
         return Ok(Played {
             histories: 1,
             changes: cluster.changes,
-            acked: cluster.acked.len(),
+            acknowledged: cluster.acknowledged.len(),
         });
     }
     let mut played = Played::default();
@@ -175,7 +180,7 @@
                 let more = explore(&next, depth - 1, taken)?;
                 played.histories += more.histories;
                 played.changes += more.changes;
-                played.acked += more.acked;
+                played.acknowledged += more.acknowledged;
             }
             Ok(false) => {}
             Err(e) => return Err(format!("{taken:?}: {e}")),
@@ -189,7 +194,7 @@
 fn recovers(cluster: &Cluster) -> Result<(), String> {
     let mut after = cluster.clone();
     take(&mut after, Step::Return)?;
-    after.run(2 * PATIENCE.gone + CATCH_UP_MS);
+    after.run(2 * TIMEOUTS.removal_ms + CATCH_UP_MS);
     let mut there: Vec<u64> = after
         .machines
         .iter()
@@ -197,7 +202,7 @@
         .map(|m| m.id)
         .collect();
     let leader = after.leader().ok_or("nobody leads")?;
-    let mut voters: Vec<u64> = leader.roll().voters.iter().map(|v| v.id).collect();
+    let mut voters: Vec<u64> = leader.membership().voters.iter().map(|v| v.id).collect();
     voters.sort_unstable();
     there.sort_unstable();
     if voters == there {
@@ -206,20 +211,22 @@
     Err(format!("{there:?} are there, {voters:?} vote"))
 }
 
-fn explored(regions: &[usize], depth: usize, next_roll: NextRoll) -> Result<Played, String> {
+fn explored(regions: &[usize], depth: usize, next_membership: NextMembership) -> Result<Played, String> {
     // For a long search: steps beyond the usual ones.
-    let deeper = std::env::var("ROLL_MODEL_DEEPER")
+    let deeper = std::env::var("MEMBERSHIP_MODEL_DEEPER")
         .ok()
         .and_then(|d| d.parse().ok());
-    let mut cluster = Cluster::new(regions, next_roll);
+    let mut cluster = Cluster::new(regions, next_membership);
     cluster.changes = 0;
     explore(&cluster, depth + deeper.unwrap_or(0), &mut Vec::new())
 }
 
 fn all_is_well(regions: &[usize], depth: usize, histories: usize) {
-    let played = explored(regions, depth, next_roll).unwrap_or_else(|e| panic!("{e}"));
+    let played = explored(regions, depth, next_membership).unwrap_or_else(|e| panic!("{e}"));
     println!("{regions:?}: {played:?}");
-    assert!(played.histories > histories && played.changes > histories / 2 && played.acked > histories / 8);
+    assert!(
+        played.histories > histories && played.changes > histories / 2 && played.acknowledged > histories / 8
+    );
 }
 
 #[test]
@@ -248,9 +255,13 @@
 }
 
 /// Longer histories, drawn from a seed; what they took, and how the first bad one ended.
-fn drawn(regions: &[usize], seeds: std::ops::Range<u64>, next_roll: NextRoll) -> Result<Played, String> {
+fn drawn(
+    regions: &[usize],
+    seeds: std::ops::Range<u64>,
+    next_membership: NextMembership,
+) -> Result<Played, String> {
     let mut played = Played::default();
-    let begun = Cluster::new(regions, next_roll);
+    let begun = Cluster::new(regions, next_membership);
     for seed in seeds {
         let (mut c, mut rng) = (begun.clone(), SmallRng::seed_from_u64(seed));
         c.changes = 0;
@@ -259,7 +270,7 @@
             let open = steps(&c);
             let step = match rng.gen_range(0..6) {
                 0 | 1 => Step::Wait(rng.gen_range(1..100) * STEP_MS),
-                2 => Step::Order,
+                2 => Step::Propose,
                 _ => open[rng.gen_range(0..open.len())],
             };
             taken.push(step);
@@ -268,14 +279,14 @@
         recovers(&c).map_err(|e| format!("seed {seed} {taken:?}: {e}"))?;
         played.histories += 1;
         played.changes += c.changes;
-        played.acked += c.acked.len();
+        played.acknowledged += c.acknowledged.len();
     }
     Ok(played)
 }
 
 #[test]
 fn longer_histories() {
-    let more = std::env::var("ROLL_MODEL_SEEDS")
+    let more = std::env::var("MEMBERSHIP_MODEL_SEEDS")
         .ok()
         .and_then(|n| n.parse().ok());
     for regions in [
@@ -285,15 +296,15 @@
         &[0, 0, 0, 1, 1, 2, 2],
     ] {
         let seeds = 0..more.unwrap_or(100);
-        let played = drawn(regions, seeds, next_roll).unwrap_or_else(|e| panic!("{e}"));
+        let played = drawn(regions, seeds, next_membership).unwrap_or_else(|e| panic!("{e}"));
         println!("{regions:?}: {played:?}");
-        assert!(played.changes > 150 && played.acked > 15, "{played:?}");
+        assert!(played.changes > 150 && played.acknowledged > 15, "{played:?}");
     }
 }
 
-/// Histories that earlier ways of choosing the next roll did not bear.
+/// Histories that earlier ways of choosing the next membership did not bear.
 #[test]
-fn histories_that_failed() {
+fn histories_that_once_failed_hold() {
     use Step::*;
     let three: &[usize] = &[0, 1, 2];
     let six: &[usize] = &[0, 0, 1, 1, 2, 2];
@@ -322,7 +333,7 @@
                 Wait(950),
             ],
         ),
-        // The lost voter is out of the roll, and its new self is lost before it votes.
+        // The lost voter is out of the membership, and its new self is lost before it votes.
         (
             three,
             &[
@@ -338,7 +349,7 @@
         ),
     ];
     for (regions, history) in histories {
-        let mut c = Cluster::new(regions, next_roll);
+        let mut c = Cluster::new(regions, next_membership);
         for step in history {
             take(&mut c, *step).unwrap_or_else(|e| panic!("{history:?}: {e}"));
         }
@@ -346,49 +357,54 @@
     }
 }
 
-/// The care for the roll as it was: newcomers first, and the dead counted with the rest.
+/// The care for the membership as it was: newcomers first, and the dead counted with the rest.
 fn counting_the_dead(
     raft: &RaftNode,
     now: u64,
-    seen: &[PeerObservation],
+    peers: &[PeerObservation],
     losses: FaultTolerance,
     patience: SilenceTimeouts,
 ) -> Option<Membership> {
-    if !raft.is_settled() || raft.roll_pending() {
+    if !raft.is_established_leader() || raft.is_membership_pending() {
         return None;
     }
-    let roll = raft.roll();
-    let heard_at = |id: u64| raft.progress(id).map_or(0, |p| p.heard_at);
-    let heard = |id: u64| id == raft.id() || now.saturating_sub(heard_at(id)) < patience.contact;
+    let membership = raft.membership();
+    let heard_at = |id: u64| raft.progress(id).map_or(0, |p| p.last_heard);
+    let heard = |id: u64| id == raft.id() || now.saturating_sub(heard_at(id)) < patience.contact_ms;
     let matched = |id: u64| raft.progress(id).map_or(0, |p| p.matched);
-    let newcomer = seen.iter().find(|s| {
+    let newcomer = peers.iter().find(|s| {
         let caught_up = matched(s.voter.id) > 0 && matched(s.voter.id) + 8 >= raft.last_index();
-        s.disk && s.alive && !roll.has(s.voter.id) && heard(s.voter.id) && caught_up
+        s.has_disk && s.is_alive && !membership.contains(s.voter.id) && heard(s.voter.id) && caught_up
     });
     if let Some(s) = newcomer {
-        let mut voters = roll.voters.clone();
+        let mut voters = membership.voters.clone();
         voters.push(s.voter.clone());
         return Some(Membership {
             voters,
             ..Default::default()
         });
     }
-    roll.voters.iter().filter(|v| !heard(v.id)).find_map(|v| {
-        let wiped = seen
+    membership.voters.iter().filter(|v| !heard(v.id)).find_map(|v| {
+        let wiped = peers
             .iter()
             .any(|s| s.voter.address == v.address && s.voter.id != v.id);
-        let silent = now.saturating_sub(heard_at(v.id)) > patience.gone;
+        let silent = now.saturating_sub(heard_at(v.id)) > patience.removal_ms;
         let rest = Membership {
-            voters: roll.voters.iter().filter(|o| o.id != v.id).cloned().collect(),
+            voters: membership
+                .voters
+                .iter()
+                .filter(|o| o.id != v.id)
+                .cloned()
+                .collect(),
             ..Default::default()
         };
         let up = rest.voters.iter().filter(|o| heard(o.id)).count();
-        ((wiped || silent) && up >= rest.majority() && bears(&rest, losses)).then_some(rest)
+        ((wiped || silent) && up >= rest.majority() && tolerates_faults(&rest, losses)).then_some(rest)
     })
 }
 
 #[test]
-fn counting_the_dead_is_found() {
+fn model_finds_a_planner_that_counts_the_dead() {
     for regions in [&[0, 1, 2][..], &[0, 0, 1, 1, 2, 2], &[0, 0, 0, 1, 1, 2, 2]] {
         let found = explored(regions, 4, counting_the_dead);
         let what = found.expect_err("the model must find it");
--- a/crates/raft/tests/repair_ways.rs
+++ b/crates/raft/tests/membership_repair.rs
@@ -5,7 +5,7 @@
 mod cluster;
 
 use cluster::*;
-use raft::{next_roll, RaftNode};
+use raft::{next_membership, RaftNode};
 
 const SIZES: [&[usize]; 5] = [
     &[0, 1, 2],
@@ -43,19 +43,19 @@
 /// and the steps until a fresh loss is borne for good.
 fn play(regions: &[usize], way: &str) -> (i64, usize) {
     let of = |r: usize| regions.iter().filter(|x| **x == r).count() as i64;
-    let mut roll = Voters {
+    let mut membership = Voters {
         dead: of(0),
         new: 0,
         others: [of(1), of(2)],
     };
-    let (mut least, mut steps) = (roll.again(), 0);
+    let (mut least, mut steps) = (membership.again(), 0);
     for (i, step) in way.chars().enumerate() {
         match step {
-            '+' => roll.new += 1,
-            _ => roll.dead -= 1,
+            '+' => membership.new += 1,
+            _ => membership.dead -= 1,
         }
-        least = least.min(roll.again());
-        if roll.later() < 0 {
+        least = least.min(membership.again());
+        if membership.later() < 0 {
             steps = i + 2;
         }
     }
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn ways_compared() {
+fn removing_before_adding_never_leaves_too_few() {
     for regions in SIZES {
         let lost = regions.iter().filter(|r| **r == 0).count();
         let add = play(regions, &("+".repeat(lost) + &"-".repeat(lost)));
@@ -81,11 +81,11 @@
 
 /// From the loss of a region's disks until all its machines vote again and the dead do not.
 #[test]
-fn repair_is_done_before_the_next_loss_may_come() {
+fn membership_is_repaired_before_the_next_loss_may_come() {
     for regions in SIZES {
         for led in [false, true] {
-            let mut c = Cluster::new(regions, next_roll);
-            let leads = |m: &Machine| m.life.as_ref().is_some_and(RaftNode::is_settled);
+            let mut c = Cluster::new(regions, next_membership);
+            let leads = |m: &Machine| m.node.as_ref().is_some_and(RaftNode::is_established_leader);
             let leader = c.machines.iter().position(leads).expect("somebody leads");
             let home = regions[leader];
             let lost = if led { home } else { (home + 1) % 3 };
@@ -98,7 +98,8 @@
             let ids: Vec<u64> = c.machines.iter().map(|m| m.id).collect();
             let done = |c: &Cluster| {
                 c.leader().is_some_and(|l| {
-                    l.roll().voters.len() == ids.len() && ids.iter().all(|id| l.roll().has(*id))
+                    l.membership().voters.len() == ids.len()
+                        && ids.iter().all(|id| l.membership().contains(*id))
                 })
             };
             while !done(&c) && c.now < from + CATCH_UP_MS {
--- a/crates/raft/tests/narrow.rs
+++ b/crates/raft/tests/narrow_links.rs
@@ -1,20 +1,22 @@
 //! Links that carry 2 Mbit/s, and messages that take seconds on them.
 
 use prost::Message as _;
-use raft::{Config, Membership, Message, PersistentState, RaftNode, Snapshot, StorageWrite, Voter};
+use raft::{
+    Config, HardState, Membership, Message, PersistentState, RaftNode, Snapshot, StorageWrite, Voter,
+};
 use std::collections::BTreeMap;
 
-const TIMING: Config = Config {
-    heartbeat: 100,
-    observer_heartbeat: 400,
-    election_min: 450,
-    election_spread: 300,
-    lease: 260,
-    resend: 400,
-    snapshot_resend: 1000,
-    follower_gone: 3000,
+const CONFIG: Config = Config {
+    heartbeat_ms: 100,
+    learner_heartbeat_ms: 400,
+    election_timeout_ms: 450,
+    election_jitter_ms: 300,
+    lease_ms: 260,
+    resend_ms: 400,
+    snapshot_resend_ms: 1000,
+    peer_timeout_ms: 3000,
     append_bytes: 256 * 1024,
-    tail_bytes: 16 * 1024,
+    retained_bytes: 16 * 1024,
 };
 /// One way, ms.
 const LATENCY: u64 = 30;
@@ -37,7 +39,7 @@
     state: usize,
 }
 
-fn roll(ids: &[u64]) -> Membership {
+fn membership(ids: &[u64]) -> Membership {
     let voter = |id: &u64| Voter {
         id: *id,
         ..Default::default()
@@ -61,12 +63,12 @@
                 snapshot = Snapshot {
                     index: 5,
                     term: 1,
-                    roll: Some(roll(&[1, 2, 3])),
+                    membership: Some(membership(&[1, 2, 3])),
                     data: vec![7; state],
                 };
             }
             let saved = PersistentState {
-                term: 1,
+                hard_state: HardState { term: 1, vote: 0 },
                 snapshot,
                 ..Default::default()
             };
@@ -79,20 +81,20 @@
     /// Starts a node from its disk.
     fn start(&mut self, id: u64) {
         let saved = self.disks.get(&id).cloned().unwrap_or_default();
-        let node = RaftNode::new(id, saved, TIMING, self.now, self.now + id);
+        let node = RaftNode::new(id, saved, CONFIG, self.now, self.now + id);
         self.nodes.insert(id, node);
     }
 
     fn write(&mut self, id: u64, write: StorageWrite) {
         let disk = self.disks.entry(id).or_default();
-        if let Some((term, vote)) = write.hard {
-            (disk.term, disk.vote) = (term, vote);
+        if let Some(hard_state) = write.hard_state {
+            disk.hard_state = hard_state;
         }
         if let Some(snapshot) = write.snapshot {
             disk.entries.retain(|e| e.index > snapshot.index);
             disk.snapshot = snapshot;
         }
-        if let Some(from) = write.cut_from {
+        if let Some(from) = write.truncate_from {
             disk.entries.retain(|e| e.index < from);
         }
         disk.entries.extend(write.entries);
@@ -115,7 +117,7 @@
         self.flights = rest;
         for (_, from, to, message) in due {
             if let Some(node) = self.nodes.get_mut(&to) {
-                node.receive(now, from, message);
+                node.step(now, from, message);
             }
         }
         let ids: Vec<u64> = self.nodes.keys().copied().collect();
@@ -125,24 +127,25 @@
             };
             node.tick(now);
             if now.is_multiple_of(200) {
-                node.ask_feed();
+                node.repeat_subscription();
             }
             let mut sent = Vec::new();
             loop {
-                let effects = node.take_effects();
-                sent.extend(effects.now.into_iter().chain(effects.after));
-                self.write(id, effects.write);
-                node.persisted(node.last_index(), node.term_of_last());
-                let installed = effects.install.map(|s| s.index);
-                let applied = effects.committed.last().map(|e| e.index).or(installed);
+                let ready = node.take_ready();
+                sent.extend(ready.messages.into_iter().chain(ready.persisted_messages));
+                self.write(id, ready.write);
+                node.on_persisted(node.last_position());
+                let installed = ready.snapshot.map(|s| s.index);
+                let applied = ready.committed_entries.last().map(|e| e.index).or(installed);
                 let Some(index) = applied else { break };
-                node.applied(index);
+                node.on_applied(index);
             }
             if node.log_bytes() > (24 * 1024).max(node.snapshot_bytes()) {
                 node.compact(vec![7; self.state]);
             }
             self.nodes.insert(id, node);
-            for (to, message) in sent {
+            for message in sent {
+                let to = message.to;
                 let bytes = message.encoded_len();
                 self.largest = self.largest.max(bytes);
                 *self.bytes_to.entry(to).or_default() += bytes;
@@ -168,7 +171,7 @@
     fn propose(&mut self, bytes: usize) -> u64 {
         let leader = self.leader().expect("somebody leads");
         let node = self.nodes.get_mut(&leader).expect("it runs");
-        node.propose(vec![1; bytes]).expect("it is taken").0
+        node.propose(vec![1; bytes]).expect("it is taken").index
     }
 
     /// Time until all nodes stand at what is committed, and at this index at the
@@ -180,13 +183,18 @@
             if change > 0 && self.now.is_multiple_of(every) && self.leader().is_some() {
                 self.propose(change);
             }
-            let most = self.nodes.values().map(RaftNode::commit).max().unwrap_or(0);
+            let most = self.nodes.values().map(RaftNode::commit_index).max().unwrap_or(0);
             // Two changes may be on their way.
-            let near = |n: &RaftNode| n.is_current() && n.commit() + 2 >= most && n.commit() >= least;
+            let near =
+                |n: &RaftNode| n.is_current() && n.commit_index() + 2 >= most && n.commit_index() >= least;
             if self.nodes.values().all(near) {
                 return self.now - from;
             }
-            let at: Vec<(u64, u64)> = self.nodes.values().map(|n| (n.commit(), n.term())).collect();
+            let at: Vec<(u64, u64)> = self
+                .nodes
+                .values()
+                .map(|n| (n.commit_index(), n.term()))
+                .collect();
             assert!(self.now - from < within, "{at:?} after {within} ms");
         }
     }
@@ -195,7 +203,7 @@
 /// A member comes back empty over a narrow link, to a state that takes four seconds
 /// on it, while changes go on: it is sent the state once, and what came meanwhile.
 #[test]
-fn a_state_slower_than_its_resend_time_is_sent_once() {
+fn sends_a_slow_snapshot_once() {
     let mut net = Net::new(1_000_000, 2);
     net.nodes.remove(&3);
     net.run(2000);
@@ -217,7 +225,7 @@
 /// Changes fold the log while the state is on its way: they are sent after it, not in
 /// the state once more.
 #[test]
-fn what_is_folded_meanwhile_is_sent_as_changes() {
+fn entries_compacted_meanwhile_are_sent_as_entries() {
     let mut net = Net::new(1_000_000, 2);
     net.nodes.remove(&3);
     net.run(2000);
@@ -236,7 +244,7 @@
 
 /// A change that takes seconds on every link: heartbeats pass it, nobody is deposed.
 #[test]
-fn a_large_change_is_taken_over_narrow_links_without_an_election() {
+fn large_entry_on_narrow_links_causes_no_election() {
     let mut net = Net::new(1000, 3);
     net.run(2000);
     for id in 1..=3 {
@@ -246,7 +254,7 @@
     let index = net.propose(1_000_000);
     let took = net.caught_up(25_000, index, 1, 0);
     println!("taken by all in {took} ms");
-    assert!(net.nodes.values().all(|n| n.commit() >= index));
+    assert!(net.nodes.values().all(|n| n.commit_index() >= index));
     assert_eq!(
         (net.leader(), net.nodes[&1].term()),
         (leader, term),
@@ -256,17 +264,17 @@
 
 /// A node without a vote, behind a narrow link, follows one voter through it all.
 #[test]
-fn a_follower_is_fed_a_large_state_by_one_voter() {
+fn learner_gets_a_large_snapshot_from_one_voter() {
     let mut net = Net::new(1_000_000, 3);
     net.run(2000);
     net.width.insert(9, NARROW);
-    let mut node = RaftNode::new(9, PersistentState::default(), TIMING, net.now, 9);
-    node.follow(net.now, 2);
+    let mut node = RaftNode::new(9, PersistentState::default(), CONFIG, net.now, 9);
+    node.subscribe(net.now, 2);
     net.nodes.insert(9, node);
     let from = net.now;
     while !net.nodes[&9].is_current() {
         net.step();
-        let silent = net.now - net.nodes[&9].feed().1;
+        let silent = net.now - net.nodes[&9].upstream().last_heard;
         assert!(silent < 1000, "it would have turned to another voter");
         assert!(net.now - from < 12_000, "never current");
     }
@@ -276,7 +284,7 @@
 
 /// Neither a state nor a change has to fit into one frame.
 #[test]
-fn what_is_larger_than_a_frame_arrives() {
+fn messages_larger_than_a_frame_arrive() {
     let mut net = Net::new(20 << 20, 2);
     net.nodes.remove(&3);
     net.run(2000);
@@ -286,13 +294,13 @@
     let index = net.propose(20 << 20);
     let change = net.caught_up(20_000, index, 1, 0);
     println!("state {state} ms, change {change} ms, largest {}", net.largest);
-    assert!(net.nodes.values().all(|n| n.commit() >= index));
+    assert!(net.nodes.values().all(|n| n.commit_index() >= index));
     assert!(net.largest < FRAME_BYTES, "{} bytes in one frame", net.largest);
 }
 
 /// The sender ends in the middle, or the receiver does and comes back: begun anew.
 #[test]
-fn a_state_cut_short_by_the_end_of_either_side_still_arrives() {
+fn snapshot_interrupted_by_a_restart_of_either_side_arrives() {
     for ends in [1, 2, 3] {
         let mut net = Net::new(1_000_000, 2);
         net.nodes.remove(&3);
@@ -311,25 +319,25 @@
 /// A state that cannot be read is not taken: the node stays as it is, says so, and
 /// has the next that can.
 #[test]
-fn a_state_that_cannot_be_read_is_no_state() {
+fn unreadable_snapshot_is_not_installed() {
     let mut net = Net::new(1_000_000, 2);
     net.nodes.remove(&3);
     net.run(2000);
     net.start(3);
     let node = net.nodes.get_mut(&3).expect("it runs");
-    node.set_readable(|_, _| false);
+    node.set_snapshot_check(|_, _| false);
     net.run(6000);
     let node = net.nodes.get_mut(&3).expect("it runs");
     assert_eq!(
-        (node.commit(), node.last_index(), node.is_current()),
+        (node.commit_index(), node.last_index(), node.is_current()),
         (0, 0, false)
     );
     assert!(
-        (2..=8).contains(&node.unreadable()),
+        (2..=8).contains(&node.unreadable_snapshots()),
         "{} were sent",
-        node.unreadable()
+        node.unreadable_snapshots()
     );
-    node.set_readable(|_, data| data.len() == 1_000_000);
+    node.set_snapshot_check(|_, data| data.len() == 1_000_000);
     net.caught_up(3000, 5, 1, 0);
     assert_eq!(net.disks[&3].snapshot.data.len(), 1_000_000);
 }
--- a/crates/rehearsal/src/checker.rs
+++ b/crates/rehearsal/src/checker.rs
@@ -113,7 +113,7 @@
     pub events: &'a [Event],
     pub attempts: BTreeMap<u64, Attempt>,
     /// The first sight of each pair of index and order.
-    pub effects: Vec<Effect>,
+    pub ready: Vec<Effect>,
     pub wrong: Vec<Violation>,
 }
 
@@ -144,7 +144,7 @@
 
 fn sort(history: &History) -> Seen<'_> {
     let mut attempts: BTreeMap<u64, Attempt> = BTreeMap::new();
-    let mut effects: BTreeMap<(u64, u64), Effect> = BTreeMap::new();
+    let mut ready: BTreeMap<(u64, u64), Effect> = BTreeMap::new();
     for event in &history.events {
         match &event.saw {
             Saw::Sent {
@@ -174,7 +174,7 @@
                 changed,
                 ..
             } => {
-                effects.entry((*index, *order)).or_insert(Effect {
+                ready.entry((*index, *order)).or_insert(Effect {
                     at: event.at,
                     index: *index,
                     order: *order,
@@ -188,7 +188,7 @@
     Seen {
         events: &history.events,
         attempts,
-        effects: effects.into_values().collect(),
+        ready: ready.into_values().collect(),
         wrong: Vec::new(),
     }
 }
@@ -266,7 +266,7 @@
     let mut changed_at: BTreeMap<u64, u64> = BTreeMap::new();
     let mut owner: BTreeMap<u64, u64> = BTreeMap::new();
     let mut found = Vec::new();
-    for e in &seen.effects {
+    for e in &seen.ready {
         if e.changed {
             let first = *changed_at.entry(e.attempt).or_insert(e.index);
             if first != e.index {
@@ -310,10 +310,7 @@
                 let Some(order) = seen.attempts.get(attempt).map(|a| a.order) else {
                     continue;
                 };
-                let mut own = seen
-                    .effects
-                    .iter()
-                    .filter(|e| e.order == order && e.at <= event.at);
+                let mut own = seen.ready.iter().filter(|e| e.order == order && e.at <= event.at);
                 let first = own.clone().next();
                 let Some(effect) = own.find(|e| e.changed).or(first) else {
                     continue;
--- a/crates/rehearsal/src/checker/evacuations.rs
+++ b/crates/rehearsal/src/checker/evacuations.rs
@@ -54,7 +54,7 @@
             }
         }
     }
-    for e in seen.effects.iter().filter(|e| e.changed) {
+    for e in seen.ready.iter().filter(|e| e.changed) {
         if let Some(order) = orders.get_mut(&e.order) {
             order.counted = true;
         }
@@ -66,7 +66,7 @@
 fn acknowledged(seen: &mut Seen, orders: &BTreeMap<u64, Order>) {
     for (number, order) in orders {
         let Some(at) = order.acknowledged else { continue };
-        let mut own = seen.effects.iter().filter(|e| e.order == *number);
+        let mut own = seen.ready.iter().filter(|e| e.order == *number);
         if !own.any(|e| e.at <= at) {
             let what = format!("order {number} is acknowledged and was applied nowhere");
             seen.fail(Check::LostAfterAck, at, what);
@@ -81,7 +81,7 @@
     // The latest sending among those that stand before.
     let mut latest: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
     let mut counted: BTreeSet<u64> = BTreeSet::new();
-    for e in &seen.effects {
+    for e in &seen.ready {
         if !counted.insert(e.order) {
             continue;
         }
@@ -131,7 +131,7 @@
     let mut done: BTreeSet<u64> = BTreeSet::new();
     let first_seen = first_seen(seen);
     let mut found = Vec::new();
-    for e in &seen.effects {
+    for e in &seen.ready {
         let Some(order) = orders.get(&e.order) else {
             continue;
         };
--- a/crates/rehearsal/src/disk.rs
+++ b/crates/rehearsal/src/disk.rs
@@ -38,15 +38,14 @@
     }
 
     fn apply(&mut self, write: StorageWrite) {
-        if let Some((term, vote)) = write.hard {
-            self.saved.term = term;
-            self.saved.vote = vote;
+        if let Some(hard_state) = write.hard_state {
+            self.saved.hard_state = hard_state;
         }
         if let Some(snapshot) = write.snapshot {
             self.saved.entries.retain(|e| e.index > snapshot.index);
             self.saved.snapshot = snapshot;
         }
-        if let Some(from) = write.cut_from {
+        if let Some(from) = write.truncate_from {
             self.saved.entries.retain(|e| e.index < from);
         }
         for entry in write.entries {
--- a/crates/rehearsal/src/front.rs
+++ b/crates/rehearsal/src/front.rs
@@ -10,7 +10,7 @@
 use playbill::letters::{self, ChangeKind, EvacuationChange, OrderTag, ReplaceOrder, TakenOrder};
 use playbill::stage::{encode_order, Judgement, Outcome};
 use playbill::{CallId, Calls};
-use raft::{bears, bears_loss};
+use raft::{is_durable, tolerates_faults, LogPosition, ReadState};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What may be wrong with a front, planted to see that the checker finds it.
@@ -209,7 +209,7 @@
         for index in known {
             self.orders_seen.entry(index).or_insert(now);
         }
-        let leads = node.prompter.is_leader();
+        let leads = node.raft.is_leader();
         let stands = node.stage.index;
         let numbers: Vec<u64> = self.errands.keys().copied().collect();
         for number in numbers {
@@ -259,14 +259,14 @@
             State::Routing { at } if now < at => None,
             State::Routing { .. } => {
                 let silent = match self.mutant {
-                    Mutant::RefusesByCopy | Mutant::ReadsCopy if node.prompter.is_leader() => 0,
-                    _ => now.saturating_sub(node.prompter.contact_at(now)),
+                    Mutant::RefusesByCopy | Mutant::ReadsCopy if node.raft.is_leader() => 0,
+                    _ => now.saturating_sub(node.raft.majority_heard_at(now)),
                 };
-                let began = !node.prompter.roll().voters.is_empty();
+                let began = !node.raft.membership().voters.is_empty();
                 if from_operator && began && silent >= c::OUT_OF_CONTACT_MS {
                     return Some(reply(ELSEWHERE));
                 }
-                if node.prompter.is_leader() && (!from_operator || silent < c::ELECTION_MIN_MS) {
+                if node.raft.is_leader() && (!from_operator || silent < c::ELECTION_MIN_MS) {
                     return match self.carry_out(now, node, errand, acts) {
                         Ok(state) => {
                             errand.state = state;
@@ -282,8 +282,8 @@
                         }
                     };
                 }
-                let leader = node.prompter.leader();
-                if !from_operator || leader == 0 || node.prompter.is_leader() {
+                let leader = node.raft.leader_id();
+                if !from_operator || leader == 0 || node.raft.is_leader() {
                     return not_leader(errand);
                 }
                 let id = self.calls.begin(self.peer(leader), now, number);
@@ -315,7 +315,7 @@
                         }
                     }
                     Some(_) => not_leader(errand),
-                    None if !node.prompter.is_leader() && self.mutant != Mutant::IgnoresTerm => {
+                    None if !node.raft.is_leader() && self.mutant != Mutant::IgnoresTerm => {
                         not_leader(errand)
                     }
                     None => None,
@@ -324,26 +324,26 @@
             // An acknowledgement rests on copies that bear any loss inside `Tolerance`, and
             // waits a little for the nodes in contact to apply it.
             State::Spreading { index, since } => {
-                let prompter = &node.prompter;
-                if !prompter.is_settled() {
+                let raft = &node.raft;
+                if !raft.is_established_leader() {
                     return not_leader(errand);
                 }
-                if !bears_loss(prompter, index, now, LOSSES, c::CONTACT_MS) {
+                if !is_durable(raft, index, now, LOSSES, c::CONTACT_MS) {
                     return (now >= since + c::CALL_WAIT_MS).then(|| reply(UNAVAILABLE));
                 }
-                let voters = prompter.roll().voters.iter();
+                let voters = raft.membership().voters.iter();
                 let behind = voters
-                    .filter_map(|v| prompter.progress(v.id))
-                    .any(|p| now.saturating_sub(p.heard_at) < c::CONTACT_MS && p.applied < index);
+                    .filter_map(|v| raft.progress(v.id))
+                    .any(|p| now.saturating_sub(p.last_heard) < c::CONTACT_MS && p.applied < index);
                 (now >= since + c::APPLY_WAIT_MS || !behind).then(|| reply(TAKEN))
             }
-            State::Reading { token, until } => match did.reads.iter().find(|(t, _)| *t == token) {
-                Some((_, true)) if errand.order.request != Request::Read => {
+            State::Reading { token, until } => match did.reads.iter().find(|r| r.token == token) {
+                Some(ReadState { confirmed: true, .. }) if errand.order.request != Request::Read => {
                     errand.after_read = true;
                     errand.state = State::Routing { at: now };
                     None
                 }
-                Some((_, true)) => {
+                Some(ReadState { confirmed: true, .. }) => {
                     let read = self.read_back(node);
                     let status = if read.is_some() { TAKEN } else { NONE_YET };
                     Some(Reply {
@@ -366,7 +366,7 @@
     /// Waits for a majority to confirm this copy.
     fn confirm(&mut self, now: u64, node: &mut Life) -> State {
         self.next += 1;
-        node.prompter.read(self.next);
+        node.raft.request_read(self.next);
         State::Reading {
             token: self.next,
             until: now + c::CALL_WAIT_MS,
@@ -381,10 +381,10 @@
         errand: &Errand,
         acts: &mut Vec<Act>,
     ) -> Result<State, u16> {
-        if !node.prompter.is_settled() {
+        if !node.raft.is_established_leader() {
             return Err(NOT_LEADER);
         }
-        if errand.order.request != Request::Read && !bears(node.prompter.roll(), LOSSES) {
+        if errand.order.request != Request::Read && !tolerates_faults(node.raft.membership(), LOSSES) {
             return Err(UNAVAILABLE);
         }
         let (kind, key, tag) = match &errand.order.request {
@@ -406,7 +406,7 @@
                     Judgement::Confirm => return Ok(self.confirm(now, node)),
                     // Taken before: it stands at or below what is committed.
                     Judgement::Final(Outcome::Already | Outcome::Applied) => {
-                        let index = node.prompter.commit();
+                        let index = node.raft.commit_index();
                         return Ok(State::Spreading { index, since: now });
                     }
                     Judgement::Final(outcome) => return Err(status_of(&outcome)),
@@ -438,7 +438,7 @@
             }
         };
         let data = encode_order(node.stage.for_log(kind), tag.clone());
-        let (index, term) = node.prompter.propose(data).ok_or(NOT_LEADER)?;
+        let LogPosition { index, term } = node.raft.propose(data).ok_or(NOT_LEADER)?;
         self.under_way.push(Proposal {
             key,
             tag,
--- a/crates/rehearsal/src/node.rs
+++ b/crates/rehearsal/src/node.rs
@@ -5,29 +5,29 @@
 use playbill::letters::ReplaceOrder;
 use playbill::stage::Outcome;
 use playbill::Stage;
-use raft::{Config, EntryType, RaftNode, UpstreamSelector};
+use raft::{Config, EntryType, LogPosition, RaftNode, ReadState, UpstreamSelector};
 use std::collections::VecDeque;
 use wardrobe::Wardrobe;
 
 pub const TIMING: Config = Config {
-    heartbeat: c::HEARTBEAT_MS,
-    observer_heartbeat: c::OBSERVER_HEARTBEAT_MS,
-    election_min: c::ELECTION_MIN_MS,
-    election_spread: c::ELECTION_SPREAD_MS,
-    lease: c::LEASE_MS,
-    resend: c::RESEND_MS,
-    snapshot_resend: c::SNAPSHOT_RESEND_MS,
-    follower_gone: c::FOLLOWER_GONE_MS,
+    heartbeat_ms: c::HEARTBEAT_MS,
+    learner_heartbeat_ms: c::OBSERVER_HEARTBEAT_MS,
+    election_timeout_ms: c::ELECTION_MIN_MS,
+    election_jitter_ms: c::ELECTION_SPREAD_MS,
+    lease_ms: c::LEASE_MS,
+    resend_ms: c::RESEND_MS,
+    snapshot_resend_ms: c::SNAPSHOT_RESEND_MS,
+    peer_timeout_ms: c::FOLLOWER_GONE_MS,
     append_bytes: c::APPEND_BYTES,
-    tail_bytes: c::LOG_TAIL_BYTES,
+    retained_bytes: c::LOG_TAIL_BYTES,
 };
 
 /// What waits for a write: its number, messages, and the last entry and its term.
-type Held = (u64, Vec<(u64, raft::Message)>, (u64, u64));
+type Held = (u64, Vec<raft::Message>, LogPosition);
 
 /// A running process.
 pub struct Life {
-    pub prompter: RaftNode,
+    pub raft: RaftNode,
     pub stage: Stage,
     pub wardrobe: Wardrobe,
     pub wardrobe_since: Option<u64>,
@@ -66,13 +66,13 @@
 /// What a node did in one step.
 #[derive(Default)]
 pub struct Did {
-    pub sent: Vec<(u64, raft::Message)>,
+    pub sent: Vec<raft::Message>,
     /// Orders settled: name, order, outcome.
     pub settled: Vec<(String, ReplaceOrder, Option<Outcome>)>,
     /// Entries applied: index, term, and for a change its outcome.
     pub applied: Vec<(u64, u64, Option<Outcome>)>,
     /// Reads that may be answered from the copy, or may not, by token.
-    pub reads: Vec<(u64, bool)>,
+    pub reads: Vec<ReadState>,
     /// It took its state from a snapshot.
     pub installed: bool,
     /// It serves what is older than was acknowledged.
@@ -81,7 +81,7 @@
 
 impl Node {
     pub fn id(&self) -> u64 {
-        self.life.as_ref().map_or(0, |l| l.prompter.id())
+        self.life.as_ref().map_or(0, |l| l.raft.id())
     }
 
     pub fn start(&mut self, now: u64, id: u64, acked: u64) {
@@ -96,10 +96,10 @@
         };
         let stage = Stage::from_snapshot(saved.snapshot.index, &saved.snapshot.data);
         let stage = stage.expect("the disk gives back what was written");
-        let mut prompter = RaftNode::new(id, saved, TIMING, now, id);
-        prompter.set_readable(Stage::is_readable);
+        let mut raft = RaftNode::new(id, saved, TIMING, now, id);
+        raft.set_snapshot_check(Stage::is_readable);
         self.life = Some(Life {
-            prompter,
+            raft,
             stage,
             wardrobe: Wardrobe::new(10_000, 300),
             wardrobe_since: None,
@@ -128,53 +128,56 @@
                 while life.waiting.front().is_some_and(|(s, _, _)| *s <= seq) {
                     if let Some((_, after, last)) = life.waiting.pop_front() {
                         did.sent.extend(after);
-                        life.prompter.persisted(last.0, last.1);
+                        life.raft.on_persisted(last);
                     }
                 }
             }
             let late = life.written > life.done && now - life.written_at > c::DISK_PATIENCE_MS;
-            life.prompter.set_unfit(late);
+            life.raft.set_storage_failed(late);
         }
         loop {
-            let effects = life.prompter.take_effects();
-            did.sent.extend(effects.now);
-            let last = (life.prompter.last_index(), life.prompter.term_of_last());
+            let ready = life.raft.take_ready();
+            did.sent.extend(ready.messages);
+            let last = life.raft.last_position();
             match &mut self.disk {
                 None => {
-                    did.sent.extend(effects.after);
-                    life.prompter.persisted(last.0, last.1);
+                    did.sent.extend(ready.persisted_messages);
+                    life.raft.on_persisted(last);
                 }
-                Some(disk) if !effects.write.is_empty() => {
+                Some(disk) if !ready.write.is_empty() => {
                     if life.written == life.done {
                         life.written_at = now;
                     }
                     life.written += 1;
-                    disk.write(now, life.written, effects.write);
-                    life.waiting.push_back((life.written, effects.after, last));
+                    disk.write(now, life.written, ready.write);
+                    life.waiting
+                        .push_back((life.written, ready.persisted_messages, last));
                 }
-                Some(_) if life.written == life.done => did.sent.extend(effects.after),
-                Some(_) => life.waiting.push_back((life.written, effects.after, last)),
+                Some(_) if life.written == life.done => did.sent.extend(ready.persisted_messages),
+                Some(_) => life
+                    .waiting
+                    .push_back((life.written, ready.persisted_messages, last)),
             }
-            did.reads.extend(effects.reads);
-            if let Some(snapshot) = effects.install {
+            did.reads.extend(ready.read_states);
+            if let Some(snapshot) = ready.snapshot {
                 did.installed = true;
                 if snapshot.index > life.stage.index {
                     let stage = Stage::from_snapshot(snapshot.index, &snapshot.data);
                     life.stage = stage.expect("the agreement takes none that cannot be read");
                 }
-                life.prompter.applied(life.stage.index);
+                life.raft.on_applied(life.stage.index);
             }
-            if effects.committed.is_empty() {
+            if ready.committed_entries.is_empty() {
                 break;
             }
-            for entry in effects.committed {
+            for entry in ready.committed_entries {
                 let mut outcome = None;
-                if entry.kind == EntryType::Command as i32 {
+                if entry.entry_type == EntryType::Command as i32 {
                     outcome = Some(life.stage.apply(entry.index, &entry.data));
                 } else {
                     life.stage.index = life.stage.index.max(entry.index);
                 }
-                life.prompter.applied(entry.index);
+                life.raft.on_applied(entry.index);
                 did.applied.push((entry.index, entry.term, outcome.clone()));
                 let (settled, rest) = std::mem::take(&mut life.orders)
                     .into_iter()
@@ -192,11 +195,11 @@
             }
         }
         // As the program does it, and sooner where entries are few.
-        let room = c::LOG_KEEP_BYTES.max(life.prompter.snapshot_bytes());
-        if life.prompter.log_len() > 40 || life.prompter.log_bytes() > room {
-            life.prompter.compact(life.stage.to_snapshot());
+        let room = c::LOG_KEEP_BYTES.max(life.raft.snapshot_bytes());
+        if life.raft.log_len() > 40 || life.raft.log_bytes() > room {
+            life.raft.compact(life.stage.to_snapshot());
         }
-        if !life.current && life.prompter.is_current() {
+        if !life.current && life.raft.is_current() {
             life.current = true;
             let version = life.stage.version();
             if version < life.acked_before {
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -371,20 +371,19 @@
                     },
                 ));
             }
-            let prompter = &life.prompter;
-            if prompter.is_leader() && self.led.insert(name.clone(), prompter.term()) != Some(prompter.term())
-            {
-                let term = prompter.term();
+            let raft = &life.raft;
+            if raft.is_leader() && self.led.insert(name.clone(), raft.term()) != Some(raft.term()) {
+                let term = raft.term();
                 self.reached.terms = self.reached.terms.max(term);
                 notes.push((name.clone(), Saw::Leads { life: number, term }));
             }
-            if prompter.is_settled() && !prompter.roll_pending() {
-                let roll: Vec<u64> = prompter.roll().voters.iter().map(|v| v.id).collect();
+            if raft.is_established_leader() && !raft.is_membership_pending() {
+                let roll: Vec<u64> = raft.membership().voters.iter().map(|v| v.id).collect();
                 if roll != self.roll {
                     self.roll = roll;
                     self.reached.roll_changes += 1;
                     let voter = |v: &raft::Voter| format!("{}#{}", v.address, v.id);
-                    let voters = prompter.roll().voters.iter().map(voter).collect();
+                    let voters = raft.membership().voters.iter().map(voter).collect();
                     notes.push((name.clone(), Saw::Roll { voters }));
                 }
             }
@@ -1040,7 +1039,7 @@
                 for i in 0..count {
                     let workers = vec![format!("b{i}")];
                     let change = ChangeKind::Bench(BenchChange { workers });
-                    life.prompter.propose(encode_change(change));
+                    life.raft.propose(encode_change(change));
                 }
             }
             Fault::Worker { who, what } => {
--- a/crates/rehearsal/src/script.rs
+++ b/crates/rehearsal/src/script.rs
@@ -379,7 +379,7 @@
                     .leader()
                     .and_then(|n| n.life.as_ref())
                     .ok_or("nobody leads")?;
-                leader.prompter.roll().voters.len() as u64 == number(words.get(1))?
+                leader.raft.membership().voters.len() as u64 == number(words.get(1))?
             }
             "may-end" | "stays" => {
                 let name = if words[1] == "led" {
@@ -388,7 +388,7 @@
                     words[1]
                 };
                 let life = world.nodes.get(name).and_then(|n| n.life.as_ref());
-                life.ok_or("it is down")?.prompter.may_end() == (words[0] == "may-end")
+                life.ok_or("it is down")?.raft.is_shutdown_safe() == (words[0] == "may-end")
             }
             "holds" => {
                 let w = world.workers.get(words[1]).ok_or("no such worker")?;
--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -7,8 +7,8 @@
 use playbill::letters::*;
 use playbill::stage::{encode_change, Outcome};
 use raft::{
-    bears, next_roll, FaultTolerance, PeerObservation, SilenceTimeouts, UpstreamCandidate, UpstreamTimeouts,
-    Voter,
+    next_membership, tolerates_faults, FaultTolerance, LogPosition, PeerObservation, SilenceTimeouts,
+    UpstreamCandidate, UpstreamTimeouts, Voter,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -28,7 +28,7 @@
         from: String,
         sender: u64,
         to: u64,
-        cue: raft::Message,
+        message: raft::Message,
     },
     Grant {
         leader: String,
@@ -182,7 +182,7 @@
         if let Some(node) = self.nodes.get_mut(name) {
             let voter = voter_of(node);
             if let (true, Some(life)) = (node.fresh, &mut node.life) {
-                life.prompter.begin(voter);
+                life.raft.bootstrap(voter);
             }
         }
     }
@@ -190,7 +190,7 @@
     pub fn leader(&self) -> Option<&Node> {
         self.nodes
             .values()
-            .find(|n| n.life.as_ref().is_some_and(|l| l.prompter.holds_lease(self.now)))
+            .find(|n| n.life.as_ref().is_some_and(|l| l.raft.holds_lease(self.now)))
     }
 
     pub fn leader_name(&self) -> Option<String> {
@@ -238,14 +238,14 @@
             return;
         };
         if let Some(life) = &mut node.life {
-            life.prompter.tick(now);
+            life.raft.tick(now);
             if life.leaving && now % c::LEAVE_EVERY_MS == 1 {
-                life.prompter.leave(now);
+                life.raft.announce_shutdown(now);
             }
         }
         let mut did = node.flush(now);
-        for (to, cue) in std::mem::take(&mut did.sent) {
-            self.send(name, to, cue);
+        for message in std::mem::take(&mut did.sent) {
+            self.send(name, message);
         }
         for (order, replace, outcome) in std::mem::take(&mut did.settled) {
             self.settle(order, &replace, outcome);
@@ -265,14 +265,15 @@
         self.answers.insert(order, outcome);
     }
 
-    fn send(&mut self, from: &str, to: u64, cue: raft::Message) {
+    fn send(&mut self, from: &str, message: raft::Message) {
+        let to = message.to;
         let Some(name) = self.nodes.values().find(|n| n.id() == to).map(|n| n.name.clone()) else {
             return;
         };
         if self.cuts.contains(&(from.to_string(), name.clone())) {
             return;
         }
-        let bytes = prost::Message::encoded_len(&cue);
+        let bytes = prost::Message::encoded_len(&message);
         *self.sent.entry(from.to_string()).or_default() += bytes;
         let out = self.carry(from, true, self.now, bytes);
         let latency = self.latency(from, &name);
@@ -284,7 +285,7 @@
                 from: from.into(),
                 sender,
                 to,
-                cue,
+                message,
             },
         ));
     }
@@ -316,14 +317,16 @@
         self.flights = rest;
         for (_, flight) in due {
             match flight {
-                Flight::Raft { sender, to, cue, .. } => {
+                Flight::Raft {
+                    sender, to, message, ..
+                } => {
                     if let Some(life) = self
                         .nodes
                         .values_mut()
                         .find(|n| n.id() == to)
                         .and_then(|n| n.life.as_mut())
                     {
-                        life.prompter.receive(now, sender, cue);
+                        life.raft.step(now, sender, message);
                     }
                 }
                 Flight::Grant {
@@ -428,8 +431,8 @@
             .map(|n| (n.id(), n.region.clone()))
             .collect();
         let timing = UpstreamTimeouts {
-            silent: c::SOURCE_SILENT_MS,
-            shun: c::SOURCE_SHUN_MS,
+            silence_ms: c::SOURCE_SILENT_MS,
+            avoid_ms: c::SOURCE_SHUN_MS,
         };
         let frozen = &self.frozen;
         let runs = |n: &&mut Node| n.disk.is_none() && !frozen.contains(&n.name);
@@ -441,11 +444,11 @@
                 same_region: *region == node.region,
             };
             let sources: Vec<UpstreamCandidate> = disks.iter().map(source).collect();
-            let (me, feed) = (life.prompter.id(), life.prompter.feed());
-            if let Some(source) = life.following.next(now, me, feed, &sources, timing) {
-                life.prompter.follow(now, source);
+            let (me, feed) = (life.raft.id(), life.raft.upstream());
+            if let Some(source) = life.following.select(now, me, feed, &sources, timing) {
+                life.raft.subscribe(now, source);
             } else if now % 200 == 1 {
-                life.prompter.ask_feed();
+                life.raft.repeat_subscription();
             }
         }
     }
@@ -459,11 +462,11 @@
             .filter(|n| n.life.is_some())
             .map(|n| PeerObservation {
                 voter: voter_of(n),
-                disk: n.disk.is_some(),
-                alive: true,
+                has_disk: n.disk.is_some(),
+                is_alive: true,
             })
             .collect();
-        let observers: BTreeSet<u64> = seen.iter().filter(|s| s.disk).map(|s| s.voter.id).collect();
+        let observers: BTreeSet<u64> = seen.iter().filter(|s| s.has_disk).map(|s| s.voter.id).collect();
         let listed: Vec<Worker> = self.workers.values().map(|w| w.listed.clone()).collect();
         let mut flights = Vec::new();
         for node in self.nodes.values_mut() {
@@ -472,25 +475,25 @@
             if self.frozen.contains(&name) {
                 continue;
             }
-            if !life.prompter.is_leader() {
+            if !life.raft.is_leader() {
                 life.wardrobe_since = None;
                 continue;
             }
-            let me = life.prompter.id();
+            let me = life.raft.id();
             let others: BTreeSet<u64> = observers.iter().copied().filter(|id| *id != me).collect();
-            life.prompter.set_observers(&others);
+            life.raft.set_learners(&others);
             let others: Vec<PeerObservation> = seen.iter().filter(|s| s.voter.id != me).cloned().collect();
             let patience = SilenceTimeouts {
-                contact: c::CONTACT_MS,
-                gone: c::VOTER_GONE_MS,
-                left: c::VOTER_LEFT_MS,
+                contact_ms: c::CONTACT_MS,
+                removal_ms: c::VOTER_GONE_MS,
+                urgent_removal_ms: c::VOTER_LEFT_MS,
             };
-            if let Some(roll) = next_roll(&life.prompter, now, &others, LOSSES, patience) {
-                life.prompter.propose_roll(roll);
+            if let Some(roll) = next_membership(&life.raft, now, &others, LOSSES, patience) {
+                life.raft.propose_membership(&roll);
             }
             // What is committed is applied before any duty looks at it.
-            let behind = life.stage.index < life.prompter.commit();
-            if behind || !life.prompter.holds_lease(now) || life.stage.config.is_none() {
+            let behind = life.stage.index < life.raft.commit_index();
+            if behind || !life.raft.holds_lease(now) || life.stage.config.is_none() {
                 continue;
             }
             if now >= life.next_poll {
@@ -515,22 +518,22 @@
                         gone,
                         ..Default::default()
                     });
-                    life.prompter.propose(encode_change(change));
+                    life.raft.propose(encode_change(change));
                 }
             }
-            if life.wardrobe_since != Some(life.prompter.led_since()) {
-                life.wardrobe_since = Some(life.prompter.led_since());
+            if life.wardrobe_since != Some(life.raft.leader_since()) {
+                life.wardrobe_since = Some(life.raft.leader_since());
                 life.wardrobe.begin(now, &life.stage);
             }
             // A change of keys is logged when it is applied; one at a time.
-            let pending = life.prompter.last_index() > life.stage.index;
+            let pending = life.raft.last_index() > life.stage.index;
             if !pending {
                 life.wardrobe.logged();
             }
             for act in life.wardrobe.tick(now, &life.stage) {
                 match act {
                     Act::Log(put) => {
-                        life.prompter
+                        life.raft
                             .propose(encode_change(ChangeKind::Keys(KeysChange { put })));
                     }
                     Act::Grant(call) => {
@@ -579,12 +582,12 @@
         let Some(life) = self.nodes.get_mut(&leader).and_then(|n| n.life.as_mut()) else {
             return false;
         };
-        if !bears(life.prompter.roll(), LOSSES) {
+        if !tolerates_faults(life.raft.membership(), LOSSES) {
             return false;
         }
         let data = encode_change(life.stage.for_log(ChangeKind::Replace(order.clone())));
-        match life.prompter.propose(data) {
-            Some((index, term)) => {
+        match life.raft.propose(data) {
+            Some(LogPosition { index, term }) => {
                 life.orders.push(Pending {
                     name: name.into(),
                     index,
@@ -615,20 +618,17 @@
         let leases = self
             .nodes
             .values()
-            .filter(|n| n.life.as_ref().is_some_and(|l| l.prompter.holds_lease(now)))
+            .filter(|n| n.life.as_ref().is_some_and(|l| l.raft.holds_lease(now)))
             .count();
         if leases > 1 {
             return Err(format!("{leases} nodes hold the lease at {now}"));
         }
         for node in self.nodes.values() {
             let Some(life) = &node.life else { continue };
-            if life.prompter.is_leader() {
-                let first = *self
-                    .leaders
-                    .entry(life.prompter.term())
-                    .or_insert(life.prompter.id());
-                if first != life.prompter.id() {
-                    return Err(format!("two leaders in term {} at {now}", life.prompter.term()));
+            if life.raft.is_leader() {
+                let first = *self.leaders.entry(life.raft.term()).or_insert(life.raft.id());
+                if first != life.raft.id() {
+                    return Err(format!("two leaders in term {} at {now}", life.raft.term()));
                 }
             }
             let applied = self.applied.entry((node.name.clone(), life.started)).or_default();
