--- a/crates/raft/tests/membership_model.rs
+++ b/crates/raft/tests/membership_model.rs
@@ -313,8 +313,8 @@
     let histories: [(&[usize], &[Step]); 7] = [
         // One for another: a dead voter among an even number is in the way.
         (five, &[LeaveAndSwap(0), Wait(6600), Swap(4), Wait(4200)]),
-        (six, &[Order, WipeRegion(0), Wait(4100)]),
-        (six, &[Swap(0), Wait(4100), Wipe(2), Order]),
+        (six, &[Propose, WipeRegion(0), Wait(4100)]),
+        (six, &[Swap(0), Wait(4100), Wipe(2), Propose]),
         (six, &[Restart(0), LeaveAndSwap(0), LeaveAndSwap(1), Wait(4100)]),
         (seven, &[Swap(0), Wait(4100), Swap(5), Wait(4100)]),
         // A new leader does not know who has come in whose place.
@@ -324,7 +324,7 @@
                 Wipe(0),
                 Wait(4900),
                 Wait(4700),
-                Order,
+                Propose,
                 LeaveAndSwap(4),
                 Restart(3),
                 Wait(2100),
@@ -343,7 +343,7 @@
                 Wait(800),
                 Restart(1),
                 LeaveAndReturn(1),
-                Order,
+                Propose,
                 Wait(4100),
             ],
         ),
