--- a/crates/boxoffice/src/bench.rs
+++ b/crates/boxoffice/src/bench.rs
@@ -2,10 +2,10 @@
 //! their fellows. One node sees few requests of each worker; the leader sees
 //! them all. Health answers play no part: what requests show outweighs them.
 
-use playbill::constants as c;
-use playbill::letters::{short, Capacity, Worker};
-use playbill::Stage;
+use config::constants as c;
+use control_state::Stage;
 use preview::Side;
+use protocol::{short, Capacity, Worker};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Outcomes that fade.
@@ -154,8 +154,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use playbill::letters::{ChangeKind, WorkersChange};
-    use playbill::stage::encode_change;
+    use control_state::encode_change;
+    use protocol::{ChangeKind, WorkersChange};
     use std::sync::Arc;
 
     fn stage(count: usize) -> Stage {
--- a/crates/boxoffice/src/casting.rs
+++ b/crates/boxoffice/src/casting.rs
@@ -5,11 +5,11 @@
 //! That many shares exist and no more: a cast names the nodes that hold them,
 //! in the log, and who is not named has none.
 
-use playbill::config::cold_bound;
-use playbill::constants as c;
-use playbill::letters::{short, Cast, Worker, WorkersChange};
-use playbill::settings::Bounds;
-use playbill::Stage;
+use config::configuration::cold_bound;
+use config::constants as c;
+use config::settings::Bounds;
+use control_state::Stage;
+use protocol::{short, Cast, Worker, WorkersChange};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A worker as the platform lists it now; `cold_ms` is how much longer it is cold.
@@ -190,8 +190,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use playbill::letters::{ChangeKind, EvacuationChange, ReplaceOrder};
-    use playbill::stage::encode_change;
+    use control_state::encode_change;
+    use protocol::{ChangeKind, EvacuationChange, ReplaceOrder};
 
     const CONFIG: &str = r#"{"Version":1,"Limits":{"HeaderMaxBytes":1,"BodyMaxBytes":1,"HeaderTimeout":"1s","IdleTimeout":"1s"},
         "AccessPoints":[],"Groups":[{"Name":"s","ColdPeriod":"3s","ColdRateS":2.0},{"Name":"k","Partitioned":true,"ColdRateS":2.0}]}"#;
--- a/crates/boxoffice/src/draw.rs
+++ b/crates/boxoffice/src/draw.rs
@@ -1,4 +1,4 @@
-use playbill::letters::Fraction;
+use protocol::Fraction;
 
 /// Draws a site for a service and client group with the probabilities of the
 /// fractions. `usable` says which sites can be answered with now; `chance` is
--- a/crates/boxoffice/src/ledger.rs
+++ b/crates/boxoffice/src/ledger.rs
@@ -1,9 +1,9 @@
 //! What the reports of the proxies add up to.
 
 use crate::place::{Inputs, Placement};
-use playbill::constants as c;
-use playbill::letters::{short, Report};
-use playbill::Stage;
+use config::constants as c;
+use control_state::Stage;
+use protocol::{short, Report};
 use std::collections::{BTreeMap, BTreeSet};
 
 struct Latest {
--- a/crates/playbill/src/config.rs
+++ b/crates/config/src/configuration.rs
@@ -1,7 +1,7 @@
 //! The operator's configuration: what it says, and when it is invalid.
 
+use crate::duration_text::Span;
 use crate::settings::Bounds;
-use crate::span::Span;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
--- a/crates/playbill/src/amend.rs
+++ b/crates/config/src/modify.rs
@@ -2,7 +2,7 @@
 //! configuration in force. The result is a whole configuration, which is then
 //! judged and logged just as one that was sent whole.
 
-use crate::config::Fault;
+use crate::configuration::Fault;
 use serde::Deserialize;
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/playbill/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings file that a process is told about. Unknown fields are ignored.
 
-use crate::span::Span;
+use crate::duration_text::Span;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
--- a/crates/playbill/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,6 +1,6 @@
 //! The settings file: every field is read under its name, and what a file leaves out.
 
-use playbill::Settings;
+use config::Settings;
 
 const ALL: &str = include_str!("../../playhouse/tests/data/settings.toml");
 
--- a/crates/playbill/src/ledger.rs
+++ b/crates/control-state/src/command_history.rs
@@ -9,8 +9,9 @@
 //! (D. Ongaro, "Consensus: Bridging Theory and Practice", 6.3, with sessions replaced by
 //! what the operator's protocol offers.)
 
-use crate::constants as c;
-use crate::letters::{JudgedOrder, LedgerImage, OrderTag, ReplaceOrder, TakenOrder};
+use config::constants as c;
+use prost::Message as _;
+use protocol::{ControlCall, JudgedOrder, LedgerImage, Order, OrderTag, ReplaceOrder, TakenOrder};
 use sha2::{Digest, Sha256};
 use std::collections::VecDeque;
 
@@ -76,6 +77,24 @@
     }
 }
 
+/// What an order without a base is about, and the order itself as it was sent, each by its
+/// digest; `None` for reads and for orders that name a base.
+pub fn order_digests(order: &Order) -> Option<(u64, u64)> {
+    let subject: [&[u8]; 2] = match order {
+        Order::Evacuate(e) => [b"zone", e.zone.as_bytes()],
+        Order::Begin(order) => [b"service", order.service.as_bytes()],
+        Order::Steer(change) => [b"service", change.service.as_bytes()],
+        Order::KillSwitch(_) => [b"switch", b""],
+        _ => return None,
+    };
+    let sent = ControlCall {
+        order: Some(order.clone()),
+        ..Default::default()
+    };
+    let digest = short_digest(&[&sent.encode_to_vec()]);
+    Some((short_digest(&subject), digest))
+}
+
 impl Ledger {
     /// The ledger of a store older than it: the one order that is in force.
     pub fn of_one(base: u64, body: &[u8], amendment: &[u8], version: u64) -> Ledger {
--- a/crates/playbill/src/delta.rs
+++ b/crates/control-state/src/delta.rs
@@ -1,7 +1,7 @@
 //! A configuration as what it changes of another, byte for byte: the log then grows by
 //! the change, not by the size of the whole.
 
-use crate::letters::DeltaPart;
+use protocol::DeltaPart;
 use std::collections::HashMap;
 
 /// Bytes that must be alike before a part is copied: far more than a part costs.
--- a/crates/playbill/src/stage.rs
+++ b/crates/control-state/src/state.rs
@@ -1,16 +1,16 @@
 //! The control state: what the log says, applied in order. Every node holds a
 //! copy; two copies that stand at the same index are equal.
 
-use crate::amend::amend;
-use crate::config::{Configuration, Fault, Service};
-use crate::constants as c;
-use crate::delta::{delta, patch};
-use crate::ledger::{body_digest, key_of, Known, Ledger};
-use crate::letters::*;
+use crate::{body_digest, key_of, Known, Ledger};
+use crate::{delta, patch};
+use config::configuration::{Configuration, Fault, Service};
+use config::constants as c;
+use config::modify::amend;
 use flate2::write::DeflateEncoder;
 use flate2::{Compression, Crc, Decompress, FlushDecompress, Status};
 use preview::{Refusal, Side, Table};
 use prost::Message;
+use protocol::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
 use std::sync::Arc;
--- a/crates/playbill/tests/ledger.rs
+++ b/crates/control-state/tests/command_history.rs
@@ -1,10 +1,10 @@
 //! Orders judged by the log alone: every history of two operators over a few bases, sent
 //! again in any order and after any snapshot, and orders without a base by their tags.
 
-use playbill::constants as c;
-use playbill::letters::{ChangeKind, EvacuationChange, OrderTag, ReplaceOrder};
-use playbill::stage::{encode_change, encode_order, Judgement, Outcome};
-use playbill::Stage;
+use config::constants as c;
+use control_state::Stage;
+use control_state::{encode_change, encode_order, Judgement, Outcome};
+use protocol::{ChangeKind, EvacuationChange, OrderTag, ReplaceOrder};
 use std::collections::BTreeMap;
 
 fn order(base: u64, version: u64, note: &str) -> ReplaceOrder {
--- a/crates/playbill/tests/deltas.rs
+++ b/crates/control-state/tests/deltas.rs
@@ -1,12 +1,12 @@
 //! A configuration in the log as what it changes of another: the same bytes come of it,
 //! and the same outcome as of the whole, whatever has come between.
 
-use playbill::delta::{delta, patch};
-use playbill::letters::*;
-use playbill::stage::{encode_change, Outcome};
-use playbill::Stage;
+use control_state::Stage;
+use control_state::{delta, patch};
+use control_state::{encode_change, Outcome};
 use proptest::prelude::*;
 use prost::Message;
+use protocol::*;
 
 fn body(version: u64, marks: &[u64]) -> Vec<u8> {
     let group = |(i, mark): (usize, &u64)| {
--- a/crates/playbill/tests/snapshots.rs
+++ b/crates/control-state/tests/snapshots.rs
@@ -1,8 +1,8 @@
 //! The data of a snapshot is read whole or not at all.
 
-use playbill::letters::*;
-use playbill::stage::encode_change;
-use playbill::Stage;
+use control_state::encode_change;
+use control_state::Stage;
+use protocol::*;
 
 fn stage() -> Stage {
     let body = br#"{"Version":3,"Limits":{"HeaderMaxBytes":1,"BodyMaxBytes":1,"HeaderTimeout":"1s","IdleTimeout":"1s"},"AccessPoints":[],"Groups":[{"Name":"s","Partitioned":true}]}"#;
--- a/crates/playhouse/src/answers_tests.rs
+++ b/crates/playhouse/src/answers_tests.rs
@@ -3,8 +3,8 @@
 
 use crate::forwarding_tests::{front, get, house, post, raw, status, CONFIG};
 use crate::upstream::{simple, Simple, Upstream};
-use playbill::letters::{ChangeKind, ReplaceOrder};
-use playbill::stage::encode_change;
+use control_state::encode_change;
+use protocol::{ChangeKind, ReplaceOrder};
 use socket2::SockRef;
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
--- a/crates/playhouse/src/cli/check.rs
+++ b/crates/playhouse/src/cli/check.rs
@@ -1,8 +1,9 @@
 //! Checking files without talking to anybody.
 
 use super::{exit, Done, Failure};
-use playbill::amend::amend;
-use playbill::{Configuration, Settings};
+use config::modify::amend;
+use config::Configuration;
+use config::Settings;
 use std::path::Path;
 
 pub fn check(settings: Option<&Path>, config: Option<&Path>, modify: Option<&Path>) -> Done {
--- a/crates/playhouse/src/cli/config.rs
+++ b/crates/playhouse/src/cli/configuration.rs
@@ -3,7 +3,9 @@
 use super::call::{call, Answered};
 use super::check::{is_modify, valid_config, valid_modify};
 use super::{exit, ControlArgs, Done, Failure};
-use playbill::{Configuration, Route, Service};
+use config::Configuration;
+use config::Route;
+use config::Service;
 use std::collections::BTreeMap;
 use std::path::Path;
 
--- a/crates/playhouse/src/cli/keys.rs
+++ b/crates/playhouse/src/cli/keys.rs
@@ -3,7 +3,7 @@
 use super::call::call;
 use super::{exit, ControlArgs, Done, Failure};
 use clap::Subcommand;
-use playbill::stage::KEYS;
+use control_state::KEYS;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
--- a/crates/playhouse/src/cli/mod.rs
+++ b/crates/playhouse/src/cli/mod.rs
@@ -3,7 +3,7 @@
 
 mod call;
 mod check;
-mod config;
+mod configuration;
 mod keys;
 mod rollout;
 mod status;
@@ -69,7 +69,7 @@
 #[derive(Args)]
 pub struct ServeArgs {
     /// Pause between two lines of counters in the log, in seconds; 0 for none.
-    #[arg(long, default_value_t = playbill::constants::COUNTERS_EVERY_S)]
+    #[arg(long, default_value_t = config::constants::COUNTERS_EVERY_S)]
     pub counters_every: u64,
     /// Least level of what is logged.
     #[arg(long, default_value = "info", value_parser = ["error", "warn", "info", "debug"])]
@@ -167,17 +167,19 @@
             args.config.as_deref(),
             args.modify.as_deref(),
         ),
-        Command::Config(ConfigCommand::Get(c)) => config::get(&c),
-        Command::Config(ConfigCommand::Put { file, base, control }) => config::put(&file, base, &control),
+        Command::Config(ConfigCommand::Get(c)) => configuration::get(&c),
+        Command::Config(ConfigCommand::Put { file, base, control }) => {
+            configuration::put(&file, base, &control)
+        }
         Command::Config(ConfigCommand::Modify { file, base, control }) => {
-            config::modify(&file, base, &control)
+            configuration::modify(&file, base, &control)
         }
-        Command::Config(ConfigCommand::Diff { file, control }) => config::diff(&file, &control),
+        Command::Config(ConfigCommand::Diff { file, control }) => configuration::diff(&file, &control),
         Command::Evacuate(EvacuateCommand::Begin { zone, control }) => {
-            config::evacuate(&zone, "begin", &control)
+            configuration::evacuate(&zone, "begin", &control)
         }
         Command::Evacuate(EvacuateCommand::Finish { zone, control }) => {
-            config::evacuate(&zone, "finish", &control)
+            configuration::evacuate(&zone, "finish", &control)
         }
         Command::Keys(command) => keys::run(command),
         Command::Rollout(command) => rollout::run(command),
--- a/crates/playhouse/src/conductor/orders.rs
+++ b/crates/playhouse/src/conductor/orders.rs
@@ -3,10 +3,10 @@
 use super::Proposal;
 use super::{rollouts, Conductor};
 use actix::prelude::*;
-use playbill::constants as c;
-use playbill::ledger::key_of;
-use playbill::letters::*;
-use playbill::stage::{encode_order, Judgement, Outcome};
+use config::constants as c;
+use control_state::key_of;
+use control_state::{encode_order, Judgement, Outcome};
+use protocol::*;
 use raft::{is_durable, tolerates_faults, LogPosition};
 use rand::seq::SliceRandom;
 use std::collections::BTreeSet;
@@ -455,7 +455,7 @@
         let me = ctx.address();
         // A zone evacuated for too long costs work; one taken back too soon breaks a promise.
         let cautious = matches!(&order, Order::Evacuate(e) if !e.begin);
-        let tag = order.digests().map(|(subject, digest)| {
+        let tag = control_state::order_digests(&order).map(|(subject, digest)| {
             self.last_order += 1;
             OrderTag {
                 life: self.calls.life().0,
--- a/crates/playhouse/src/conductor/rollouts.rs
+++ b/crates/playhouse/src/conductor/rollouts.rs
@@ -4,10 +4,10 @@
 use super::Conductor;
 use crate::producer::{Figures, MayPass, Producer};
 use actix::prelude::*;
-use playbill::constants as c;
-use playbill::letters::*;
-use playbill::Stage;
+use config::constants as c;
+use control_state::Stage;
 use preview::{Action, Preview, PreviewChange, Refusal, Side};
+use protocol::*;
 use std::collections::BTreeSet;
 
 /// The answer to a change of a rollout that does not take place.
--- a/crates/playhouse/src/conductor/status.rs
+++ b/crates/playhouse/src/conductor/status.rs
@@ -1,7 +1,7 @@
 //! What a node tells of the control side, for operators.
 
 use super::Conductor;
-use playbill::constants as c;
+use config::constants as c;
 
 impl Conductor {
     pub(super) fn status(&self) -> Vec<u8> {
--- a/crates/playhouse/src/conductor/tending.rs
+++ b/crates/playhouse/src/conductor/tending.rs
@@ -3,8 +3,8 @@
 
 use super::Conductor;
 use callboard::Member;
-use playbill::constants as c;
-use playbill::letters::{Digests, Matter};
+use config::constants as c;
+use protocol::{Digests, Matter};
 use raft::{
     next_membership, FaultTolerance, PeerObservation, SilenceTimeouts, UpstreamCandidate, UpstreamTimeouts,
     Voter,
--- a/crates/playhouse/src/control_tests.rs
+++ b/crates/playhouse/src/control_tests.rs
@@ -3,7 +3,7 @@
 
 use crate::forwarding_tests::{free_port, status, CONFIG};
 use crate::kernel::{start_all_but, House};
-use playbill::Settings;
+use config::Settings;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/playhouse/src/desks.rs
+++ b/crates/playhouse/src/desks.rs
@@ -14,8 +14,8 @@
 use actix_web::http::{header, StatusCode};
 use actix_web::{web, App, HttpRequest, HttpResponse};
 use callboard::Member;
-use playbill::constants as c;
-use playbill::letters::{ControlAnswer, EvacuationChange, Order, ReplaceOrder};
+use config::constants as c;
+use protocol::{ControlAnswer, EvacuationChange, Order, ReplaceOrder};
 use rand::seq::SliceRandom;
 use rand::Rng;
 use std::collections::BTreeSet;
@@ -281,7 +281,12 @@
     addresses
 }
 
-fn draw_site(stage: &playbill::Stage, asked: &Asked, up: &[&Member], rng: &mut impl Rng) -> Option<String> {
+fn draw_site(
+    stage: &control_state::Stage,
+    asked: &Asked,
+    up: &[&Member],
+    rng: &mut impl Rng,
+) -> Option<String> {
     let config = stage.config.as_ref()?;
     let routes = config.hosts.get(&asked.name.to_ascii_lowercase())?;
     let services: Vec<&str> = routes
--- a/crates/playhouse/src/desks/rollouts.rs
+++ b/crates/playhouse/src/desks/rollouts.rs
@@ -3,9 +3,9 @@
 use super::{fault, order, Shared};
 use actix_web::http::StatusCode;
 use actix_web::{web, HttpRequest, HttpResponse};
-use playbill::letters::{BeginOrder, KillSwitch, Order};
-use playbill::span::Span;
+use config::duration_text::Span;
 use preview::{Action, Create, PreviewChange};
+use protocol::{BeginOrder, KillSwitch, Order};
 use serde::Deserialize;
 use validator::Validate;
 
--- a/crates/playhouse/src/forwarding_tests.rs
+++ b/crates/playhouse/src/forwarding_tests.rs
@@ -2,9 +2,10 @@
 //! do what a test tells them. Nothing here depends on how long things take.
 
 use crate::kernel::{start_all_but, House, Standing};
-use playbill::letters::*;
-use playbill::stage::encode_change;
-use playbill::{Settings, Stage};
+use config::Settings;
+use control_state::encode_change;
+use control_state::Stage;
+use protocol::*;
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
--- a/crates/playhouse/src/front.rs
+++ b/crates/playhouse/src/front.rs
@@ -15,10 +15,10 @@
 };
 use actix_service::{boxed, fn_service, Service, ServiceFactory};
 use bytes::{Bytes, BytesMut};
+use config::configuration::{ClientLimits, Configuration, RouteKind};
+use config::constants as c;
+use config::Route;
 use futures_util::StreamExt;
-use playbill::config::{ClientLimits, Configuration, RouteKind};
-use playbill::constants as c;
-use playbill::Route;
 use std::cell::Cell;
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -168,8 +168,7 @@
         };
         let partitioned = config.services.get(&service).is_some_and(|s| s.partitioned);
         let key = if partitioned {
-            let key =
-                number(request.headers(), "Shard-Key").filter(|k| *k < u64::from(playbill::stage::KEYS));
+            let key = number(request.headers(), "Shard-Key").filter(|k| *k < u64::from(control_state::KEYS));
             match key {
                 Some(key) => Some(key as u32),
                 None => return Err(plain(StatusCode::BAD_REQUEST, "Shard-Key is missing or no key")),
--- a/crates/playhouse/src/kernel.rs
+++ b/crates/playhouse/src/kernel.rs
@@ -1,6 +1,7 @@
 //! The kernel: what all parts share, and the plug-ins that register themselves.
 
-use playbill::{Settings, Stage};
+use config::Settings;
+use control_state::Stage;
 use std::any::{Any, TypeId};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
--- a/crates/playhouse/src/lobby.rs
+++ b/crates/playhouse/src/lobby.rs
@@ -3,7 +3,7 @@
 use crate::kernel::{House, Plugin};
 use actix::prelude::*;
 use callboard::{Board, Member, Notice, Timing};
-use playbill::constants as c;
+use config::constants as c;
 use prost::Message as _;
 use rand::Rng;
 use std::collections::BTreeMap;
--- a/crates/playhouse/src/main.rs
+++ b/crates/playhouse/src/main.rs
@@ -32,9 +32,9 @@
 #[cfg(test)]
 mod vault_tests;
 
+use config::settings::SETTINGS_ENV;
+use config::Settings;
 use kernel::House;
-use playbill::settings::SETTINGS_ENV;
-use playbill::Settings;
 use std::process::ExitCode;
 
 struct Log;
--- a/crates/playhouse/src/producer.rs
+++ b/crates/playhouse/src/producer.rs
@@ -3,10 +3,10 @@
 use crate::conductor::{Behind, Conductor, Lease, Propose};
 use crate::kernel::{House, Plugin};
 use actix::prelude::*;
-use playbill::constants as c;
-use playbill::letters::{short, Capacity, ChangeKind};
-use playbill::Stage;
+use config::constants as c;
+use control_state::Stage;
 use preview::{Action, Critic, Facts, Level, Levels, Preview, Side, Trial, Verdict};
+use protocol::{short, Capacity, ChangeKind};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/playhouse/src/sockets.rs
+++ b/crates/playhouse/src/sockets.rs
@@ -1,6 +1,6 @@
 //! Sockets with the options that every connection here has.
 
-use playbill::constants as c;
+use config::constants as c;
 use socket2::{Domain, Protocol, SockRef, Socket, TcpKeepalive, Type};
 use std::io;
 use std::mem::MaybeUninit;
--- a/crates/playhouse/src/stored_data_tests.rs
+++ b/crates/playhouse/src/stored_data_tests.rs
@@ -3,8 +3,8 @@
 //! encoded state that its snapshot and log come to.
 
 use crate::vault::{Opened, Vault};
+use control_state::Stage;
 use flate2::read::GzDecoder;
-use playbill::Stage;
 use raft::{EntryType, Membership};
 use std::io::Read;
 use std::path::{Path, PathBuf};
--- a/crates/playhouse/src/vault.rs
+++ b/crates/playhouse/src/vault.rs
@@ -10,9 +10,9 @@
 #[cfg(test)]
 mod power_tests;
 
+use config::constants as c;
+use control_state::Stage;
 use high_water::HighWater;
-use playbill::constants as c;
-use playbill::Stage;
 use prost::Message;
 use raft::{HardState, PersistentState, StorageWrite};
 use redb::{Builder, Database, ReadableTable, TableDefinition};
--- a/crates/playhouse/src/vault/high_water.rs
+++ b/crates/playhouse/src/vault/high_water.rs
@@ -6,7 +6,7 @@
 //! counted here was whole on disk, so a store that holds fewer is damaged. The
 //! count is written after the commit that it counts: it may lag, never lead.
 
-use playbill::constants as c;
+use config::constants as c;
 use std::fs::File;
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
--- a/crates/playhouse/src/vault/load.rs
+++ b/crates/playhouse/src/vault/load.rs
@@ -5,7 +5,7 @@
 //! file under its own name is never a first write cut short.
 
 use super::{high_water, meta_number, open_store, sync_folder, Fallible, Identity, Paths, LOG, META};
-use playbill::Stage;
+use control_state::Stage;
 use prost::Message;
 use raft::{Entry, HardState, PersistentState, Snapshot};
 use rand::Rng;
--- a/crates/playbill/src/letters.rs
+++ b/crates/protocol/src/messages.rs
@@ -1,6 +1,5 @@
 //! Messages between nodes, and the changes that the log orders.
 
-use crate::ledger::short_digest;
 use preview::{Create, Preview, PreviewChange, Trial};
 use prost::{Message, Oneof};
 use std::collections::BTreeMap;
@@ -87,26 +86,6 @@
     Rollouts(bool),
 }
 
-impl Order {
-    /// What an order without a base is about, and the order itself as it was sent, each
-    /// by its digest; `None` for reads and for orders that name a base.
-    pub fn digests(&self) -> Option<(u64, u64)> {
-        let subject: [&[u8]; 2] = match self {
-            Order::Evacuate(e) => [b"zone", e.zone.as_bytes()],
-            Order::Begin(order) => [b"service", order.service.as_bytes()],
-            Order::Steer(change) => [b"service", change.service.as_bytes()],
-            Order::KillSwitch(_) => [b"switch", b""],
-            _ => return None,
-        };
-        let sent = ControlCall {
-            order: Some(self.clone()),
-            ..Default::default()
-        };
-        let digest = short_digest(&[&sent.encode_to_vec()]);
-        Some((short_digest(&subject), digest))
-    }
-}
-
 /// An order to move a service to a new version.
 #[derive(Clone, PartialEq, Message)]
 pub struct BeginOrder {
--- a/crates/playbill/tests/pairing.rs
+++ b/crates/protocol/tests/correlation.rs
@@ -1,11 +1,11 @@
 //! Answers that are late, doubled, lost, out of order or from a life before
 //! reach only the caller that asked, and at most once.
 
-use playbill::pairing::{CallId, Calls, Life};
 use proptest::prelude::*;
 use proptest::sample::Index;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::TestRunner;
+use protocol::{CallId, Calls, Life};
 use std::collections::BTreeMap;
 
 const WAIT: u64 = 100;
--- a/crates/rehearsal/examples/capacity.rs
+++ b/crates/rehearsal/examples/capacity.rs
@@ -12,13 +12,14 @@
 
 use boxoffice::{Bench, Caller, Casting, Scene};
 use callboard::{Board, Member, Notice, Timing};
-use playbill::config::RouteKind;
-use playbill::constants as c;
-use playbill::letters::*;
-use playbill::settings::Bounds;
-use playbill::stage::{encode_change, KEYS};
-use playbill::{Configuration, Stage};
+use config::configuration::RouteKind;
+use config::constants as c;
+use config::settings::Bounds;
+use config::Configuration;
+use control_state::Stage;
+use control_state::{encode_change, KEYS};
 use prost::Message as _;
+use protocol::*;
 use rehearsal::world::World;
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/rehearsal/examples/catch_up.rs
+++ b/crates/rehearsal/examples/catch_up.rs
@@ -5,8 +5,8 @@
 //! cargo run --release -p rehearsal --example catch_up
 //! ```
 
-use playbill::letters::ReplaceOrder;
-use playbill::stage::Outcome;
+use control_state::Outcome;
+use protocol::ReplaceOrder;
 use rehearsal::script::large_configuration;
 use rehearsal::world::World;
 
--- a/crates/rehearsal/src/front.rs
+++ b/crates/rehearsal/src/front.rs
@@ -5,11 +5,12 @@
 use crate::history::{digest, Reply, Request};
 use crate::node::{Did, Life};
 use crate::world::LOSSES;
-use playbill::constants as c;
-use playbill::ledger::key_of;
-use playbill::letters::{self, ChangeKind, EvacuationChange, OrderTag, ReplaceOrder, TakenOrder};
-use playbill::stage::{encode_order, Judgement, Outcome};
-use playbill::{CallId, Calls};
+use config::constants as c;
+use control_state::key_of;
+use control_state::{encode_order, Judgement, Outcome};
+use protocol::CallId;
+use protocol::Calls;
+use protocol::{self, ChangeKind, EvacuationChange, OrderTag, ReplaceOrder, TakenOrder};
 use raft::{is_durable, tolerates_faults, LogPosition, ReadState};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -135,7 +136,7 @@
         let drawn = if mutant == Mutant::PairsByNumber { 0 } else { life };
         Front {
             life,
-            calls: Calls::new(playbill::Life(drawn), c::CALL_WAIT_MS),
+            calls: Calls::new(protocol::Life(drawn), c::CALL_WAIT_MS),
             errands: BTreeMap::new(),
             next: 0,
             orders_seen: BTreeMap::new(),
@@ -148,7 +149,8 @@
     pub fn take(&mut self, now: u64, node: &Life, origin: Origin, mut order: Order) {
         self.next += 1;
         if let (Origin::Operator { .. }, Request::Evacuate { zone, begin }) = (&origin, &order.request) {
-            let digests = letters::Order::Evacuate(evacuation(zone, *begin)).digests();
+            let command = protocol::Order::Evacuate(evacuation(zone, *begin));
+            let digests = control_state::order_digests(&command);
             let tag = digests.map(|(subject, digest)| OrderTag {
                 life: self.life,
                 number: self.next,
--- a/crates/rehearsal/src/node.rs
+++ b/crates/rehearsal/src/node.rs
@@ -1,10 +1,10 @@
 //! One node: the agreement, its copy of the control state, and the wardrobe.
 
 use crate::disk::Disk;
-use playbill::constants as c;
-use playbill::letters::ReplaceOrder;
-use playbill::stage::Outcome;
-use playbill::Stage;
+use config::constants as c;
+use control_state::Outcome;
+use control_state::Stage;
+use protocol::ReplaceOrder;
 use raft::{Config, EntryType, LogPosition, RaftNode, ReadState, UpstreamSelector};
 use std::collections::VecDeque;
 use wardrobe::Wardrobe;
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -15,10 +15,10 @@
 use crate::node::{Did, Node};
 use crate::workers::StandIn;
 use crate::world::{World, STEP_MS};
-use playbill::constants::SAME_ORDER_MS;
-use playbill::letters::{BenchChange, ChangeKind, Worker};
-use playbill::stage::encode_change;
-use playbill::CallId;
+use config::constants::SAME_ORDER_MS;
+use control_state::encode_change;
+use protocol::CallId;
+use protocol::{BenchChange, ChangeKind, Worker};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -415,7 +415,7 @@
                 let Some((order, attempt)) = self.logged.get(&(*index, *term)).copied() else {
                     continue;
                 };
-                let changed = *outcome == Some(playbill::stage::Outcome::Applied);
+                let changed = *outcome == Some(control_state::Outcome::Applied);
                 let saw = Saw::Effect {
                     life,
                     index: *index,
--- a/crates/rehearsal/src/script.rs
+++ b/crates/rehearsal/src/script.rs
@@ -30,8 +30,8 @@
 
 use crate::workers::StandIn;
 use crate::world::World;
-use playbill::letters::{ReplaceOrder, Worker};
-use playbill::stage::Outcome;
+use control_state::Outcome;
+use protocol::{ReplaceOrder, Worker};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -369,7 +369,7 @@
                     }
                     next = next.max(to + 1);
                 }
-                next == playbill::stage::KEYS
+                next == control_state::KEYS
             }
             "current" => words[1..]
                 .iter()
--- a/crates/rehearsal/src/workers.rs
+++ b/crates/rehearsal/src/workers.rs
@@ -1,6 +1,6 @@
 //! Stand-in workers that hold keys, as the protocol lays it down.
 
-use playbill::letters::{Holding, Worker};
+use protocol::{Holding, Worker};
 use wardrobe::{Granted, Released};
 
 #[derive(Clone, Debug)]
--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -3,9 +3,9 @@
 use crate::disk::Disk;
 use crate::node::{Did, Life, Node, Pending};
 use crate::workers::StandIn;
-use playbill::constants as c;
-use playbill::letters::*;
-use playbill::stage::{encode_change, Outcome};
+use config::constants as c;
+use control_state::{encode_change, Outcome};
+use protocol::*;
 use raft::{
     next_membership, tolerates_faults, FaultTolerance, LogPosition, PeerObservation, SilenceTimeouts,
     UpstreamCandidate, UpstreamTimeouts, Voter,
@@ -258,7 +258,7 @@
 
     fn settle(&mut self, order: String, replace: &ReplaceOrder, outcome: Option<Outcome>) {
         if matches!(outcome, Some(Outcome::Applied | Outcome::Already)) {
-            if let Ok(config) = playbill::Configuration::parse(&replace.body) {
+            if let Ok(config) = config::Configuration::parse(&replace.body) {
                 self.acked_version = self.acked_version.max(config.version);
             }
         }
--- a/crates/rehearsal/tests/catch_up.rs
+++ b/crates/rehearsal/tests/catch_up.rs
@@ -1,9 +1,9 @@
 //! Hundreds of changes of real size, and members that were away: who comes back
 //! catches up within a stated time, whatever its link and however large the state.
 
-use playbill::letters::ReplaceOrder;
-use playbill::stage::Outcome;
-use playbill::Configuration;
+use config::Configuration;
+use control_state::Outcome;
+use protocol::ReplaceOrder;
 use rehearsal::script::large_configuration;
 use rehearsal::world::World;
 
--- a/crates/rehearsal/tests/cold.rs
+++ b/crates/rehearsal/tests/cold.rs
@@ -2,13 +2,13 @@
 //! arbitrary arrivals, joins, restarts, leaders and views that lag behind.
 
 use boxoffice::{Caller, Casting, Listed, Scene};
-use playbill::constants as c;
-use playbill::letters::*;
-use playbill::settings::Bounds;
-use playbill::stage::{encode_change, KEYS};
-use playbill::Stage;
+use config::constants as c;
+use config::settings::Bounds;
+use control_state::Stage;
+use control_state::{encode_change, KEYS};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
+use protocol::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
--- a/crates/rehearsal/tests/histories.rs
+++ b/crates/rehearsal/tests/histories.rs
@@ -2,12 +2,12 @@
 //! last saw, one rollout of a service is active, ends are final, races have one
 //! winner, and the split from before comes back exactly.
 
-use playbill::letters::ChangeKind;
-use playbill::stage::{encode_change, Outcome};
-use playbill::Stage;
+use control_state::Stage;
+use control_state::{encode_change, Outcome};
 use preview::{Action, Create, PreviewChange, Refusal, Side, State};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
+use protocol::ChangeKind;
 use std::collections::BTreeMap;
 
 const ACTIONS: [Action; 7] = [
--- a/crates/rehearsal/tests/model.rs
+++ b/crates/rehearsal/tests/model.rs
@@ -3,10 +3,10 @@
 //! whose answers are lost. No key ever has two holders. A leader that forgets what
 //! its predecessor granted must be found.
 
-use playbill::constants as c;
-use playbill::letters::*;
-use playbill::stage::encode_change;
-use playbill::Stage;
+use config::constants as c;
+use control_state::encode_change;
+use control_state::Stage;
+use protocol::*;
 use rehearsal::workers::StandIn;
 use wardrobe::{Act, GrantCall, Granted, ReleaseCall, Released, Wardrobe};
 
--- a/crates/rehearsal/tests/rollouts.rs
+++ b/crates/rehearsal/tests/rollouts.rs
@@ -19,11 +19,11 @@
 //! At the end of each: a bad version had no more than it may have, lost its traffic
 //! in time, and what was said to have ended has ended everywhere.
 
-use playbill::letters::*;
-use playbill::settings::Bounds;
-use playbill::stage::{encode_change, Outcome};
-use playbill::Stage;
+use config::settings::Bounds;
+use control_state::Stage;
+use control_state::{encode_change, Outcome};
 use preview::{Action, Create, Critic, Facts, Level, Levels, PreviewChange, Side, State, Trial};
+use protocol::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
--- a/crates/rehearsal/tests/wire.rs
+++ b/crates/rehearsal/tests/wire.rs
@@ -4,9 +4,9 @@
 //! of the version that wrote them.
 
 use callboard::{Member, Notice};
-use playbill::letters::*;
 use preview::{Audit, Create, Preview, PreviewChange, Review, Showing, Trial};
 use prost::Message;
+use protocol::*;
 use raft::{Entry, Membership, Snapshot, Voter};
 
 /// Messages in `wire.hex`.
--- a/crates/understage/src/fleet.rs
+++ b/crates/understage/src/fleet.rs
@@ -7,7 +7,7 @@
 use crate::platform::Platform;
 use crate::settings::{self, Machine};
 use crate::NotPlayed;
-use playbill::Settings;
+use config::Settings;
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
--- a/crates/understage/src/node.rs
+++ b/crates/understage/src/node.rs
@@ -2,7 +2,7 @@
 
 use crate::settings;
 use crate::NotPlayed;
-use playbill::settings::SETTINGS_ENV;
+use config::settings::SETTINGS_ENV;
 use rustix::process::{kill_process, Pid, Signal};
 use std::os::unix::process::CommandExt as _;
 use std::path::{Path, PathBuf};
--- a/crates/understage/tests/parts.rs
+++ b/crates/understage/tests/parts.rs
@@ -1,7 +1,7 @@
 //! What a fleet is made of, without starting one.
 
-use playbill::config::Configuration;
-use playbill::Settings;
+use config::configuration::Configuration;
+use config::Settings;
 use std::path::Path;
 use understage::net::Net;
 use understage::node::leads_in;
--- a/crates/understudy/src/lib.rs
+++ b/crates/understudy/src/lib.rs
@@ -1,9 +1,9 @@
 //! Repair: a data-plane copy is compared with another by digests over ranges
 //! of its rows, and ranges that differ are mended from the newer copy.
 
-use playbill::letters::{Digests, Mend, StageImage};
-use playbill::Stage;
+use control_state::Stage;
 use prost::Message;
+use protocol::{Digests, Mend, StageImage};
 
 /// Ranges that hold one table each: configuration, evacuations, fractions,
 /// allowances with all that is small.
--- a/crates/understudy/tests/asked.rs
+++ b/crates/understudy/tests/asked.rs
@@ -1,9 +1,9 @@
 //! A mend says of the ranges that it leaves out only that they were equal to what
 //! was asked about. On a copy that has changed since it makes a state that never was.
 
-use playbill::letters::{ChangeKind, EvacuationChange};
-use playbill::stage::encode_change;
-use playbill::Stage;
+use control_state::encode_change;
+use control_state::Stage;
+use protocol::{ChangeKind, EvacuationChange};
 use understudy::{digests, mend_for, mended, mended_since};
 
 fn evacuate(stage: &Stage, begin: bool) -> Stage {
--- a/crates/understudy/tests/repair.rs
+++ b/crates/understudy/tests/repair.rs
@@ -1,8 +1,8 @@
 //! What differs between two copies is sent, and only the newer one gives.
 
-use playbill::letters::{ChangeKind, EvacuationChange, Worker, WorkersChange};
-use playbill::stage::encode_change;
-use playbill::Stage;
+use control_state::encode_change;
+use control_state::Stage;
+use protocol::{ChangeKind, EvacuationChange, Worker, WorkersChange};
 use understudy::{digests, mend_for, mended};
 
 fn add(stage: &mut Stage, index: u64, id: &str) {
--- a/crates/usher/src/pool.rs
+++ b/crates/usher/src/pool.rs
@@ -3,8 +3,8 @@
 //! this out alone from the same lists; windows on a ring keep the shares even
 //! and move little when workers or nodes come and go.
 
-use playbill::constants as c;
-use playbill::letters::Worker;
+use config::constants as c;
+use protocol::Worker;
 use std::sync::Arc;
 
 /// Where this node stands among the edge nodes.
--- a/crates/usher/src/seats.rs
+++ b/crates/usher/src/seats.rs
@@ -1,12 +1,12 @@
 use crate::budget::Budget;
 use crate::pool::{Place, Pool};
 use crate::trial::{Ledger, Ticket, Trials};
-use playbill::config::{cold_bound, Route};
-use playbill::constants as c;
-use playbill::letters::{short, Worker};
-use playbill::settings::Bounds;
-use playbill::Stage;
+use config::configuration::{cold_bound, Route};
+use config::constants as c;
+use config::settings::Bounds;
+use control_state::Stage;
 use preview::{Side, Trial};
+use protocol::{short, Worker};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -720,8 +720,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use playbill::letters::*;
-    use playbill::stage::encode_change;
+    use control_state::encode_change;
+    use protocol::*;
 
     const CONFIG: &str = r#"{"Version":1,"Limits":{"HeaderMaxBytes":1,"BodyMaxBytes":1,"HeaderTimeout":"1s","IdleTimeout":"1s"},
         "AccessPoints":[{"Host":"h","Rules":[
--- a/crates/wardrobe/src/lib.rs
+++ b/crates/wardrobe/src/lib.rs
@@ -7,11 +7,11 @@
 mod loads;
 mod plan;
 
+use config::constants as c;
+use control_state::Stage;
 use loads::Loads;
 use plan::View;
-use playbill::constants as c;
-use playbill::letters::{Capacity, Holding, KeyCounts};
-use playbill::Stage;
+use protocol::{Capacity, Holding, KeyCounts};
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
 
@@ -355,7 +355,7 @@
             return acts;
         }
         let cold = |id: &str| {
-            let unread = |w: &Arc<playbill::letters::Worker>| stage.is_unread(w);
+            let unread = |w: &Arc<protocol::Worker>| stage.is_unread(w);
             self.is_weak(now, id) || stage.workers.get(id).is_some_and(unread)
         };
         let view = View::new(stage, &self.loads, &cold);
--- a/crates/wardrobe/src/loads.rs
+++ b/crates/wardrobe/src/loads.rs
@@ -1,8 +1,8 @@
 //! How busy keys and workers are.
 
-use playbill::constants as c;
-use playbill::letters::{short, Capacity, KeyCounts, Worker};
-use playbill::stage::KEYS;
+use config::constants as c;
+use control_state::KEYS;
+use protocol::{short, Capacity, KeyCounts, Worker};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Default)]
--- a/crates/wardrobe/src/plan.rs
+++ b/crates/wardrobe/src/plan.rs
@@ -1,10 +1,10 @@
 //! Who gets which ranges.
 
 use crate::loads::Loads;
-use playbill::constants as c;
-use playbill::letters::{Holding, Worker};
-use playbill::stage::KEYS;
-use playbill::Stage;
+use config::constants as c;
+use control_state::Stage;
+use control_state::KEYS;
+use protocol::{Holding, Worker};
 use std::cell::OnceCell;
 use std::collections::HashMap;
 
--- a/crates/wardrobe/src/tests.rs
+++ b/crates/wardrobe/src/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use playbill::letters::*;
-use playbill::stage::{encode_change, KEYS};
+use control_state::{encode_change, KEYS};
+use protocol::*;
 
 const CONFIG: &str = r#"{"Version":1,"Limits":{"HeaderMaxBytes":1,"BodyMaxBytes":1,"HeaderTimeout":"1s","IdleTimeout":"1s"},
     "AccessPoints":[],"Groups":[{"Name":"s","Partitioned":true}]}"#;
