--- a/crates/boxoffice/src/bench.rs
+++ b/crates/boxoffice/src/bench.rs
@@ -3,9 +3,9 @@
 //! them all. Health answers play no part: what requests show outweighs them.
 
 use config::constants as c;
-use control_state::Stage;
+use control_state::ControlState;
 use preview::Side;
-use protocol::{short, Capacity, Worker};
+use protocol::{name_hash, Worker, WorkerStats};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Outcomes that fade.
@@ -52,39 +52,39 @@
     /// Begins the duty: for a while only those on the bench are looked after.
     pub fn begin(&mut self, now: u64) {
         *self = Bench {
-            settled_at: now + c::BENCH_SETTLE_MS,
+            settled_at: now + c::OUTLIER_SETTLE_MS,
             ..Default::default()
         };
     }
 
-    pub fn take(&mut self, capacity: &[Capacity]) {
+    pub fn take(&mut self, capacity: &[WorkerStats]) {
         for w in capacity {
             let o = self.outcomes.entry(w.worker).or_default();
             o.served += w.served as f64;
             o.failed += w.failed as f64;
-            o.answered_ms += f64::from(w.answer_ms) * w.served as f64;
+            o.answered_ms += f64::from(w.response_ms) * w.served as f64;
         }
     }
 
     /// Who is on the bench from now on.
-    pub fn decide(&mut self, now: u64, stage: &Stage) -> BTreeSet<String> {
-        for id in stage.benched.iter() {
+    pub fn decide(&mut self, now: u64, stage: &ControlState) -> BTreeSet<String> {
+        for id in stage.ejected.iter() {
             // Benched by an earlier leader.
             self.sentences.entry(id.clone()).or_insert(Sentence {
-                until: now + c::BENCH_MS,
-                lasted: c::BENCH_MS,
+                until: now + c::EJECTION_MS,
+                lasted: c::EJECTION_MS,
             });
         }
         for (id, s) in &self.sentences {
             if now < s.until {
                 // What it did before does not count when it comes back.
-                self.outcomes.remove(&short(id));
+                self.outcomes.remove(&name_hash(id));
             }
         }
         let mut on: BTreeSet<String> = BTreeSet::new();
         let mut services: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
         // A version on trial is judged as a whole.
-        let able = |w: &&Worker| !w.draining && stage.side(w) == Side::Old;
+        let able = |w: &&Worker| !w.draining && stage.cohort(w) == Side::Old;
         for w in stage.workers.values().map(|w| &**w).filter(able) {
             services.entry(&w.service).or_default().push(&w.id);
         }
@@ -92,34 +92,41 @@
             self.judge(now, stage, service, &workers, &mut on);
         }
         for o in self.outcomes.values_mut() {
-            o.served *= c::BENCH_KEEP;
-            o.failed *= c::BENCH_KEEP;
-            o.answered_ms *= c::BENCH_KEEP;
+            o.served *= c::OUTLIER_RETENTION;
+            o.failed *= c::OUTLIER_RETENTION;
+            o.answered_ms *= c::OUTLIER_RETENTION;
         }
         self.outcomes.retain(|_, o| o.count() > 0.1);
         self.sentences
-            .retain(|id, s| stage.workers.contains_key(id) && now < s.until + 2 * c::BENCH_MAX_MS);
+            .retain(|id, s| stage.workers.contains_key(id) && now < s.until + 2 * c::EJECTION_MAX_MS);
         on
     }
 
     /// Judges the workers of a service against each other.
-    fn judge(&mut self, now: u64, stage: &Stage, service: &str, workers: &[&str], on: &mut BTreeSet<String>) {
+    fn judge(
+        &mut self,
+        now: u64,
+        stage: &ControlState,
+        service: &str,
+        workers: &[&str],
+        on: &mut BTreeSet<String>,
+    ) {
         let known: Vec<(&str, Outcomes)> = workers
             .iter()
-            .filter_map(|id| Some((*id, *self.outcomes.get(&short(id))?)))
-            .filter(|(_, o)| o.count() >= c::BENCH_OUTCOMES)
+            .filter_map(|id| Some((*id, *self.outcomes.get(&name_hash(id))?)))
+            .filter(|(_, o)| o.count() >= c::OUTLIER_MIN_OUTCOMES)
             .collect();
         let failing = median(known.iter().map(|(_, o)| o.failing()).collect());
-        let answered = known.iter().filter(|(_, o)| o.served >= c::BENCH_OUTCOMES);
+        let answered = known.iter().filter(|(_, o)| o.served >= c::OUTLIER_MIN_OUTCOMES);
         let usual_ms = median(answered.map(|(_, o)| o.mean_ms()).collect());
         // A worker of a divided service that lags may only have busy keys.
         let divided = stage.service(service).is_some_and(|s| s.partitioned);
         let mut bad: Vec<(f64, &str)> = known
             .iter()
             .filter_map(|(id, o)| {
-                let fails = (o.failing() - failing) / c::BENCH_FAILED;
-                let slow = o.mean_ms() / (usual_ms.max(1.0) * c::BENCH_SLOW);
-                let slow = if divided || o.served < c::BENCH_OUTCOMES {
+                let fails = (o.failing() - failing) / c::OUTLIER_EXCESS_FAILURES;
+                let slow = o.mean_ms() / (usual_ms.max(1.0) * c::OUTLIER_SLOWNESS);
+                let slow = if divided || o.served < c::OUTLIER_MIN_OUTCOMES {
                     0.0
                 } else {
                     slow
@@ -132,7 +139,7 @@
         if now < self.settled_at {
             bad.clear();
         }
-        let room = (workers.len() as f64 * c::BENCH_CAP) as usize;
+        let room = (workers.len() as f64 * c::MAX_EJECTED_PART) as usize;
         let sitting: Vec<&str> = workers
             .iter()
             .copied()
@@ -141,8 +148,8 @@
         let fresh = bad.iter().map(|(_, id)| *id).filter(|id| !sitting.contains(id));
         let fresh: Vec<&str> = fresh.take(room.saturating_sub(sitting.len())).collect();
         for id in fresh {
-            let lasted = self.sentences.get(id).map_or(c::BENCH_MS, |s| s.lasted * 2);
-            let lasted = lasted.min(c::BENCH_MAX_MS);
+            let lasted = self.sentences.get(id).map_or(c::EJECTION_MS, |s| s.lasted * 2);
+            let lasted = lasted.min(c::EJECTION_MAX_MS);
             let until = now + lasted;
             self.sentences.insert(id.to_string(), Sentence { until, lasted });
             on.insert(id.to_string());
@@ -154,12 +161,12 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use control_state::encode_change;
+    use protocol::Change;
     use protocol::{ChangeKind, WorkersChange};
     use std::sync::Arc;
 
-    fn stage(count: usize) -> Stage {
-        let mut stage = Stage::default();
+    fn stage(count: usize) -> ControlState {
+        let mut stage = ControlState::default();
         let put = (0..count).map(|i| Worker {
             id: format!("w{i}"),
             service: "s".into(),
@@ -168,7 +175,7 @@
         let put = put.collect();
         stage.apply(
             1,
-            &encode_change(ChangeKind::Workers(WorkersChange {
+            &Change::encode(ChangeKind::Workers(WorkersChange {
                 put,
                 ..Default::default()
             })),
@@ -181,9 +188,9 @@
     fn second(bench: &mut Bench, count: usize, grey: &[usize], slow: &[usize]) {
         for i in 0..count {
             let failed = if grey.contains(&i) { 4 } else { 0 };
-            bench.take(&[Capacity {
-                worker: short(&format!("w{i}")),
-                answer_ms: if slow.contains(&i) { 800.0 } else { 80.0 + i as f32 },
+            bench.take(&[WorkerStats {
+                worker: name_hash(&format!("w{i}")),
+                response_ms: if slow.contains(&i) { 800.0 } else { 80.0 + i as f32 },
                 served: 10 - failed,
                 failed,
             }]);
@@ -206,32 +213,32 @@
             if t == 1000 {
                 assert_eq!(names(&on), "w3 w7");
             }
-            stage.benched = Arc::new(on);
+            stage.ejected = Arc::new(on);
         }
         assert!(last_seen > 15_000, "what stays ill sits out again: {last_seen}");
         // Well again: off the bench for good.
         for t in (20_000..40_000).step_by(500) {
             second(&mut bench, 20, &[], &[]);
-            stage.benched = Arc::new(bench.decide(t, &stage));
+            stage.ejected = Arc::new(bench.decide(t, &stage));
         }
-        assert!(stage.benched.is_empty());
+        assert!(stage.ejected.is_empty());
     }
 
     #[test]
     fn a_new_leader_judges_nobody_at_first_but_keeps_who_sits() {
         let mut stage = stage(20);
-        stage.benched = Arc::new(BTreeSet::from(["w9".to_string()]));
+        stage.ejected = Arc::new(BTreeSet::from(["w9".to_string()]));
         let mut bench = Bench::default();
         bench.begin(0);
-        for t in (500..c::BENCH_SETTLE_MS).step_by(500) {
+        for t in (500..c::OUTLIER_SETTLE_MS).step_by(500) {
             second(&mut bench, 20, &[3], &[]);
             let on = bench.decide(t, &stage);
             assert!(!on.contains("w3"), "at {t}");
-            assert_eq!(on.contains("w9"), t < 500 + c::BENCH_MS, "at {t}");
-            stage.benched = Arc::new(on);
+            assert_eq!(on.contains("w9"), t < 500 + c::EJECTION_MS, "at {t}");
+            stage.ejected = Arc::new(on);
         }
         second(&mut bench, 20, &[3], &[]);
-        assert!(bench.decide(c::BENCH_SETTLE_MS, &stage).contains("w3"));
+        assert!(bench.decide(c::OUTLIER_SETTLE_MS, &stage).contains("w3"));
     }
 
     #[test]
--- a/crates/boxoffice/src/casting.rs
+++ b/crates/boxoffice/src/casting.rs
@@ -5,11 +5,9 @@
 //! That many shares exist and no more: a cast names the nodes that hold them,
 //! in the log, and who is not named has none.
 
-use config::configuration::cold_bound;
-use config::constants as c;
-use config::settings::Bounds;
-use control_state::Stage;
-use protocol::{short, Cast, Worker, WorkersChange};
+use config::{constants as c, settings::Bounds, warmup_limit};
+use control_state::ControlState;
+use protocol::{name_hash, WarmupGroup, Worker, WorkersChange};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A worker as the platform lists it now; `cold_ms` is how much longer it is cold.
@@ -31,7 +29,7 @@
 
 /// What the list is compared with.
 pub struct Scene<'a> {
-    pub stage: &'a Stage,
+    pub stage: &'a ControlState,
     /// The index that the log stood at before the list was read.
     pub as_of: u64,
     pub callers: &'a [Caller],
@@ -62,20 +60,21 @@
         let mut groups: Groups = HashMap::new();
         for (id, l) in listed {
             let known = stage.workers.get(id).map(|w| &**w);
-            let unread = known.is_some_and(|w| stage.is_unread(w));
+            let unread = known.is_some_and(|w| stage.is_warmup_unknown(w));
             let told = self.told.get(id).copied();
             // The list may not show yet what was the reason to call it cold.
-            let settling = told.filter(|t| now < t.at + scene.lag_ms + c::COLD_MARGIN_MS);
-            let mut cold_ms = l.cold_ms;
+            let settling = told.filter(|t| now < t.at + scene.lag_ms + c::WARMUP_MARGIN_MS);
+            let mut cold_ms = l.warmup_ms;
             if unread {
-                cold_ms = cold_ms.max(stage.returned_cold_ms(&l.service));
+                cold_ms = cold_ms.max(stage.restored_zone_warmup_ms(&l.service));
             } else if let Some(t) = settling {
                 cold_ms = cold_ms.max(t.until.saturating_sub(now));
             }
-            let colder = l.cold_ms > 0 && told.is_none_or(|t| now + l.cold_ms > t.until + c::COLD_MARGIN_MS);
+            let colder =
+                l.warmup_ms > 0 && told.is_none_or(|t| now + l.warmup_ms > t.until + c::WARMUP_MARGIN_MS);
             let same = known.is_some_and(|w| is_same(w, l));
             if same && !unread && !colder {
-                if known.is_some_and(|w| w.cold_ms > 0) && l.cold_ms == 0 {
+                if known.is_some_and(|w| w.warmup_ms > 0) && l.warmup_ms == 0 {
                     match told {
                         // A new leader waits as if it had told so itself.
                         None => {
@@ -88,23 +87,25 @@
                 continue;
             }
             let cast = match known {
-                Some(w) if cold_ms == 0 => w.cast,
+                Some(w) if cold_ms == 0 => w.warmup_group,
                 // Two casts in one cold time would have shares twice.
-                Some(w) if w.cold_ms > 0 && stage.casts.contains_key(&w.cast) => w.cast,
-                Some(w) if is_staffed(scene, w.cast) => w.cast,
+                Some(w) if w.warmup_ms > 0 && stage.warmup_groups.contains_key(&w.warmup_group) => {
+                    w.warmup_group
+                }
+                Some(w) if is_staffed(scene, w.warmup_group) => w.warmup_group,
                 _ if cold_ms == 0 => 0,
-                _ => cast_for(l, scene, &mut groups, &mut change.casts),
+                _ => cast_for(l, scene, &mut groups, &mut change.warmup_groups),
             };
             let until = now + cold_ms;
             self.told.insert(id.clone(), Told { at: now, until });
             change.put.push(Worker {
-                cold_ms,
-                cold_at: 0,
-                cast,
+                warmup_ms: cold_ms,
+                warmup_index: 0,
+                warmup_group: cast,
                 ..l.clone()
             });
         }
-        change.gone = stage
+        change.removed = stage
             .workers
             .keys()
             .filter(|id| !listed.contains_key(*id))
@@ -116,7 +117,7 @@
 
 /// Whether there is nothing to be told.
 pub fn is_nothing(change: &WorkersChange) -> bool {
-    change.put.is_empty() && change.gone.is_empty() && change.warm.is_empty()
+    change.put.is_empty() && change.removed.is_empty() && change.warm.is_empty()
 }
 
 fn is_same(known: &Worker, listed: &Listed) -> bool {
@@ -132,7 +133,7 @@
 /// node that lags behind still goes by is the same. While the worker is cold it
 /// stays whoever is up.
 fn is_staffed(scene: &Scene, cast: u32) -> bool {
-    let Some(nodes) = scene.stage.casts.get(&cast) else {
+    let Some(nodes) = scene.stage.warmup_groups.get(&cast) else {
         return false;
     };
     let up = scene.callers.iter().filter(|n| nodes.contains(&n.id)).count();
@@ -142,13 +143,13 @@
 /// The casts of a service and a zone (empty for holders of keys, whom all call).
 type Groups = HashMap<(String, String), Vec<u32>>;
 
-fn cast_for(l: &Listed, scene: &Scene, groups: &mut Groups, new: &mut Vec<Cast>) -> u32 {
+fn cast_for(l: &Listed, scene: &Scene, groups: &mut Groups, new: &mut Vec<WarmupGroup>) -> u32 {
     let service = scene.stage.service(&l.service);
     let keyed = service.is_some_and(|s| s.partitioned);
     let zone = if keyed { "" } else { l.zone.as_str() };
     let key = (l.service.clone(), zone.to_string());
     let numbers = groups.entry(key).or_insert_with(|| {
-        let most = cold_bound(service, scene.bounds);
+        let most = warmup_limit(service, scene.bounds);
         let mut nodes: Vec<u64> = scene
             .callers
             .iter()
@@ -168,12 +169,12 @@
             })
             .collect()
     });
-    numbers[short(&l.id) as usize % numbers.len()]
+    numbers[name_hash(&l.id) as usize % numbers.len()]
 }
 
 /// The number that a cast has, or is given now.
-fn number_of(cast: BTreeSet<u64>, stage: &Stage, new: &mut Vec<Cast>) -> u32 {
-    let old = stage.casts.iter().find(|(_, nodes)| ***nodes == cast);
+fn number_of(cast: BTreeSet<u64>, stage: &ControlState, new: &mut Vec<WarmupGroup>) -> u32 {
+    let old = stage.warmup_groups.iter().find(|(_, nodes)| ***nodes == cast);
     if let Some((number, _)) = old {
         return *number;
     }
@@ -181,23 +182,23 @@
     if let Some(cast) = new.iter().find(|c| c.nodes == nodes) {
         return cast.number;
     }
-    let last = stage.casts.keys().next_back().copied().unwrap_or(0);
+    let last = stage.warmup_groups.keys().next_back().copied().unwrap_or(0);
     let number = new.iter().map(|c| c.number).fold(last, u32::max) + 1;
-    new.push(Cast { number, nodes });
+    new.push(WarmupGroup { number, nodes });
     number
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use control_state::encode_change;
-    use protocol::{ChangeKind, EvacuationChange, ReplaceOrder};
+    use protocol::Change;
+    use protocol::{ChangeKind, ConfigurationCommand, EvacuationChange};
 
     const CONFIG: &str = r#"{"Version":1,"Limits":{"HeaderMaxBytes":1,"BodyMaxBytes":1,"HeaderTimeout":"1s","IdleTimeout":"1s"},
         "AccessPoints":[],"Groups":[{"Name":"s","ColdPeriod":"3s","ColdRateS":2.0},{"Name":"k","Partitioned":true,"ColdRateS":2.0}]}"#;
 
     struct Play {
-        stage: Stage,
+        stage: ControlState,
         casting: Casting,
         list: BTreeMap<String, Listed>,
         callers: Vec<Caller>,
@@ -207,7 +208,7 @@
     impl Play {
         fn new(nodes: u64) -> Play {
             let mut play = Play {
-                stage: Stage::default(),
+                stage: ControlState::default(),
                 casting: Casting::default(),
                 list: BTreeMap::new(),
                 callers: (1..=nodes)
@@ -218,7 +219,7 @@
                     .collect(),
                 now: 1000,
             };
-            play.log(ChangeKind::Replace(ReplaceOrder {
+            play.log(ChangeKind::Replace(ConfigurationCommand {
                 body: CONFIG.into(),
                 ..Default::default()
             }));
@@ -227,7 +228,7 @@
 
         fn log(&mut self, kind: ChangeKind) {
             let index = self.stage.index + 1;
-            self.stage.apply(index, &encode_change(kind));
+            self.stage.apply(index, &Change::encode(kind));
         }
 
         fn list(&mut self, id: &str, service: &str, cold_ms: u64) {
@@ -235,7 +236,7 @@
                 id: id.into(),
                 service: service.into(),
                 zone: "z1".into(),
-                cold_ms,
+                warmup_ms: cold_ms,
                 ..Default::default()
             };
             self.list.insert(id.into(), row);
@@ -264,7 +265,7 @@
         }
 
         fn cast(&self, id: &str) -> Vec<u64> {
-            let cast = self.stage.cast_of(&self.stage.workers[id]);
+            let cast = self.stage.warmup_nodes(&self.stage.workers[id]);
             cast.into_iter().flatten().copied().collect()
         }
     }
@@ -299,12 +300,12 @@
         assert!(is_nothing(&p.look(800)));
         p.list("w", "s", 0);
         assert_eq!(p.look(2300).warm, ["w"]);
-        assert_eq!(p.stage.workers["w"].cold_ms, 0);
+        assert_eq!(p.stage.workers["w"].warmup_ms, 0);
         assert!(is_nothing(&p.look(500)));
         p.list("w", "s", 3000);
         let cast = p.cast("w");
         assert_eq!(p.look(500).put.len(), 1, "cold again, the same life");
-        assert_eq!((p.cast("w"), p.stage.casts.len()), (cast, 1));
+        assert_eq!((p.cast("w"), p.stage.warmup_groups.len()), (cast, 1));
     }
 
     #[test]
@@ -355,16 +356,16 @@
             let zone = "z1".into();
             p.log(ChangeKind::Evacuate(EvacuationChange { zone, begin }));
         }
-        assert!(p.stage.is_unread(&p.stage.workers["w"]));
+        assert!(p.stage.is_warmup_unknown(&p.stage.workers["w"]));
         assert!(p.cast("w").is_empty(), "nobody, until a cast is told");
-        assert_eq!(p.look(100).put[0].cold_ms, 3000);
+        assert_eq!(p.look(100).put[0].warmup_ms, 3000);
         assert_eq!(p.cast("w").len(), 2);
         // Another change in the meantime does not make it warm.
         p.list("w", "s", 0);
         if let Some(row) = p.list.get_mut("w") {
             row.draining = true;
         }
-        assert!(p.look(500).put[0].cold_ms >= 2500);
+        assert!(p.look(500).put[0].warmup_ms >= 2500);
         assert!(is_nothing(&p.look(300)));
         assert_eq!(p.look(1000).warm, ["w"]);
     }
@@ -385,6 +386,6 @@
             ..Default::default()
         };
         p.log(ChangeKind::Workers(late));
-        assert!(p.stage.is_unread(&p.stage.workers["w"]));
+        assert!(p.stage.is_warmup_unknown(&p.stage.workers["w"]));
     }
 }
--- a/crates/boxoffice/src/draw.rs
+++ b/crates/boxoffice/src/draw.rs
@@ -1,16 +1,16 @@
-use protocol::Fraction;
+use protocol::SiteFraction;
 
 /// Draws a site for a service and client group with the probabilities of the
 /// fractions. `usable` says which sites can be answered with now; `chance` is
 /// a number from 0 up to 1. `None` without any figure for a usable site.
 pub fn draw<'a>(
-    fractions: &'a [Fraction],
+    fractions: &'a [SiteFraction],
     service: &str,
     group: &str,
     chance: f64,
     usable: impl Fn(&str) -> bool,
 ) -> Option<&'a str> {
-    let rows: Vec<&Fraction> = fractions
+    let rows: Vec<&SiteFraction> = fractions
         .iter()
         .filter(|f| f.service == service && f.group == group && f.part > 0.0 && usable(&f.site))
         .collect();
@@ -31,7 +31,7 @@
 
     #[test]
     fn draws_by_fraction_among_usable_sites() {
-        let row = |site: &str, part| Fraction {
+        let row = |site: &str, part| SiteFraction {
             service: "s".into(),
             group: "g".into(),
             site: site.into(),
--- a/crates/boxoffice/src/ledger.rs
+++ b/crates/boxoffice/src/ledger.rs
@@ -1,9 +1,9 @@
 //! What the reports of the proxies add up to.
 
 use crate::place::{Inputs, Placement};
-use config::constants as c;
-use control_state::Stage;
-use protocol::{short, Report};
+use config::{constants as c, WeightedService};
+use control_state::ControlState;
+use protocol::{name_hash, Report};
 use std::collections::{BTreeMap, BTreeSet};
 
 struct Latest {
@@ -30,7 +30,7 @@
 
 impl Ledger {
     pub fn take(&mut self, now: u64, node: u64, report: Report) {
-        self.since.get_or_insert(now.saturating_sub(report.span_ms));
+        self.since.get_or_insert(now.saturating_sub(report.interval_ms));
         for d in &report.demand {
             let group = if d.group.is_empty() {
                 &report.zone
@@ -39,14 +39,14 @@
             };
             *self.counted.entry((d.service, group.clone())).or_default() += d.count as f64;
         }
-        for w in &report.capacity {
+        for w in &report.workers {
             let sum = self.answers.entry(w.worker).or_default();
-            sum.0 += f64::from(w.answer_ms) * w.served as f64;
+            sum.0 += f64::from(w.response_ms) * w.served as f64;
             sum.1 += w.served as f64;
             sum.2 += w.failed as f64;
         }
         self.latest
-            .insert((node, report.region.clone()), Latest { at: now, report });
+            .insert((node, report.site.clone()), Latest { at: now, report });
     }
 
     /// Closes the period that ends now: smooths the rates and returns what a
@@ -57,7 +57,7 @@
     pub fn inputs(
         &mut self,
         now: u64,
-        stage: &Stage,
+        stage: &ControlState,
         zones: &BTreeMap<String, String>,
         sites_up: Option<&BTreeSet<String>>,
     ) -> Inputs {
@@ -73,12 +73,12 @@
                 .collect(),
             ..Default::default()
         };
-        let Some(config) = &stage.config else {
+        let Some(config) = &stage.configuration else {
             return inputs;
         };
         for service in config.services.keys() {
             for zone in zones.keys() {
-                let key = (short(service), zone.clone());
+                let key = (name_hash(service), zone.clone());
                 let rate = self
                     .rates
                     .get(&key)
@@ -93,8 +93,8 @@
             let told: f64 = self
                 .latest
                 .values()
-                .filter(|l| l.report.region == *site)
-                .map(|l| l.report.carry)
+                .filter(|l| l.report.site == *site)
+                .map(|l| l.report.forwarding_rate)
                 .sum();
             // A site that is up but whose reports are missing counts as able.
             let carry = match (sites_up.map(|up| up.contains(site)), told > 0.0) {
@@ -107,7 +107,7 @@
         for (zone, home) in zones {
             for site in &inputs.sites {
                 let distance = if site == home {
-                    c::NEAR_MS
+                    c::LOCAL_RTT_MS
                 } else {
                     self.rtt(home, site)
                 };
@@ -149,22 +149,24 @@
 
     /// Slots over answer time, for workers that are listed as ready, may be
     /// used and do not mostly fail.
-    fn capacities(&self, stage: &Stage, zones: &BTreeMap<String, String>, inputs: &mut Inputs) {
-        let Some(config) = &stage.config else { return };
+    fn capacities(&self, stage: &ControlState, zones: &BTreeMap<String, String>, inputs: &mut Inputs) {
+        let Some(config) = &stage.configuration else {
+            return;
+        };
         let mut homes: BTreeMap<&str, Option<BTreeSet<&str>>> = BTreeMap::new();
         for route in config.hosts.values().flatten() {
-            for (service, _) in &route.split {
+            for WeightedService { service, .. } in &route.split {
                 let known = homes.entry(service).or_insert_with(|| Some(BTreeSet::new()));
-                if route.homes.is_empty() {
+                if route.home_regions.is_empty() {
                     *known = None;
                 } else if let Some(set) = known {
-                    set.extend(route.homes.iter().map(String::as_str));
+                    set.extend(route.home_regions.iter().map(String::as_str));
                 }
             }
         }
         for w in stage.workers.values() {
             let Some(site) = zones.get(&w.zone) else { continue };
-            if w.draining || stage.evacuated.contains_key(&w.zone) || stage.benched.contains(&w.id) {
+            if w.draining || stage.evacuated.contains_key(&w.zone) || stage.ejected.contains(&w.id) {
                 continue;
             }
             if let Some(Some(allowed)) = homes.get(w.service.as_str()) {
@@ -172,14 +174,14 @@
                     continue;
                 }
             }
-            let (sum, served, failed) = self.answers.get(&short(&w.id)).copied().unwrap_or_default();
+            let (sum, served, failed) = self.answers.get(&name_hash(&w.id)).copied().unwrap_or_default();
             if failed > served {
                 continue;
             }
             let answer = if served > 0.5 {
                 (sum / served).max(1.0)
             } else {
-                c::ANSWER_MS
+                c::DEFAULT_RESPONSE_MS
             };
             let able = f64::from(w.slots.max(1)) * 1000.0 / answer;
             *inputs
@@ -193,13 +195,13 @@
         let told: Vec<f64> = self
             .latest
             .values()
-            .filter(|l| l.report.region == from)
-            .flat_map(|l| &l.report.distance)
-            .filter(|d| d.region == short(to) && d.rtt_ms > 0.0)
+            .filter(|l| l.report.site == from)
+            .flat_map(|l| &l.report.round_trips)
+            .filter(|d| d.site == name_hash(to) && d.rtt_ms > 0.0)
             .map(|d| f64::from(d.rtt_ms))
             .collect();
         if told.is_empty() {
-            c::FAR_MS
+            c::DEFAULT_RTT_MS
         } else {
             told.iter().sum::<f64>() / told.len() as f64
         }
--- /dev/null
+++ b/crates/config/src/constants/process.rs
@@ -0,0 +1,10 @@
+//! The process: settings, counters, shutdown.
+
+/// Pause between two announcements of a voter that it is about to end, ms.
+pub const SHUTDOWN_ANNOUNCE_INTERVAL_MS: u64 = 200;
+/// A node that shuts down ends once nothing has run for this long, ms.
+pub const SHUTDOWN_QUIET_MS: u64 = 300;
+/// Pause between two checks of whether the settings file has changed, ms.
+pub const SETTINGS_CHECK_INTERVAL_MS: u64 = 2000;
+/// Default pace of the counters in the log, s; 0 writes none.
+pub const COUNTERS_INTERVAL_S: u64 = 10;
--- a/crates/config/src/duration_text.rs
+++ b/crates/config/src/duration_text.rs
@@ -1,55 +1,50 @@
-//! Times as text: a number followed by `ms` or `s`.
+//! Durations as text: a number followed by `ms` or `s`.
 
 use serde::{de::Error, Deserialize, Deserializer, Serialize, Serializer};
 
-/// A span of time in whole milliseconds, written as `1500ms` or `2.5s`.
+/// A duration in whole milliseconds, written as `1500ms` or `2.5s`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Span(pub u64);
+pub struct DurationText {
+    /// Milliseconds.
+    pub ms: u64,
+}
+
+impl DurationText {
+    /// A duration of so many milliseconds.
+    pub const fn from_ms(ms: u64) -> DurationText {
+        DurationText { ms }
+    }
 
-impl Span {
-    /// Reads a span from its text; `None` if it is no such text.
-    pub fn parse(text: &str) -> Option<Span> {
+    /// Reads a duration from its text; `None` if it is no such text.
+    pub fn parse(text: &str) -> Option<DurationText> {
         let text = text.trim();
         let (number, scale) = match text.strip_suffix("ms") {
-            Some(n) => (n, 1.0),
+            Some(number) => (number, 1.0),
             None => (text.strip_suffix('s')?, 1000.0),
         };
         let value: f64 = number.trim().parse().ok()?;
         let ms = value * scale;
-        (ms.is_finite() && (0.0..1e15).contains(&ms)).then(|| Span(ms.round() as u64))
+        let is_valid = ms.is_finite() && (0.0..1e15).contains(&ms);
+        is_valid.then(|| DurationText::from_ms(ms.round() as u64))
     }
 }
 
-impl std::fmt::Display for Span {
+impl std::fmt::Display for DurationText {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}ms", self.0)
+        write!(f, "{}ms", self.ms)
     }
 }
 
-impl<'de> Deserialize<'de> for Span {
-    fn deserialize<D: Deserializer<'de>>(de: D) -> Result<Span, D::Error> {
+impl<'de> Deserialize<'de> for DurationText {
+    fn deserialize<D: Deserializer<'de>>(de: D) -> Result<DurationText, D::Error> {
         let text = String::deserialize(de)?;
-        Span::parse(&text)
+        DurationText::parse(&text)
             .ok_or_else(|| D::Error::custom(format!("`{text}` is no time such as 1500ms or 2.5s")))
     }
 }
 
-impl Serialize for Span {
+impl Serialize for DurationText {
     fn serialize<S: Serializer>(&self, ser: S) -> Result<S::Ok, S::Error> {
         ser.collect_str(self)
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::Span;
-
-    #[test]
-    fn reads_both_units_and_refuses_the_rest() {
-        assert_eq!(Span::parse("1500ms"), Some(Span(1500)));
-        assert_eq!(Span::parse("2.5s"), Some(Span(2500)));
-        for bad in ["", "5", "ms", "-1s", "1e99s", "1m"] {
-            assert_eq!(Span::parse(bad), None, "{bad}");
-        }
-    }
-}
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,11 +1,17 @@
 //! What a deployment and its operator say: the settings file, the configuration of routes and
 //! services, and the constants that several crates share.
 
-pub mod configuration;
+mod configuration;
 pub mod constants;
-pub mod duration_text;
-pub mod modify;
+mod duration_text;
+mod error;
+mod modification;
 pub mod settings;
 
-pub use configuration::{Configuration, Route, RouteKind, Service};
+pub use configuration::{
+    warmup_limit, ClientLimits, Configuration, Route, RouteKind, Service, WeightedService,
+};
+pub use duration_text::DurationText;
+pub use error::{ConfigurationError, SettingsError};
+pub use modification::apply_modification;
 pub use settings::Settings;
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,6 +1,7 @@
 //! The settings file that a process is told about. Unknown fields are ignored.
 
-use crate::duration_text::Span;
+use crate::duration_text::DurationText;
+use crate::error::SettingsError;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -90,7 +91,7 @@
 }
 
 /// The kinds of deployment that this program serves.
-const ROLLOUTS: [&str; 2] = ["global", "api"];
+const DEPLOYMENT_KINDS: [&str; 2] = ["global", "api"];
 
 fn directory() -> String {
     "directory".into()
@@ -107,7 +108,7 @@
     #[validate(range(min = 0.01, max = 1e6))]
     pub rate_per_s: f64,
     #[serde(default)]
-    pub lag: Span,
+    pub lag: DurationText,
 }
 
 #[derive(Clone, Debug, Deserialize, Validate)]
@@ -136,94 +137,94 @@
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Bounds {
-    pub reuse_delay: Span,
-    pub contact: Span,
-    pub acknowledge: Span,
-    pub drain: Span,
-    pub grace_period: Span,
-    pub config_apply: Span,
+    pub reuse_delay: DurationText,
+    pub contact: DurationText,
+    pub acknowledge: DurationText,
+    pub drain: DurationText,
+    pub grace_period: DurationText,
+    pub config_apply: DurationText,
     #[validate(range(min = 0.0, max = 10.0))]
     pub retry_ratio: f64,
-    pub retry_window: Span,
+    pub retry_window: DurationText,
     #[validate(range(min = 0.0))]
     pub retry_slack: f64,
     #[validate(range(min = 0.0))]
     pub cold_excess: f64,
     #[validate(range(min = 0.0))]
     pub cold_slack: f64,
-    pub evacuation: Span,
+    pub evacuation: DurationText,
     /// Part of a service's requests that a bad version may get, and how soon it
     /// must have lost them.
     #[validate(range(min = 0.0, max = 1.0))]
     pub exposure_share: f64,
     #[validate(range(min = 0.0))]
     pub exposure_slack: f64,
-    pub rollback: Span,
-    pub hold_limit: Span,
-    pub thaw: Span,
+    pub rollback: DurationText,
+    pub hold_limit: DurationText,
+    pub thaw: DurationText,
     #[serde(rename = "ttl_max")]
-    pub ttl_max: Span,
+    pub ttl_max: DurationText,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
         Bounds {
-            reuse_delay: Span(2000),
-            contact: Span(4000),
-            acknowledge: Span(6000),
-            drain: Span(2500),
-            grace_period: Span(6000),
-            config_apply: Span(2000),
+            reuse_delay: DurationText::from_ms(2000),
+            contact: DurationText::from_ms(4000),
+            acknowledge: DurationText::from_ms(6000),
+            drain: DurationText::from_ms(2500),
+            grace_period: DurationText::from_ms(6000),
+            config_apply: DurationText::from_ms(2000),
             retry_ratio: 0.0,
-            retry_window: Span(10_000),
+            retry_window: DurationText::from_ms(10_000),
             retry_slack: 0.0,
             cold_excess: 1.0,
             cold_slack: 0.0,
-            evacuation: Span(5000),
+            evacuation: DurationText::from_ms(5000),
             exposure_share: 0.0,
             exposure_slack: 0.0,
-            rollback: Span(5000),
-            hold_limit: Span(10_000),
-            thaw: Span(300),
-            ttl_max: Span(5000),
+            rollback: DurationText::from_ms(5000),
+            hold_limit: DurationText::from_ms(10_000),
+            thaw: DurationText::from_ms(300),
+            ttl_max: DurationText::from_ms(5000),
         }
     }
 }
 
 impl Settings {
     /// Reads settings from text; the error is one line that names the field.
-    pub fn parse(text: &str) -> Result<Settings, String> {
+    pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let settings: Settings = toml::from_str(text).map_err(|e| {
-            let line = e
-                .span()
-                .map_or(0, |s| text[..s.start.min(text.len())].lines().count());
-            format!("settings line {line}: {}", e.message().replace('\n', " "))
+            let start = e.span().map(|s| s.start.min(text.len()));
+            SettingsError::Unreadable {
+                line: start.map_or(0, |start| text[..start].lines().count()),
+                reason: e.message().replace('\n', " "),
+            }
         })?;
         settings
             .validate()
-            .map_err(|e| format!("settings: {}", e.to_string().replace('\n', "; ")))?;
+            .map_err(|e| SettingsError::Field(e.to_string().replace('\n', "; ")))?;
         settings.check()?;
         Ok(settings)
     }
 
-    fn check(&self) -> Result<(), String> {
+    fn check(&self) -> Result<(), SettingsError> {
+        let invalid = |problem: &str| Err(SettingsError::Field(problem.to_string()));
         let [first, last] = self.network.internal_ports;
         if first == 0 || first > last {
-            return Err("settings: Network.InternalPorts must be a range of ports above 0".into());
+            return invalid("Network.InternalPorts must be a range of ports above 0");
         }
-        if !ROLLOUTS.contains(&self.platform.rollout.as_str()) {
-            return Err(format!(
-                "settings: Platform.Rollout `{}` is not served here; known are {}",
+        if !DEPLOYMENT_KINDS.contains(&self.platform.rollout.as_str()) {
+            return invalid(&format!(
+                "Platform.Rollout `{}` is not served here; known are {}",
                 self.platform.rollout,
-                ROLLOUTS.join(" and ")
+                DEPLOYMENT_KINDS.join(" and ")
             ));
         }
         match self.network.zones.get(&self.own_entity.zone) {
             Some(region) if *region == self.own_entity.region => Ok(()),
-            Some(_) => {
-                Err("settings: OwnEntity.Region is not the region of its Zone in Network.Zones".into())
-            }
-            None => Err("settings: OwnEntity.Zone is missing from Network.Zones".into()),
+            Some(_) => invalid("OwnEntity.Region is not the region of its Zone in Network.Zones"),
+            None => invalid("OwnEntity.Zone is missing from Network.Zones"),
         }
     }
 
@@ -234,7 +235,7 @@
         self.platform.entry != directory()
     }
 
-    /// The site of a place.
+    /// The site of a zone in a region.
     pub fn site<'a>(&self, zone: &'a str, region: &'a str) -> &'a str {
         if self.zones_are_sites() {
             zone
--- /dev/null
+++ b/crates/control-state/src/apply.rs
@@ -0,0 +1,182 @@
+//! Applying the changes that the log orders.
+
+use crate::command_history::CommandStatus;
+use crate::error::InvalidChange;
+use crate::state::ControlState;
+use preview::Refusal;
+use prost::Message as _;
+use protocol::{
+    Change, ChangeKind, EvacuationChange, KeyLease, RetryAllowanceChange, WarmupGroup, WorkersChange,
+};
+use std::collections::BTreeSet;
+use std::sync::Arc;
+
+/// What applying a change came to.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Outcome {
+    /// It is in force.
+    Applied,
+    /// The very same is in force already.
+    AlreadyApplied,
+    /// Another version, the one named, is in force.
+    Conflict(u64),
+    /// It is invalid by itself.
+    Invalid(InvalidChange),
+    /// A change of a rollout does not take place.
+    RolloutRejected(Refusal),
+    /// The command may have been judged, longer ago than the history remembers: it is not
+    /// carried out, and nothing is promised.
+    Undecidable,
+}
+
+impl ControlState {
+    /// Applies the change at `index`. Changes at or below the index that the copy stands at
+    /// have been applied already and do nothing.
+    pub fn apply(&mut self, index: u64, data: &[u8]) -> Outcome {
+        if index <= self.index {
+            return Outcome::AlreadyApplied;
+        }
+        self.index = index;
+        let Ok(change) = Change::decode(data) else {
+            return Outcome::Invalid(InvalidChange::Undecodable);
+        };
+        let Some(kind) = change.kind else {
+            return self.apply_tagged(index, change.tag, |_| Outcome::Applied);
+        };
+        self.apply_tagged(index, change.tag, |state| state.carry_out(index, kind))
+    }
+
+    /// Carries out a change, unless its tag says that the command was judged before.
+    fn apply_tagged(
+        &mut self,
+        index: u64,
+        tag: Option<protocol::CommandTag>,
+        carry_out: impl FnOnce(&mut ControlState) -> Outcome,
+    ) -> Outcome {
+        let Some(tag) = tag else {
+            return carry_out(self);
+        };
+        match self.command_history.tagged(&tag) {
+            (CommandStatus::Accepted, _) => Outcome::AlreadyApplied,
+            (CommandStatus::Rejected, at) => Outcome::RolloutRejected(Refusal::Conflict(at)),
+            (CommandStatus::Forgotten, _) => Outcome::Undecidable,
+            (CommandStatus::New, _) => {
+                let outcome = carry_out(self);
+                let accepted = matches!(outcome, Outcome::Applied | Outcome::AlreadyApplied);
+                Arc::make_mut(&mut self.command_history).add_tagged(index, tag, accepted);
+                outcome
+            }
+        }
+    }
+
+    fn carry_out(&mut self, index: u64, kind: ChangeKind) -> Outcome {
+        match kind {
+            ChangeKind::Replace(command) => return self.replace(command),
+            ChangeKind::ReplaceDelta(delta) => return self.replace_by_delta(delta),
+            ChangeKind::Evacuate(change) => return self.evacuate(index, change),
+            ChangeKind::Rollout(change) => {
+                return match preview::apply(Arc::make_mut(&mut self.rollouts), index, &change) {
+                    Ok(true) => Outcome::Applied,
+                    Ok(false) => Outcome::AlreadyApplied,
+                    Err(refusal) => Outcome::RolloutRejected(refusal),
+                }
+            }
+            ChangeKind::Workers(change) => self.update_workers(index, change),
+            ChangeKind::KeyLeases(change) => {
+                for lease in change.put {
+                    self.put_key_lease(lease);
+                }
+            }
+            ChangeKind::Placement(change) => self.fractions = Arc::new(change.fractions),
+            ChangeKind::RetryAllowance(change) => self.update_retry_allowances(change),
+            ChangeKind::Ejections(change) => self.ejected = Arc::new(change.workers.into_iter().collect()),
+            ChangeKind::KillSwitch(switch) => self.kill_switch = Some(switch),
+        }
+        Outcome::Applied
+    }
+
+    /// Begins an evacuation of a zone, or ends one.
+    fn evacuate(&mut self, index: u64, change: EvacuationChange) -> Outcome {
+        if change.begin {
+            *self.evacuated.entry(change.zone).or_default() += 1;
+            return Outcome::Applied;
+        }
+        match self.evacuated.get_mut(&change.zone) {
+            Some(count) if *count > 1 => *count -= 1,
+            Some(_) => {
+                self.evacuated.remove(&change.zone);
+                self.ended_evacuations.insert(change.zone, index);
+            }
+            None => return Outcome::AlreadyApplied,
+        }
+        Outcome::Applied
+    }
+
+    fn update_workers(&mut self, index: u64, change: WorkersChange) {
+        let workers = Arc::make_mut(&mut self.workers);
+        for id in &change.removed {
+            workers.remove(id);
+        }
+        for mut worker in change.put {
+            worker.warmup_index = index;
+            worker.as_of = change.as_of;
+            workers.insert(worker.id.clone(), Arc::new(worker));
+        }
+        for id in &change.warm {
+            if let Some(worker) = workers.get_mut(id) {
+                let worker = Arc::make_mut(worker);
+                worker.warmup_ms = 0;
+                worker.warmup_index = index;
+                worker.as_of = change.as_of;
+            }
+        }
+        self.update_warmup_groups(change.warmup_groups);
+    }
+
+    /// Adds new groups, and drops those that no worker names any more.
+    fn update_warmup_groups(&mut self, new: Vec<WarmupGroup>) {
+        let named: BTreeSet<u32> = self.workers.values().map(|w| w.warmup_group).collect();
+        if new.is_empty() && self.warmup_groups.keys().all(|n| named.contains(n)) {
+            return;
+        }
+        let groups = Arc::make_mut(&mut self.warmup_groups);
+        for group in new {
+            let nodes = Arc::new(group.nodes.into_iter().collect());
+            groups.entry(group.number).or_insert(nodes);
+        }
+        groups.retain(|n, _| named.contains(n));
+    }
+
+    fn update_retry_allowances(&mut self, change: RetryAllowanceChange) {
+        let nodes = Arc::make_mut(&mut self.retry_allowances);
+        nodes.retain(|n| !change.revoked.contains(n));
+        nodes.extend(change.granted);
+        self.retry_slack = change.slack;
+    }
+
+    /// Puts a range, cutting away what it covers of older ranges.
+    fn put_key_lease(&mut self, new: KeyLease) {
+        let table = Arc::make_mut(self.key_leases.entry(new.service.clone()).or_default());
+        let before = table.range(..=new.from).next_back();
+        let first = before.map_or(new.from, |(from, _)| *from);
+        let overlapping: Vec<Arc<KeyLease>> = table
+            .range(first..=new.to)
+            .map(|(_, lease)| lease.clone())
+            .filter(|lease| lease.to >= new.from)
+            .collect();
+        for old in overlapping {
+            table.remove(&old.from);
+            let rest = |from, to| {
+                let lease = KeyLease {
+                    from,
+                    to,
+                    ..(*old).clone()
+                };
+                (from, Arc::new(lease))
+            };
+            table.extend((old.from < new.from).then(|| rest(old.from, new.from - 1)));
+            table.extend((old.to > new.to).then(|| rest(new.to + 1, old.to)));
+        }
+        table.insert(new.from, Arc::new(new));
+    }
+}
--- a/crates/control-state/tests/deltas.rs
+++ b/crates/control-state/tests/deltas.rs
@@ -1,9 +1,7 @@
 //! A configuration in the log as what it changes of another: the same bytes come of it,
 //! and the same outcome as of the whole, whatever has come between.
 
-use control_state::Stage;
-use control_state::{delta, patch};
-use control_state::{encode_change, Outcome};
+use control_state::{delta, patch, ControlState, Outcome};
 use proptest::prelude::*;
 use prost::Message;
 use protocol::*;
@@ -20,8 +18,8 @@
     .into_bytes()
 }
 
-fn order(base: u64, body: Vec<u8>) -> ReplaceOrder {
-    ReplaceOrder {
+fn command(base: u64, body: Vec<u8>) -> ConfigurationCommand {
+    ConfigurationCommand {
         base,
         body,
         ..Default::default()
@@ -30,7 +28,7 @@
 
 proptest! {
     #[test]
-    fn the_same_bytes_come_of_it(
+    fn patch_restores_the_bytes(
         base in proptest::collection::vec(0u8..4, 0..600),
         edits in proptest::collection::vec((0usize..600, 0usize..80, proptest::collection::vec(any::<u8>(), 0..40)), 0..6),
     ) {
@@ -46,22 +44,22 @@
         }
     }
 
-    /// Two copies, one fed with whole orders and one with deltas as a leader proposed
+    /// Two copies, one fed with whole commands and one with deltas as a leader proposed
     /// them, some entries behind: the outcomes and the states are alike.
     #[test]
-    fn a_log_of_deltas_comes_to_what_one_of_whole_orders_does(
+    fn log_of_deltas_leads_to_the_same_state_as_full_commands(
         steps in proptest::collection::vec((0u64..3, 0u64..3, 0usize..20, any::<u64>(), 0usize..3), 1..30),
     ) {
         let mut marks: Vec<u64> = (0..20).collect();
-        let (mut whole, mut short) = (Stage::default(), Stage::default());
+        let (mut whole, mut short) = (ControlState::default(), ControlState::default());
         let mut leaders = vec![short.clone()];
         for (index, (behind, ahead, at, mark, lag)) in (1..).zip(steps) {
             marks[at] = mark;
             let base = whole.version().saturating_sub(behind);
-            let kind = ChangeKind::Replace(order(base, body((whole.version() + ahead).max(1), &marks)));
+            let kind = ChangeKind::Replace(command(base, body((whole.version() + ahead).max(1), &marks)));
             let leader = &leaders[leaders.len().saturating_sub(1 + lag)];
-            let outcome = whole.apply(index, &encode_change(kind.clone()));
-            prop_assert_eq!(short.apply(index, &encode_change(leader.for_log(kind))), outcome);
+            let outcome = whole.apply(index, &Change::encode(kind.clone()));
+            prop_assert_eq!(short.apply(index, &Change::encode(leader.compact_for_log(kind))), outcome);
             prop_assert_eq!(short.image(), whole.image());
             leaders.push(short.clone());
         }
@@ -69,23 +67,26 @@
 }
 
 #[test]
-fn an_entry_is_as_large_as_its_change_and_fits_no_other_state() {
+fn delta_entry_is_small_and_fits_no_other_base() {
     let mut marks: Vec<u64> = (0..300).collect();
-    let mut stage = Stage::default();
-    let first = ChangeKind::Replace(order(0, body(1, &marks)));
+    let mut state = ControlState::default();
+    let first = ChangeKind::Replace(command(0, body(1, &marks)));
     assert!(
-        matches!(stage.for_log(first.clone()), ChangeKind::Replace(_)),
+        matches!(state.compact_for_log(first.clone()), ChangeKind::Replace(_)),
         "nothing to change yet"
     );
-    stage.apply(1, &encode_change(first));
+    state.apply(1, &Change::encode(first));
     marks[150] = 999;
-    let whole = ChangeKind::Replace(order(1, body(2, &marks)));
-    let (large, small) = (encode_change(whole.clone()), encode_change(stage.for_log(whole)));
+    let whole = ChangeKind::Replace(command(1, body(2, &marks)));
+    let (large, small) = (
+        Change::encode(whole.clone()),
+        Change::encode(state.compact_for_log(whole)),
+    );
     println!("whole {} bytes, delta {} bytes", large.len(), small.len());
     assert!(small.len() < 200 && large.len() > 10_000);
 
-    let mut other = Stage::default();
-    other.apply(1, &encode_change(ChangeKind::Replace(order(0, body(1, &[5])))));
+    let mut other = ControlState::default();
+    other.apply(1, &Change::encode(ChangeKind::Replace(command(0, body(1, &[5])))));
     assert!(
         matches!(other.apply(2, &small), Outcome::Invalid(_)),
         "never a mixture"
@@ -96,9 +97,9 @@
         panic!("a delta");
     };
     delta.parts.truncate(1);
-    let cut = encode_change(ChangeKind::ReplaceDelta(delta));
-    assert!(matches!(stage.clone().apply(2, &cut), Outcome::Invalid(_)));
-    assert_eq!(stage.apply(2, &small), Outcome::Applied);
-    assert_eq!(*stage.config_body, body(2, &marks));
-    assert_eq!(stage.apply(3, &small), Outcome::Already, "sent again");
+    let cut = Change::encode(ChangeKind::ReplaceDelta(delta));
+    assert!(matches!(state.clone().apply(2, &cut), Outcome::Invalid(_)));
+    assert_eq!(state.apply(2, &small), Outcome::Applied);
+    assert_eq!(*state.configuration_body, body(2, &marks));
+    assert_eq!(state.apply(3, &small), Outcome::AlreadyApplied, "sent again");
 }
--- /dev/null
+++ b/crates/control-state/tests/state.rs
@@ -0,0 +1,132 @@
+//! Changes applied to the control state, and its image.
+
+use control_state::{ControlState, Outcome, KEY_SPACE};
+use prost::Message as _;
+use protocol::{Change, ChangeKind, ConfigurationCommand, EvacuationChange, KeyLease, KeyLeaseChange};
+
+fn config(version: u64) -> Vec<u8> {
+    format!(
+        r#"{{"Version":{version},"Limits":{{"HeaderMaxBytes":1,"BodyMaxBytes":1,"HeaderTimeout":"1s","IdleTimeout":"1s"}},"AccessPoints":[],"Groups":[{{"Name":"s","Partitioned":true}}]}}"#
+    )
+    .into_bytes()
+}
+
+fn replace(state: &mut ControlState, index: u64, base: u64, version: u64) -> Outcome {
+    state.apply(
+        index,
+        &Change::encode(ChangeKind::Replace(ConfigurationCommand {
+            base,
+            body: config(version),
+            ..Default::default()
+        })),
+    )
+}
+
+#[test]
+fn one_of_two_commands_on_a_base_wins_and_a_resend_is_the_same() {
+    let mut state = ControlState::default();
+    assert_eq!(replace(&mut state, 1, 0, 3), Outcome::Applied);
+    assert_eq!(replace(&mut state, 2, 0, 4), Outcome::Conflict(3));
+    assert_eq!(replace(&mut state, 3, 0, 3), Outcome::AlreadyApplied);
+    assert!(matches!(replace(&mut state, 4, 3, 3), Outcome::Invalid(_)));
+    assert_eq!(replace(&mut state, 5, 3, 9), Outcome::Applied);
+    assert_eq!(
+        replace(&mut state, 4, 9, 12),
+        Outcome::AlreadyApplied,
+        "never backwards"
+    );
+    assert_eq!(state.version(), 9);
+}
+
+#[test]
+fn modify_is_recognized_when_sent_again() {
+    let mut state = ControlState::default();
+    let add = br#"{"Version":5,"Upsert":{"Groups":[{"Name":"t"}]}}"#;
+    assert!(matches!(state.modified(0, b"{}"), Err(Outcome::Invalid(_))));
+    replace(&mut state, 1, 0, 3);
+    let command = state.modified(3, add).expect("fits");
+    assert_eq!(
+        state.apply(2, &Change::encode(ChangeKind::Replace(command.clone()))),
+        Outcome::Applied
+    );
+    assert!(state
+        .configuration
+        .as_ref()
+        .is_some_and(|c| c.services.contains_key("t")));
+    let state = ControlState::from_image(state.image()).expect("readable");
+    assert_eq!(
+        state.modified(3, add),
+        Err(Outcome::AlreadyApplied),
+        "also by another leader"
+    );
+    let other = br#"{"Version":5,"Upsert":{"Groups":[{"Name":"u"}]}}"#;
+    assert_eq!(state.modified(3, other), Err(Outcome::Conflict(5)));
+    let low = state.modified(5, br#"{"Version":5}"#).expect("readable");
+    assert!(matches!(state.check_replace(&low), Err(Outcome::Invalid(_))));
+}
+
+#[test]
+fn zone_stays_evacuated_until_every_evacuation_has_ended() {
+    let mut state = ControlState::default();
+    for (i, begin) in [(1, true), (2, true), (3, false)] {
+        state.apply(
+            i,
+            &Change::encode(ChangeKind::Evacuate(EvacuationChange {
+                zone: "z".into(),
+                begin,
+            })),
+        );
+    }
+    let mut state = ControlState::from_image(state.image()).expect("readable");
+    assert!(state.evacuated.contains_key("z"));
+    let last = EvacuationChange {
+        zone: "z".into(),
+        begin: false,
+    };
+    assert_eq!(
+        state.apply(4, &Change::encode(ChangeKind::Evacuate(last.clone()))),
+        Outcome::Applied
+    );
+    assert!(state.evacuated.is_empty());
+    assert_eq!(
+        state.apply(5, &Change::encode(ChangeKind::Evacuate(last))),
+        Outcome::AlreadyApplied
+    );
+}
+
+#[test]
+fn image_carries_everything_and_new_leases_cut_older_ones() {
+    let mut state = ControlState::default();
+    replace(&mut state, 1, 0, 3);
+    let whole = |from, to, worker: &str, fencing_token| KeyLease {
+        service: "s".into(),
+        from,
+        to,
+        worker: worker.into(),
+        fencing_token,
+        ..Default::default()
+    };
+    let put = vec![whole(0, KEY_SPACE - 1, "a", 1), whole(100, 199, "b", 2)];
+    state.apply(2, &Change::encode(ChangeKind::KeyLeases(KeyLeaseChange { put })));
+    state.apply(
+        3,
+        &Change::encode(ChangeKind::Evacuate(EvacuationChange {
+            zone: "z".into(),
+            begin: true,
+        })),
+    );
+    assert_eq!(state.key_lease("s", 99).map(|h| h.worker.as_str()), Some("a"));
+    assert_eq!(state.key_lease("s", 150).map(|h| h.worker.as_str()), Some("b"));
+    assert_eq!(
+        state.key_lease("s", 200).map(|h| (h.from, h.to)),
+        Some((200, KEY_SPACE - 1))
+    );
+    let repeats = ControlState::from_image(state.image()).expect("readable");
+    assert_eq!(repeats.image(), state.image());
+    assert_eq!(repeats.highest_fencing_token(), 2);
+    for data in [state.to_snapshot(), state.image().encode_to_vec()] {
+        let read = ControlState::from_snapshot(3, &data).expect("whole");
+        assert_eq!(read.image(), state.image());
+    }
+    assert!(ControlState::from_snapshot(9, &[0, 77]).is_err(), "unreadable");
+}
--- a/crates/playhouse/src/answers_tests.rs
+++ b/crates/playhouse/src/answers_tests.rs
@@ -3,8 +3,7 @@
 
 use crate::forwarding_tests::{front, get, house, post, raw, status, CONFIG};
 use crate::upstream::{simple, Simple, Upstream};
-use control_state::encode_change;
-use protocol::{ChangeKind, ReplaceOrder};
+use protocol::{Change, ChangeKind, ConfigurationCommand};
 use socket2::SockRef;
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -115,13 +114,13 @@
 async fn large_bodies(workers: &[String]) -> SocketAddrV4 {
     let (house, front) = house(workers).await;
     let body = CONFIG.replace("\"Version\":1,", "\"Version\":2,");
-    let order = ReplaceOrder {
+    let order = ConfigurationCommand {
         base: 1,
         body: body.replace(":1000,", ":1000000,").into(),
         ..Default::default()
     };
     let mut stage = (*house.stage.get()).clone();
-    stage.apply(3, &encode_change(ChangeKind::Replace(order)));
+    stage.apply(3, &Change::encode(ChangeKind::Replace(order)));
     assert_eq!(stage.version(), 2);
     house.stage.set(stage);
     front
--- a/crates/playhouse/src/cli/check.rs
+++ b/crates/playhouse/src/cli/check.rs
@@ -1,32 +1,38 @@
 //! Checking files without talking to anybody.
 
 use super::{exit, Done, Failure};
-use config::modify::amend;
-use config::Configuration;
-use config::Settings;
+use config::{apply_modification, Configuration, Settings};
 use std::path::Path;
 
 pub fn check(settings: Option<&Path>, config: Option<&Path>, modify: Option<&Path>) -> Done {
     let mut faults = Vec::new();
     if let Some(path) = settings {
         match read(path).and_then(|bytes| String::from_utf8(bytes).map_err(|e| e.to_string())) {
-            Ok(text) => faults.extend(Settings::parse(&text).err().map(|e| at(path, &e))),
+            Ok(text) => faults.extend(Settings::parse(&text).err().map(|e| at(path, &e.to_string()))),
             Err(e) => faults.push(at(path, &e)),
         }
     }
     if let Some(path) = config {
         match read(path) {
-            Ok(bytes) => faults.extend(Configuration::faults(&bytes).iter().map(|f| at(path, &f.0))),
+            Ok(bytes) => faults.extend(
+                Configuration::errors(&bytes)
+                    .iter()
+                    .map(|f| at(path, &f.to_string())),
+            ),
             Err(e) => faults.push(at(path, &e)),
         }
     }
     if let (Some(config), Some(path)) = (config, modify) {
         let whole = read(config).and_then(|current| {
-            let order = read(path)?;
-            amend(&current, &order).map_err(|f| f.0)
+            let modification = read(path)?;
+            apply_modification(&current, &modification).map_err(|e| e.to_string())
         });
         match whole {
-            Ok(whole) => faults.extend(Configuration::faults(&whole).iter().map(|f| at(path, &f.0))),
+            Ok(whole) => faults.extend(
+                Configuration::errors(&whole)
+                    .iter()
+                    .map(|f| at(path, &f.to_string())),
+            ),
             Err(e) => faults.push(at(path, &e)),
         }
     }
@@ -59,8 +65,8 @@
 pub fn valid_modify(path: &Path, current: &[u8]) -> Result<(Vec<u8>, Configuration), Failure> {
     let invalid = |what: String| Failure(exit::INVALID, at(path, &what));
     let order = read(path).map_err(invalid)?;
-    let whole = amend(current, &order).map_err(|f| invalid(f.0))?;
-    let config = Configuration::parse(&whole).map_err(|f| invalid(f.0))?;
+    let whole = apply_modification(current, &order).map_err(|e| invalid(e.to_string()))?;
+    let config = Configuration::parse(&whole).map_err(|f| invalid(f.to_string()))?;
     Ok((order, config))
 }
 
@@ -74,6 +80,7 @@
 pub fn valid_config(path: &Path) -> Result<(Vec<u8>, Configuration), Failure> {
     let invalid = |what: String| Failure(exit::INVALID, at(path, &what));
     let bytes = read(path).map_err(invalid)?;
-    let config = Configuration::parse(&bytes).map_err(|f| Failure(exit::INVALID, at(path, &f.0)))?;
+    let config =
+        Configuration::parse(&bytes).map_err(|f| Failure(exit::INVALID, at(path, &f.to_string())))?;
     Ok((bytes, config))
 }
--- a/crates/playhouse/src/cli/configuration.rs
+++ b/crates/playhouse/src/cli/configuration.rs
@@ -3,9 +3,7 @@
 use super::call::{call, Answered};
 use super::check::{is_modify, valid_config, valid_modify};
 use super::{exit, ControlArgs, Done, Failure};
-use config::Configuration;
-use config::Route;
-use config::Service;
+use config::{Configuration, Route, Service};
 use std::collections::BTreeMap;
 use std::path::Path;
 
@@ -173,23 +171,27 @@
 }
 
 fn show_route(r: &Route) -> String {
-    let split: Vec<String> = r.split.iter().map(|(s, w)| format!("{s}*{w}")).collect();
+    let split: Vec<String> = r
+        .split
+        .iter()
+        .map(|s| format!("{}*{}", s.service, s.weight))
+        .collect();
     format!(
         "{:?} to {} timeout {}ms target {}ms attempts {} priority {} homes {:?}",
         r.kind,
         split.join("+"),
         r.timeout_ms,
-        r.aim_ms,
-        r.attempts,
+        r.target_ms,
+        r.attempt_limit,
         r.priority,
-        r.homes
+        r.home_regions
     )
 }
 
 fn show_service(s: &Service) -> String {
     format!(
         "health {} connections {} cold {}/s for {}ms partitioned {}",
-        s.health_path, s.connection_limit, s.cold_rate, s.cold_period_ms, s.partitioned
+        s.health_path, s.connection_limit, s.warmup_rate, s.warmup_period_ms, s.partitioned
     )
 }
 
--- a/crates/playhouse/src/cli/keys.rs
+++ b/crates/playhouse/src/cli/keys.rs
@@ -3,7 +3,7 @@
 use super::call::call;
 use super::{exit, ControlArgs, Done, Failure};
 use clap::Subcommand;
-use control_state::KEYS;
+use control_state::KEY_SPACE;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
     /// Show who holds one key, in each divided service.
     Show {
         /// A key, from 0 to 65535.
-        #[arg(value_parser = clap::value_parser!(u32).range(..i64::from(KEYS)))]
+        #[arg(value_parser = clap::value_parser!(u32).range(..i64::from(KEY_SPACE)))]
         key: u32,
         #[command(flatten)]
         control: ControlArgs,
--- a/crates/playhouse/src/cli/mod.rs
+++ b/crates/playhouse/src/cli/mod.rs
@@ -69,7 +69,7 @@
 #[derive(Args)]
 pub struct ServeArgs {
     /// Pause between two lines of counters in the log, in seconds; 0 for none.
-    #[arg(long, default_value_t = config::constants::COUNTERS_EVERY_S)]
+    #[arg(long, default_value_t = config::constants::COUNTERS_INTERVAL_S)]
     pub counters_every: u64,
     /// Least level of what is logged.
     #[arg(long, default_value = "info", value_parser = ["error", "warn", "info", "debug"])]
--- a/crates/playhouse/src/conductor/mod.rs
+++ b/crates/playhouse/src/conductor/mod.rs
@@ -14,12 +14,11 @@
 use crate::vault::{Identity, Opened, Vault, Word};
 use actix::prelude::*;
 use config::constants as c;
-use control_state::Outcome;
-use control_state::Stage;
+use control_state::{ControlState, Outcome};
 use orders::{answer, carry_out, NOT_LEADER};
 use prost::Message as _;
 use protocol::*;
-use protocol::{CallId, Calls, Life};
+use protocol::{CallId, Incarnation, PendingCalls};
 use raft::{Config, EntryType, LogPosition, RaftNode, Role, Snapshot, StorageWrite, UpstreamSelector};
 use rand::Rng;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -55,7 +54,7 @@
             (
                 Identity { id, cluster: 0 },
                 raft::PersistentState::default(),
-                Stage::default(),
+                ControlState::default(),
                 true,
                 None,
             )
@@ -70,18 +69,18 @@
     );
     let timing = Config {
         heartbeat_ms: c::HEARTBEAT_MS,
-        learner_heartbeat_ms: c::OBSERVER_HEARTBEAT_MS,
-        election_timeout_ms: c::ELECTION_MIN_MS,
-        election_jitter_ms: c::ELECTION_SPREAD_MS,
+        learner_heartbeat_ms: c::LEARNER_HEARTBEAT_MS,
+        election_timeout_ms: c::ELECTION_TIMEOUT_MS,
+        election_jitter_ms: c::ELECTION_JITTER_MS,
         lease_ms: c::LEASE_MS,
-        resend_ms: c::RESEND_MS,
+        resend_ms: c::APPEND_RESEND_MS,
         snapshot_resend_ms: c::SNAPSHOT_RESEND_MS,
-        peer_timeout_ms: c::FOLLOWER_GONE_MS,
+        peer_timeout_ms: c::PEER_TIMEOUT_MS,
         append_bytes: c::APPEND_BYTES,
-        retained_bytes: c::LOG_TAIL_BYTES,
+        retained_bytes: c::LOG_RETAINED_BYTES,
     };
     let mut raft = RaftNode::new(identity.id, saved, timing, house.now(), rand::thread_rng().gen());
-    raft.set_snapshot_check(Stage::is_readable);
+    raft.set_snapshot_check(ControlState::is_snapshot_readable);
     let mut standing = Standing {
         id: identity.id,
         cluster: identity.cluster,
@@ -90,7 +89,7 @@
     standing.term = raft.term();
     house.standing.set(standing);
     house.stage.set(stage.clone());
-    let life = Life(rand::thread_rng().gen());
+    let life = Incarnation(rand::thread_rng().gen());
     let conductor = Conductor {
         house: house.clone(),
         raft,
@@ -104,8 +103,8 @@
         proposals: HashMap::new(),
         reads: HashMap::new(),
         last_read: 0,
-        calls: Calls::new(life, c::CALL_WAIT_MS),
-        mends: Calls::new(life, c::CONTACT_MS),
+        calls: PendingCalls::new(life, c::COMMAND_TIMEOUT_MS),
+        mends: PendingCalls::new(life, c::CONTACT_TIMEOUT_MS),
         last_order: 0,
         orders_seen: BTreeMap::new(),
         appoints: 0,
@@ -161,16 +160,16 @@
 struct Proposal {
     term: u64,
     /// Of a configuration order, so that the same order sent again joins it.
-    key: Option<TakenOrder>,
+    key: Option<ConfigurationKey>,
     /// Of an order without a base.
-    tag: Option<OrderTag>,
+    tag: Option<CommandTag>,
     waiters: Vec<Waiter>,
 }
 
 pub struct Conductor {
     house: Rc<House>,
     raft: RaftNode,
-    stage: Stage,
+    stage: ControlState,
     vault: Option<Vault>,
     /// Empty at the first start of the whole system.
     fresh: bool,
@@ -183,9 +182,9 @@
     reads: HashMap<u64, oneshot::Sender<bool>>,
     last_read: u64,
     /// Calls passed on, by the node asked.
-    calls: Calls<u64, oneshot::Sender<ControlAnswer>>,
+    calls: PendingCalls<u64, oneshot::Sender<CommandResponse>>,
     /// Peers asked for what this copy lacks, and the digests that they were sent.
-    mends: Calls<u64, Digests>,
+    mends: PendingCalls<u64, RangeDigests>,
     /// The last number given to an order that reached this process.
     last_order: u64,
     /// When each order of the ledger was first seen here.
@@ -217,7 +216,7 @@
         self.look_around();
         // Connections to the other voters are there before an election needs
         // them; those that start at the same moment may not listen yet.
-        for pause in (0..c::ELECTION_MIN_MS).step_by(c::CALL_RETRY_MS as usize) {
+        for pause in (0..c::ELECTION_TIMEOUT_MS).step_by(c::COMMAND_RETRY_MS as usize) {
             ctx.run_later(Duration::from_millis(pause), |me, _| me.greet());
         }
     }
@@ -228,7 +227,7 @@
         // Who cannot vote and knows where it stands has nothing to wait for here.
         let idle = self.vault.is_none() && self.house.standing.get().current;
         let wait = if idle {
-            c::CONTACT_MS
+            c::CONTACT_TIMEOUT_MS
         } else {
             self.raft
                 .next_tick_at()
@@ -250,11 +249,11 @@
     fn greet(&self) {
         let me = self.raft.id();
         for voter in self.raft.membership().voters.iter().filter(|v| v.id != me) {
-            self.post(voter.address.clone(), Matter::Hello(true));
+            self.post(voter.address.clone(), Payload::Hello(true));
         }
     }
 
-    fn post(&self, to: String, matter: Matter) {
+    fn post(&self, to: String, matter: Payload) {
         if let Some(post) = self.house.get::<Addr<Post>>() {
             post.do_send(Send { to, matter });
         }
@@ -277,7 +276,7 @@
     fn send_messages(&self, messages: Vec<raft::Message>) {
         for message in messages {
             if let Some(address) = self.address_of(message.to) {
-                self.post(address, Matter::Agreement(message.encode_to_vec()));
+                self.post(address, Payload::Raft(message.encode_to_vec()));
             }
         }
     }
@@ -314,8 +313,8 @@
                 break;
             }
         }
-        let room = c::LOG_KEEP_BYTES.max(self.raft.snapshot_bytes());
-        let long = self.raft.log_len() > c::LOG_KEEP || self.raft.log_bytes() > room;
+        let room = c::LOG_MAX_BYTES.max(self.raft.snapshot_bytes());
+        let long = self.raft.log_len() > c::LOG_MAX_ENTRIES || self.raft.log_bytes() > room;
         if long {
             // Only voters pass the state on; for all others its image would cost
             // memory and time for nobody.
@@ -372,7 +371,7 @@
 
     fn install(&mut self, snapshot: &Snapshot) {
         // The agreement takes none that cannot be read.
-        if let Ok(stage) = Stage::from_snapshot(snapshot.index, &snapshot.data) {
+        if let Ok(stage) = ControlState::from_snapshot(snapshot.index, &snapshot.data) {
             if stage.index > self.stage.index {
                 self.stage = stage;
                 self.house.stage.set(self.stage.clone());
@@ -544,8 +543,8 @@
     type Result = ();
     fn handle(&mut self, Delivered(letter): Delivered, ctx: &mut Self::Context) {
         let now = self.house.now();
-        match letter.matter {
-            Some(Matter::Agreement(bytes)) => {
+        match letter.payload {
+            Some(Payload::Raft(bytes)) => {
                 let Ok(message) = raft::Message::decode(bytes.as_slice()) else {
                     self.house.counters.add("malformed_frames");
                     return;
@@ -559,11 +558,16 @@
                 }
                 self.receive(now, letter.from, message);
             }
-            Some(Matter::Call(call)) => {
-                let ControlCall { id, life, order, tag } = *call;
+            Some(Payload::Request(call)) => {
+                let CommandRequest {
+                    number: id,
+                    incarnation: life,
+                    command: order,
+                    tag,
+                } = *call;
                 let Some(order) = order else { return };
                 let me = ctx.address();
-                let leads = self.raft.is_leader() && self.silent_ms() < c::ELECTION_MIN_MS;
+                let leads = self.raft.is_leader() && self.silent_ms() < c::ELECTION_TIMEOUT_MS;
                 let house = self.house.clone();
                 actix_rt::spawn(async move {
                     let done = if leads {
@@ -572,7 +576,11 @@
                         answer(NOT_LEADER, "")
                     };
                     if let Some(post) = house.get::<Addr<Post>>() {
-                        let matter = Matter::Answer(ControlAnswer { id, life, ..done });
+                        let matter = Payload::Response(CommandResponse {
+                            number: id,
+                            incarnation: life,
+                            ..done
+                        });
                         post.do_send(Send {
                             to: letter.reply_to,
                             matter,
@@ -580,10 +588,10 @@
                     }
                 });
             }
-            Some(Matter::Answer(answer)) => {
+            Some(Payload::Response(answer)) => {
                 let call = CallId {
-                    life: Life(answer.life),
-                    number: answer.id,
+                    incarnation: Incarnation(answer.incarnation),
+                    number: answer.number,
                 };
                 match self.calls.finish(&letter.from, call, self.house.now()) {
                     Some(tx) => {
@@ -592,15 +600,15 @@
                     None => self.house.counters.add("answers_unknown"),
                 }
             }
-            Some(Matter::Digests(theirs)) if self.house.standing.get().current => {
+            Some(Payload::Digests(theirs)) if self.house.standing.get().current => {
                 if let Some(mend) = understudy::mend_for(&self.stage, &theirs) {
-                    self.post(letter.reply_to, Matter::Mend(Box::new(mend)));
+                    self.post(letter.reply_to, Payload::Repair(Box::new(mend)));
                 }
             }
-            Some(Matter::Mend(mend)) => {
+            Some(Payload::Repair(mend)) => {
                 let call = CallId {
-                    life: Life(mend.life),
-                    number: mend.id,
+                    incarnation: Incarnation(mend.incarnation),
+                    number: mend.number,
                 };
                 let Some(asked) = self.mends.finish(&letter.from, call, self.house.now()) else {
                     self.house.counters.add("answers_unknown");
--- a/crates/playhouse/src/conductor/orders.rs
+++ b/crates/playhouse/src/conductor/orders.rs
@@ -4,8 +4,7 @@
 use super::{rollouts, Conductor};
 use actix::prelude::*;
 use config::constants as c;
-use control_state::key_of;
-use control_state::{encode_order, Judgement, Outcome};
+use control_state::{configuration_key, Confirmation, Judgement, Outcome};
 use protocol::*;
 use raft::{is_durable, tolerates_faults, LogPosition};
 use rand::seq::SliceRandom;
@@ -15,8 +14,8 @@
 
 /// An order of the operator, from this node's control.
 #[derive(Message)]
-#[rtype(result = "ControlAnswer")]
-pub struct Take(pub Order);
+#[rtype(result = "CommandResponse")]
+pub struct Take(pub Command);
 
 /// Nodes named by a node out of contact, nodes.
 const NAMED: usize = 3;
@@ -30,10 +29,14 @@
 impl Conductor {
     /// Puts a change into the log. A configuration order that is on its way already is
     /// joined: its entry comes to the same, whoever asked.
-    pub(super) fn propose(&mut self, kind: ChangeKind, tag: Option<OrderTag>) -> oneshot::Receiver<Settled> {
+    pub(super) fn propose(
+        &mut self,
+        kind: ChangeKind,
+        tag: Option<CommandTag>,
+    ) -> oneshot::Receiver<Settled> {
         let (tx, rx) = oneshot::channel();
         let key = match &kind {
-            ChangeKind::Replace(order) => Some(key_of(order)),
+            ChangeKind::Replace(order) => Some(configuration_key(order)),
             _ => None,
         };
         let under_way = |(_, p): &(&u64, &Proposal)| key.is_some() && p.key == key;
@@ -43,10 +46,10 @@
             return rx;
         }
         if self.raft.is_established_leader() {
-            if let Some(LogPosition { index, term }) = self
-                .raft
-                .propose(encode_order(self.stage.for_log(kind), tag.clone()))
-            {
+            if let Some(LogPosition { index, term }) = self.raft.propose(Change::encode_tagged(
+                self.stage.compact_for_log(kind),
+                tag.clone(),
+            )) {
                 let proposal = Proposal {
                     term,
                     key,
@@ -61,9 +64,9 @@
     }
 
     /// Puts an order into the log; one that is taken for one sent again says so there.
-    fn propose_order(&mut self, kind: ChangeKind, tag: Option<OrderTag>) -> oneshot::Receiver<Settled> {
-        let tag = tag.map(|tag| OrderTag {
-            again: self.resent(&tag).unwrap_or(0),
+    fn propose_order(&mut self, kind: ChangeKind, tag: Option<CommandTag>) -> oneshot::Receiver<Settled> {
+        let tag = tag.map(|tag| CommandTag {
+            repeats: self.resent(&tag).unwrap_or(0),
             ..tag
         });
         self.propose(kind, tag)
@@ -73,21 +76,21 @@
     /// subject, if it was the same and came a moment ago as far as this node has seen.
     /// What is byte for byte alike cannot be told apart any better; the log has the
     /// last word, and holds it for all leaders.
-    fn resent(&self, tag: &OrderTag) -> Option<u64> {
+    fn resent(&self, tag: &CommandTag) -> Option<u64> {
         let now = self.house.now();
         let under_way = self.proposals.iter();
         let under_way = under_way.filter_map(|(index, p)| Some((*index, p.tag.as_ref()?)));
         let recent = |index: u64| {
             let seen = self.orders_seen.get(&index);
-            seen.is_some_and(|at| now.saturating_sub(*at) < c::SAME_ORDER_MS)
+            seen.is_some_and(|at| now.saturating_sub(*at) < c::REPEATED_COMMAND_MS)
         };
-        self.stage.ledger.repeated(tag, under_way, recent)
+        self.stage.command_history.recent_like(tag, under_way, recent)
     }
 
     /// Notes when the orders of the ledger were first seen here.
     pub(super) fn see_orders(&mut self) {
         let now = self.house.now();
-        let known: BTreeSet<u64> = self.stage.ledger.indexes().collect();
+        let known: BTreeSet<u64> = self.stage.command_history.tagged_indexes().collect();
         self.orders_seen.retain(|index, _| known.contains(index));
         for index in known {
             self.orders_seen.entry(index).or_insert(now);
@@ -103,7 +106,7 @@
     }
 
     /// What a node out of contact says at once: it names nodes that may know better.
-    fn refer(&self) -> ControlAnswer {
+    fn refer(&self) -> CommandResponse {
         let port = self
             .house
             .settings
@@ -150,20 +153,20 @@
             .iter()
             .filter(|m| m.is_alive())
             .filter_map(|m| self.raft.progress(m.id))
-            .filter(|p| now.saturating_sub(p.last_heard) < c::CONTACT_MS && p.applied < index)
+            .filter(|p| now.saturating_sub(p.last_heard) < c::CONTACT_TIMEOUT_MS && p.applied < index)
             .count()
     }
 }
 
-pub(super) fn answer(status: u32, body: impl Into<Vec<u8>>) -> ControlAnswer {
-    ControlAnswer {
+pub(super) fn answer(status: u32, body: impl Into<Vec<u8>>) -> CommandResponse {
+    CommandResponse {
         status,
         body: body.into(),
         ..Default::default()
     }
 }
 
-pub(super) fn refusal(status: u32, text: &str) -> ControlAnswer {
+pub(super) fn refusal(status: u32, text: &str) -> CommandResponse {
     answer(status, serde_json::json!({ "ErrorText": text }).to_string())
 }
 
@@ -173,15 +176,15 @@
 /// Carries an order out on the leader.
 pub(super) async fn carry_out(
     conductor: Addr<Conductor>,
-    order: Order,
-    tag: Option<OrderTag>,
-) -> ControlAnswer {
+    order: Command,
+    tag: Option<CommandTag>,
+) -> CommandResponse {
     match order {
-        Order::Status(_) => match conductor.send(Ask(Question::Status)).await {
+        Command::Status(_) => match conductor.send(Ask(Question::Status)).await {
             Ok(body) => answer(200, body),
             Err(_) => refusal(503, "ending"),
         },
-        Order::Read(_) => {
+        Command::ReadConfiguration(_) => {
             if !is_newest(&conductor).await {
                 return answer(NOT_LEADER, "");
             }
@@ -191,22 +194,22 @@
                 Err(_) => refusal(503, "ending"),
             }
         }
-        Order::Replace(order) => configure(conductor, order).await,
+        Command::Replace(order) => configure(conductor, order).await,
         // The log holds what changes; what it comes to is worked out where it is applied.
-        Order::Modify(modify) => {
-            let order = ReplaceOrder {
+        Command::Modify(modify) => {
+            let order = ConfigurationCommand {
                 base: modify.base,
                 body: Vec::new(),
-                amendment: modify.body,
+                modification: modify.body,
             };
             configure(conductor, order).await
         }
-        Order::Begin(order) => rollouts::begin(conductor, order, tag).await,
-        Order::Rollout(service) => rollouts::read(conductor, Some(service)).await,
-        Order::Rollouts(_) => rollouts::read(conductor, None).await,
-        Order::Steer(change) => rollouts::steer(conductor, change, tag).await,
-        Order::KillSwitch(switch) => settle(conductor, ChangeKind::KillSwitch(switch), tag).await,
-        Order::Evacuate(e) => settle(conductor, ChangeKind::Evacuate(e), tag).await,
+        Command::BeginRollout(order) => rollouts::begin(conductor, order, tag).await,
+        Command::ReadRollout(service) => rollouts::read(conductor, Some(service)).await,
+        Command::ReadRollouts(_) => rollouts::read(conductor, None).await,
+        Command::ChangeRollout(change) => rollouts::steer(conductor, change, tag).await,
+        Command::KillSwitch(switch) => settle(conductor, ChangeKind::KillSwitch(switch), tag).await,
+        Command::Evacuate(e) => settle(conductor, ChangeKind::Evacuate(e), tag).await,
     }
 }
 
@@ -215,23 +218,23 @@
     let Ok(Some(rx)) = conductor.send(ReadBegin).await else {
         return false;
     };
-    let good = tokio::time::timeout(Duration::from_millis(c::CALL_WAIT_MS), rx).await;
+    let good = tokio::time::timeout(Duration::from_millis(c::COMMAND_TIMEOUT_MS), rx).await;
     matches!(good, Ok(Ok(true)))
 }
 
 /// Carries out a configuration order. Whatever is refused or confirmed without a new
 /// entry is said out of a copy that a majority has confirmed since the order came.
-async fn configure(conductor: Addr<Conductor>, order: ReplaceOrder) -> ControlAnswer {
-    let judge = |confirmed| JudgeOrder {
+async fn configure(conductor: Addr<Conductor>, order: ConfigurationCommand) -> CommandResponse {
+    let judge = |confirmation| JudgeOrder {
         order: order.clone(),
-        confirmed,
+        confirmation,
     };
-    let mut judged = conductor.send(judge(false)).await;
+    let mut judged = conductor.send(judge(Confirmation::Unconfirmed)).await;
     if matches!(judged, Ok(Some(Ok(Judgement::Confirm)))) {
         if !is_newest(&conductor).await {
             return answer(NOT_LEADER, "");
         }
-        judged = conductor.send(judge(true)).await;
+        judged = conductor.send(judge(Confirmation::Confirmed)).await;
     }
     match judged {
         Ok(Some(Ok(Judgement::Log))) => settle(conductor, ChangeKind::Replace(order), None).await,
@@ -252,8 +255,8 @@
 pub(super) async fn settle(
     conductor: Addr<Conductor>,
     kind: ChangeKind,
-    tag: Option<OrderTag>,
-) -> ControlAnswer {
+    tag: Option<CommandTag>,
+) -> CommandResponse {
     let (outcome, index) = match conductor.send(ProposeOrder(kind, tag)).await {
         Ok(Ok(Some(settled))) => settled,
         Ok(Err(answer)) => return answer,
@@ -267,9 +270,9 @@
 
 /// The acknowledgement of what stands at `index`: once it rests on copies that bear any
 /// loss inside `Tolerance`, and nodes in contact have applied it or have had their time.
-async fn acknowledge(conductor: &Addr<Conductor>, index: u64) -> ControlAnswer {
+async fn acknowledge(conductor: &Addr<Conductor>, index: u64) -> CommandResponse {
     let mut waited = 0;
-    while waited < c::CALL_WAIT_MS {
+    while waited < c::COMMAND_TIMEOUT_MS {
         match conductor.send(HowFirm(index)).await {
             Ok(Stands::Yes) => return answer(200, "{}"),
             Ok(Stands::Spreading) if waited >= c::APPLY_WAIT_MS => return answer(200, "{}"),
@@ -309,7 +312,7 @@
         let now = self.house.now();
         MessageResult(if !self.raft.is_established_leader() {
             Stands::Elsewhere
-        } else if !is_durable(&self.raft, index, now, self.losses(), c::CONTACT_MS) {
+        } else if !is_durable(&self.raft, index, now, self.losses(), c::CONTACT_TIMEOUT_MS) {
             Stands::TooFew
         } else if self.behind(index) > 0 {
             Stands::Spreading
@@ -321,11 +324,11 @@
 
 /// Puts an order into the log; the answer at once if no order can be taken now.
 #[derive(Message)]
-#[rtype(result = "Result<Settled, ControlAnswer>")]
-struct ProposeOrder(ChangeKind, Option<OrderTag>);
+#[rtype(result = "Result<Settled, CommandResponse>")]
+struct ProposeOrder(ChangeKind, Option<CommandTag>);
 
 impl Handler<ProposeOrder> for Conductor {
-    type Result = ResponseFuture<Result<Settled, ControlAnswer>>;
+    type Result = ResponseFuture<Result<Settled, CommandResponse>>;
     fn handle(&mut self, ProposeOrder(kind, tag): ProposeOrder, _: &mut Self::Context) -> Self::Result {
         if let Some(answer) = self.too_few() {
             return Box::pin(async { Err(answer) });
@@ -338,7 +341,7 @@
 /// Whether an order is most likely one that was taken a moment ago.
 #[derive(Message)]
 #[rtype(result = "bool")]
-pub(super) struct IsResent(pub Option<OrderTag>);
+pub(super) struct IsResent(pub Option<CommandTag>);
 
 impl Handler<IsResent> for Conductor {
     type Result = bool;
@@ -348,16 +351,16 @@
 }
 
 /// The answer to an order whose outcome is not that it stands.
-fn refused(outcome: &Outcome) -> Option<ControlAnswer> {
+fn refused(outcome: &Outcome) -> Option<CommandResponse> {
     match outcome {
-        Outcome::Applied | Outcome::Already => None,
-        Outcome::Lost(version) => Some(refusal(
+        Outcome::Applied | Outcome::AlreadyApplied => None,
+        Outcome::Conflict(version) => Some(refusal(
             412,
             &format!("Base-Version is not the current version {version}"),
         )),
-        Outcome::Invalid(fault) => Some(refusal(400, &fault.0)),
-        Outcome::Refused(refused) => Some(rollouts::refused(refused)),
-        Outcome::Unclear => Some(refusal(
+        Outcome::Invalid(fault) => Some(refusal(400, &fault.to_string())),
+        Outcome::RolloutRejected(refused) => Some(rollouts::refused(refused)),
+        Outcome::Undecidable => Some(refusal(
             503,
             "the order may have been judged, longer ago than is remembered",
         )),
@@ -378,7 +381,7 @@
     fn handle(&mut self, Ask(question): Ask, _: &mut Self::Context) -> Vec<u8> {
         match question {
             Question::Status => self.status(),
-            Question::Configuration => self.stage.config_body.to_vec(),
+            Question::Configuration => self.stage.configuration_body.to_vec(),
         }
     }
 }
@@ -396,14 +399,14 @@
 
 /// Looks at a configuration order before it is logged; `None` if this node does not lead.
 #[derive(Message)]
-#[rtype(result = "Option<Result<Judgement, ControlAnswer>>")]
+#[rtype(result = "Option<Result<Judgement, CommandResponse>>")]
 struct JudgeOrder {
-    order: ReplaceOrder,
-    confirmed: bool,
+    order: ConfigurationCommand,
+    confirmation: Confirmation,
 }
 
 impl Handler<JudgeOrder> for Conductor {
-    type Result = Option<Result<Judgement, ControlAnswer>>;
+    type Result = Option<Result<Judgement, CommandResponse>>;
     fn handle(&mut self, msg: JudgeOrder, _: &mut Self::Context) -> Self::Result {
         if !self.raft.is_established_leader() {
             return None;
@@ -411,13 +414,13 @@
         if let Some(answer) = self.too_few() {
             return Some(Err(answer));
         }
-        Some(Ok(self.stage.judge_order(&msg.order, msg.confirmed)))
+        Some(Ok(self.stage.judge(&msg.order, msg.confirmation)))
     }
 }
 
 impl Conductor {
     /// The answer while the voters are too few for anything to be acknowledged.
-    pub(super) fn too_few(&self) -> Option<ControlAnswer> {
+    pub(super) fn too_few(&self) -> Option<CommandResponse> {
         let bears = tolerates_faults(self.raft.membership(), self.losses());
         (!bears).then(|| refusal(503, "too few voters yet to bear the losses of Tolerance"))
     }
@@ -447,29 +450,29 @@
 }
 
 impl Handler<Take> for Conductor {
-    type Result = ResponseFuture<ControlAnswer>;
+    type Result = ResponseFuture<CommandResponse>;
 
     /// Carries the order out here, or passes it to the leader, until the
     /// caller would move on.
     fn handle(&mut self, Take(order): Take, ctx: &mut Self::Context) -> Self::Result {
         let me = ctx.address();
         // A zone evacuated for too long costs work; one taken back too soon breaks a promise.
-        let cautious = matches!(&order, Order::Evacuate(e) if !e.begin);
-        let tag = control_state::order_digests(&order).map(|(subject, digest)| {
+        let cautious = matches!(&order, Command::Evacuate(e) if !e.begin);
+        let tag = control_state::command_digests(&order).map(|digests| {
             self.last_order += 1;
-            OrderTag {
-                life: self.calls.life().0,
+            CommandTag {
+                incarnation: self.calls.incarnation().0,
                 number: self.last_order,
                 as_of: self.stage.index,
-                subject,
-                digest,
-                again: 0,
+                subject: digests.subject,
+                digest: digests.command,
+                repeats: 0,
                 cautious,
             }
         });
         let house = self.house.clone();
-        let until = house.now() + c::CALL_WAIT_MS;
-        let own_state = matches!(order, Order::Status(_));
+        let until = house.now() + c::COMMAND_TIMEOUT_MS;
+        let own_state = matches!(order, Command::Status(_));
         Box::pin(async move {
             let work = async {
                 loop {
@@ -482,7 +485,7 @@
                     };
                     match answered {
                         Some(a) if a.status != NOT_LEADER => return a,
-                        _ => actix_rt::time::sleep(Duration::from_millis(c::CALL_RETRY_MS)).await,
+                        _ => actix_rt::time::sleep(Duration::from_millis(c::COMMAND_RETRY_MS)).await,
                     }
                     // The process may have stood still meanwhile: the caller has gone on.
                     if house.now() >= until {
@@ -490,7 +493,7 @@
                     }
                 }
             };
-            let answered = tokio::time::timeout(Duration::from_millis(c::CALL_WAIT_MS), work)
+            let answered = tokio::time::timeout(Duration::from_millis(c::COMMAND_TIMEOUT_MS), work)
                 .await
                 .unwrap_or_else(|_| refusal(503, "no leader could be reached in time"));
             if own_state && answered.status != 200 {
@@ -507,14 +510,14 @@
 
 enum Way {
     Here,
-    There(oneshot::Receiver<ControlAnswer>),
+    There(oneshot::Receiver<CommandResponse>),
     /// Nobody is known to lead; what to answer at once if that has lasted.
-    Nowhere(Option<ControlAnswer>),
+    Nowhere(Option<CommandResponse>),
 }
 
 #[derive(Message)]
 #[rtype(result = "Way")]
-struct Route(Order, Option<OrderTag>);
+struct Route(Command, Option<CommandTag>);
 
 impl Handler<Route> for Conductor {
     type Result = MessageResult<Route>;
@@ -527,7 +530,7 @@
         }
         let leader = self.raft.leader_id();
         if self.raft.is_leader() {
-            let in_contact = silent < c::ELECTION_MIN_MS;
+            let in_contact = silent < c::ELECTION_TIMEOUT_MS;
             return MessageResult(if in_contact { Way::Here } else { Way::Nowhere(None) });
         }
         let Some(address) = (leader != 0).then(|| self.address_of(leader)).flatten() else {
@@ -537,10 +540,10 @@
         let call = self.calls.begin(leader, self.house.now(), tx);
         self.post(
             address,
-            Matter::Call(Box::new(ControlCall {
-                id: call.number,
-                life: call.life.0,
-                order: Some(order),
+            Payload::Request(Box::new(CommandRequest {
+                number: call.number,
+                incarnation: call.incarnation.0,
+                command: Some(order),
                 tag,
             })),
         );
--- a/crates/playhouse/src/conductor/rollouts.rs
+++ b/crates/playhouse/src/conductor/rollouts.rs
@@ -5,13 +5,13 @@
 use crate::producer::{Figures, MayPass, Producer};
 use actix::prelude::*;
 use config::constants as c;
-use control_state::Stage;
+use control_state::ControlState;
 use preview::{Action, Preview, PreviewChange, Refusal, Side};
 use protocol::*;
 use std::collections::BTreeSet;
 
 /// The answer to a change of a rollout that does not take place.
-pub(super) fn refused(refused: &Refusal) -> ControlAnswer {
+pub(super) fn refused(refused: &Refusal) -> CommandResponse {
     match refused {
         Refusal::Held { service, target } => refusal(
             409,
@@ -32,17 +32,17 @@
 
 /// The leader's copy of the control state, and what else an order goes by.
 struct Scene {
-    stage: Stage,
+    stage: ControlState,
     exposure: f64,
     producer: Option<Addr<Producer>>,
 }
 
 #[derive(Message)]
-#[rtype(result = "Option<Result<Scene, ControlAnswer>>")]
+#[rtype(result = "Option<Result<Scene, CommandResponse>>")]
 struct Look;
 
 impl Handler<Look> for Conductor {
-    type Result = Option<Result<Scene, ControlAnswer>>;
+    type Result = Option<Result<Scene, CommandResponse>>;
     fn handle(&mut self, _: Look, _: &mut Self::Context) -> Self::Result {
         if !self.raft.is_established_leader() {
             return None;
@@ -59,7 +59,7 @@
 }
 
 /// The leader's copy, once a majority has confirmed it: orders are refused by it.
-async fn look(conductor: &Addr<Conductor>) -> Result<Scene, ControlAnswer> {
+async fn look(conductor: &Addr<Conductor>) -> Result<Scene, CommandResponse> {
     if !is_newest(conductor).await {
         return Err(answer(NOT_LEADER, ""));
     }
@@ -71,12 +71,12 @@
 
 /// What is wrong with an order to begin a rollout, as far as the log would not
 /// say so itself.
-fn fault(stage: &Stage, service: &str, target: &str, duration_ms: u64) -> Option<ControlAnswer> {
+fn fault(stage: &ControlState, service: &str, target: &str, duration_ms: u64) -> Option<CommandResponse> {
     if target.is_empty() {
         return Some(refusal(400, "TargetVersion: is empty"));
     }
-    if duration_ms < c::ROLLOUT_LEAST_MS {
-        let text = format!("Duration: must be {} ms or more", c::ROLLOUT_LEAST_MS);
+    if duration_ms < c::MIN_ROLLOUT_MS {
+        let text = format!("Duration: must be {} ms or more", c::MIN_ROLLOUT_MS);
         return Some(refusal(400, &text));
     }
     if stage.service(service).is_none() {
@@ -89,16 +89,16 @@
     None
 }
 
-fn of_service<'a>(stage: &'a Stage, service: &'a str) -> impl Iterator<Item = &'a Worker> {
+fn of_service<'a>(stage: &'a ControlState, service: &'a str) -> impl Iterator<Item = &'a Worker> {
     let workers = stage.workers.values().map(|w| &**w);
     workers.filter(move |w| w.service == service && !w.draining)
 }
 
 pub(super) async fn begin(
     conductor: Addr<Conductor>,
-    order: BeginOrder,
-    tag: Option<OrderTag>,
-) -> ControlAnswer {
+    order: BeginRollout,
+    tag: Option<CommandTag>,
+) -> CommandResponse {
     let Scene { stage, exposure, .. } = match look(&conductor).await {
         Ok(found) => found,
         Err(answer) => return answer,
@@ -115,7 +115,7 @@
         }
     }
     let before: BTreeSet<String> = of_service(&stage, &order.service)
-        .filter(|w| stage.side(w) == Side::Old && w.version != create.target)
+        .filter(|w| stage.cohort(w) == Side::Old && w.version != create.target)
         .map(|w| w.version.clone())
         .collect();
     let change = PreviewChange {
@@ -135,8 +135,8 @@
 pub(super) async fn steer(
     conductor: Addr<Conductor>,
     mut change: PreviewChange,
-    tag: Option<OrderTag>,
-) -> ControlAnswer {
+    tag: Option<CommandTag>,
+) -> CommandResponse {
     let Scene { stage, producer, .. } = match look(&conductor).await {
         Ok(found) => found,
         Err(answer) => return answer,
@@ -148,10 +148,10 @@
         return refused(&Refusal::Unknown);
     };
     let action = Action::try_from(change.action).unwrap_or(Action::None);
-    if change.bypass && change.why.trim().chars().count() < c::BYPASS_REASON {
+    if change.bypass && change.why.trim().chars().count() < c::MIN_BYPASS_REASON_CHARS {
         let text = format!(
             "Why: a bypass wants a reason of {} letters or more",
-            c::BYPASS_REASON
+            c::MIN_BYPASS_REASON_CHARS
         );
         return refusal(400, &text);
     }
@@ -198,7 +198,7 @@
 }
 
 /// One rollout as the operator's protocol wants it, or all with all there is.
-pub(super) async fn read(conductor: Addr<Conductor>, service: Option<String>) -> ControlAnswer {
+pub(super) async fn read(conductor: Addr<Conductor>, service: Option<String>) -> CommandResponse {
     let Scene { stage, producer, .. } = match look(&conductor).await {
         Ok(found) => found,
         Err(answer) => return answer,
--- a/crates/playhouse/src/conductor/status.rs
+++ b/crates/playhouse/src/conductor/status.rs
@@ -23,10 +23,10 @@
             .collect();
         let holdings: Vec<serde_json::Value> = self
             .stage
-            .holdings
+            .key_leases
             .values()
             .flat_map(|t| t.values())
-            .map(|h| serde_json::json!({"service": h.service, "from": h.from, "to": h.to, "worker": h.worker, "fence": h.fence, "leaving": h.leaving}))
+            .map(|h| serde_json::json!({"service": h.service, "from": h.from, "to": h.to, "worker": h.worker, "fence": h.fencing_token, "leaving": h.revoking}))
             .collect();
         let fractions: Vec<serde_json::Value> = self
             .stage
@@ -55,7 +55,7 @@
         let leads = p.is_leader();
         let heard = |id: u64| {
             let progress = p.progress(id);
-            id == p.id() || progress.is_some_and(|p| now.saturating_sub(p.last_heard) < c::CONTACT_MS)
+            id == p.id() || progress.is_some_and(|p| now.saturating_sub(p.last_heard) < c::CONTACT_TIMEOUT_MS)
         };
         let caught_up =
             |id: u64| id == p.id() || p.progress(id).is_some_and(|o| o.matched >= p.commit_index());
@@ -70,7 +70,7 @@
             .into_iter()
             .filter(|id| !roll.contains(*id) && heard(*id))
             .count();
-        let (configurations, ahead, others) = self.stage.ledger.sizes();
+        let history = self.stage.command_history.sizes();
         let (snapshot_index, snapshot_bytes) = (p.last_index() - p.log_len() as u64, p.snapshot_bytes());
         serde_json::json!({
             "leads": leads, "leader_id": p.leader_id(), "term": p.term(), "commit": p.commit_index(),
@@ -85,7 +85,7 @@
             "roll_change_under_way": p.is_membership_pending(),
             "snapshot_index": snapshot_index, "snapshot_bytes": snapshot_bytes,
             "log_entries": p.log_len(), "log_bytes": p.log_bytes(),
-            "orders": { "configurations": configurations, "ahead": ahead, "others": others },
+            "orders": { "configurations": history.accepted, "ahead": history.rejected_ahead, "others": history.tagged },
             "disk_in_trouble": self.in_trouble,
         })
     }
--- a/crates/playhouse/src/conductor/tending.rs
+++ b/crates/playhouse/src/conductor/tending.rs
@@ -4,7 +4,7 @@
 use super::Conductor;
 use callboard::Member;
 use config::constants as c;
-use protocol::{Digests, Matter};
+use protocol::{Payload, RangeDigests};
 use raft::{
     next_membership, FaultTolerance, PeerObservation, SilenceTimeouts, UpstreamCandidate, UpstreamTimeouts,
     Voter,
@@ -64,7 +64,7 @@
         if settings.own_entity.initial_start && first_seed.as_deref() == Some(&me) && self.appoints == 0 {
             if self.fresh {
                 self.appoints = standing.id;
-            } else if self.vault.is_none() && self.house.now() > self.started + 2 * c::JOIN_EVERY_MS {
+            } else if self.vault.is_none() && self.house.now() > self.started + 2 * c::JOIN_INTERVAL_MS {
                 let chosen = members
                     .iter()
                     .filter(|m| m.fresh && m.is_alive())
@@ -119,8 +119,8 @@
             .chain(named.map(|v| source(v.id, &v.zone, &v.region)))
             .collect();
         let timing = UpstreamTimeouts {
-            silence_ms: c::SOURCE_SILENT_MS,
-            avoid_ms: c::SOURCE_SHUN_MS,
+            silence_ms: c::UPSTREAM_SILENCE_MS,
+            avoid_ms: c::UPSTREAM_AVOID_MS,
         };
         let feed = self.raft.upstream();
         let me = self.raft.id();
@@ -187,9 +187,9 @@
             })
             .collect();
         let patience = SilenceTimeouts {
-            contact_ms: c::CONTACT_MS,
-            removal_ms: c::VOTER_GONE_MS,
-            urgent_removal_ms: c::VOTER_LEFT_MS,
+            contact_ms: c::CONTACT_TIMEOUT_MS,
+            removal_ms: c::VOTER_REMOVAL_MS,
+            urgent_removal_ms: c::VOTER_URGENT_REMOVAL_MS,
         };
         if let Some(roll) = next_membership(&self.raft, now, &seen, self.losses(), patience) {
             let before = self.raft.membership().voters.len();
@@ -234,7 +234,7 @@
     pub(super) fn ask_peers(&mut self, now: u64) {
         if self.house.standing.get().current
             || now < self.started + c::PEER_CATCH_UP_MS
-            || now < self.asked_peers + c::CONTACT_MS
+            || now < self.asked_peers + c::CONTACT_TIMEOUT_MS
         {
             return;
         }
@@ -249,12 +249,12 @@
         let digests = understudy::digests(&self.stage);
         for m in asked {
             let call = self.mends.begin(m.id, now, digests.clone());
-            let digests = Digests {
-                life: call.life.0,
-                id: call.number,
+            let digests = RangeDigests {
+                incarnation: call.incarnation.0,
+                number: call.number,
                 ..digests.clone()
             };
-            self.post(m.address.clone(), Matter::Digests(digests));
+            self.post(m.address.clone(), Payload::Digests(digests));
         }
     }
 
@@ -265,7 +265,7 @@
                 log::info!("event=disk_well");
             }
             self.raft.set_storage_failed(false);
-        } else if now.saturating_sub(self.written_at) > c::DISK_PATIENCE_MS && !self.in_trouble {
+        } else if now.saturating_sub(self.written_at) > c::DISK_TIMEOUT_MS && !self.in_trouble {
             self.trouble("a write takes too long");
         }
     }
--- a/crates/playhouse/src/desk.rs
+++ b/crates/playhouse/src/desk.rs
@@ -5,10 +5,9 @@
 use crate::post::{Post, Send};
 use crate::upstream::Upstream;
 use actix::prelude::*;
-use config::constants as c;
-use config::Route;
-use control_state::Stage;
-use protocol::{short, Capacity, Demand, Distance, KeyCounts, Matter, Report};
+use config::{constants as c, Route};
+use control_state::ControlState;
+use protocol::{name_hash, Demand, KeyCounts, Payload, Report, RoundTrip, WorkerStats};
 use rand::Rng;
 use std::collections::{BTreeMap, HashMap};
 use std::net::IpAddr;
@@ -90,7 +89,7 @@
     house: Rc<House>,
     upstream: Rc<Upstream>,
     usher: Usher,
-    stage: Arc<Stage>,
+    stage: Arc<ControlState>,
     demand: BTreeMap<(Arc<str>, String), u64>,
     /// Requests by service and key.
     keys: BTreeMap<(Arc<str>, u32), u32>,
@@ -105,13 +104,13 @@
     type Context = Context<Self>;
     fn started(&mut self, ctx: &mut Self::Context) {
         ctx.set_mailbox_capacity(1024);
-        ctx.run_interval(Duration::from_millis(c::SWEEP_MS), |me, _| {
+        ctx.run_interval(Duration::from_millis(c::IDLE_SWEEP_INTERVAL_MS), |me, _| {
             me.upstream.sweep();
             me.refresh();
             me.usher.sweep(me.house.now());
             me.neighbours();
         });
-        ctx.run_interval(Duration::from_millis(c::REPORT_EVERY_MS), |me, _| me.report());
+        ctx.run_interval(Duration::from_millis(c::REPORT_INTERVAL_MS), |me, _| me.report());
     }
 }
 
@@ -176,9 +175,9 @@
         let settings = self.house.settings.get();
         let mut keys: Vec<KeyCounts> = Vec::new();
         for ((service, bucket), count) in std::mem::take(&mut self.keys) {
-            if keys.last().is_none_or(|k| k.service != short(&service)) {
+            if keys.last().is_none_or(|k| k.service != name_hash(&service)) {
                 keys.push(KeyCounts {
-                    service: short(&service),
+                    service: name_hash(&service),
                     ..Default::default()
                 });
             }
@@ -189,14 +188,14 @@
         }
         let mut report = Report {
             zone: settings.own_entity.zone.clone(),
-            region: settings
+            site: settings
                 .site(&settings.own_entity.zone, &settings.own_entity.region)
                 .to_string(),
-            span_ms,
+            interval_ms: span_ms,
             demand: std::mem::take(&mut self.demand)
                 .into_iter()
                 .map(|((service, group), count)| Demand {
-                    service: short(&service),
+                    service: name_hash(&service),
                     group: if group == settings.own_entity.zone {
                         String::new()
                     } else {
@@ -205,40 +204,40 @@
                     count,
                 })
                 .collect(),
-            capacity: self
+            workers: self
                 .usher
                 .take_observed()
                 .into_iter()
-                .map(|(worker, answer_ms, served, failed)| Capacity {
-                    worker: short(&worker),
-                    answer_ms: answer_ms as f32,
+                .map(|(worker, answer_ms, served, failed)| WorkerStats {
+                    worker: name_hash(&worker),
+                    response_ms: answer_ms as f32,
                     served,
                     failed,
                 })
                 .collect(),
-            distance: self
+            round_trips: self
                 .house
                 .rtt
                 .get()
                 .iter()
-                .map(|(region, rtt_ms)| Distance {
-                    region: short(region),
+                .map(|(region, rtt_ms)| RoundTrip {
+                    site: name_hash(region),
                     rtt_ms: *rtt_ms as f32,
                 })
                 .collect(),
-            carry: settings.own_entity.limits.cpu_fraction * 1000.0 / c::CARRY_MS,
+            forwarding_rate: settings.own_entity.limits.cpu_fraction * 1000.0 / c::FORWARDING_CPU_MS,
             keys,
-            trials: self.usher.take_trials(),
+            rollout_samples: self.usher.take_trials(),
         };
         let mut reports = std::mem::take(&mut self.passed_on);
-        if let Some(others) = reports.remove(&report.region) {
-            report.absorb(others);
+        if let Some(others) = reports.remove(&report.site) {
+            report.merge(others);
         }
         if let Some(post) = self.house.get::<Addr<Post>>() {
             for report in std::iter::once(report).chain(reports.into_values()) {
                 post.do_send(Send {
                     to: to.clone(),
-                    matter: Matter::Report(report),
+                    matter: Payload::Report(report),
                 });
             }
         }
@@ -292,10 +291,10 @@
 impl Handler<PassOn> for Desk {
     type Result = ();
     fn handle(&mut self, PassOn(report): PassOn, _: &mut Self::Context) {
-        match self.passed_on.get_mut(&report.region) {
-            Some(sum) => sum.absorb(report),
+        match self.passed_on.get_mut(&report.site) {
+            Some(sum) => sum.merge(report),
             None => {
-                self.passed_on.insert(report.region.clone(), report);
+                self.passed_on.insert(report.site.clone(), report);
             }
         }
     }
--- a/crates/playhouse/src/desks.rs
+++ b/crates/playhouse/src/desks.rs
@@ -15,7 +15,7 @@
 use actix_web::{web, App, HttpRequest, HttpResponse};
 use callboard::Member;
 use config::constants as c;
-use protocol::{ControlAnswer, EvacuationChange, Order, ReplaceOrder};
+use protocol::{Command, CommandResponse, ConfigurationCommand, EvacuationChange};
 use rand::seq::SliceRandom;
 use rand::Rng;
 use std::collections::BTreeSet;
@@ -99,11 +99,11 @@
     }
 }
 
-async fn order(house: &House, request: &HttpRequest, order: Order) -> HttpResponse {
+async fn order(house: &House, request: &HttpRequest, order: Command) -> HttpResponse {
     let Some(conductor) = house.get::<Addr<Conductor>>() else {
         return HttpResponse::ServiceUnavailable().finish();
     };
-    let answer = conductor.send(Take(order)).await.unwrap_or(ControlAnswer {
+    let answer = conductor.send(Take(order)).await.unwrap_or(CommandResponse {
         status: 503,
         ..Default::default()
     });
@@ -131,11 +131,11 @@
 type Bytes = Result<web::Bytes, actix_web::Error>;
 
 async fn replace(house: web::Data<Shared>, request: HttpRequest, body: Bytes) -> HttpResponse {
-    change(&house.0, &request, body, Order::Replace).await
+    change(&house.0, &request, body, Command::Replace).await
 }
 
 async fn modify(house: web::Data<Shared>, request: HttpRequest, body: Bytes) -> HttpResponse {
-    change(&house.0, &request, body, Order::Modify).await
+    change(&house.0, &request, body, Command::Modify).await
 }
 
 /// A change to the configuration, on top of the version that it names.
@@ -143,7 +143,7 @@
     house: &House,
     request: &HttpRequest,
     body: Bytes,
-    kind: fn(ReplaceOrder) -> Order,
+    kind: fn(ConfigurationCommand) -> Command,
 ) -> HttpResponse {
     let base = match base_version(request.headers()) {
         Ok(base) => base,
@@ -157,7 +157,7 @@
         }
         Err(e) => return fault(StatusCode::BAD_REQUEST, &format!("the body cannot be read: {e}")),
     };
-    let change = ReplaceOrder {
+    let change = ConfigurationCommand {
         base,
         body: body.to_vec(),
         ..Default::default()
@@ -188,11 +188,11 @@
 }
 
 async fn read(house: web::Data<Shared>, request: HttpRequest) -> HttpResponse {
-    order(&house.0, &request, Order::Read(true)).await
+    order(&house.0, &request, Command::ReadConfiguration(true)).await
 }
 
 async fn status(house: web::Data<Shared>, request: HttpRequest) -> HttpResponse {
-    order(&house.0, &request, Order::Status(true)).await
+    order(&house.0, &request, Command::Status(true)).await
 }
 
 async fn evacuate(
@@ -210,7 +210,7 @@
         return fault(StatusCode::NOT_FOUND, "no such zone");
     }
     let change = EvacuationChange { zone, begin };
-    order(&house.0, &request, Order::Evacuate(change)).await
+    order(&house.0, &request, Command::Evacuate(change)).await
 }
 
 #[derive(serde::Deserialize)]
@@ -250,7 +250,7 @@
             .insert_header((header::RETRY_AFTER, "0.2"))
             .finish();
     }
-    let validity = c::VALIDITY_MS.min(house.settings.get().terms.bounds.ttl_max.0);
+    let validity = c::DIRECTORY_TTL_MS.min(house.settings.get().terms.bounds.ttl_max.ms);
     HttpResponse::Ok()
         .json(serde_json::json!({ "Addresses": addresses, "Validity": format!("{validity}ms") }))
 }
@@ -277,23 +277,23 @@
         addresses = up.iter().map(|m| m.front.clone()).collect();
     }
     addresses.shuffle(&mut rng);
-    addresses.truncate(c::ANSWER_ADDRESSES);
+    addresses.truncate(c::DIRECTORY_MAX_ADDRESSES);
     addresses
 }
 
 fn draw_site(
-    stage: &control_state::Stage,
+    stage: &control_state::ControlState,
     asked: &Asked,
     up: &[&Member],
     rng: &mut impl Rng,
 ) -> Option<String> {
-    let config = stage.config.as_ref()?;
+    let config = stage.configuration.as_ref()?;
     let routes = config.hosts.get(&asked.name.to_ascii_lowercase())?;
     let services: Vec<&str> = routes
         .iter()
         .flat_map(|r| &r.split)
-        .filter(|(_, w)| *w > 0.0)
-        .map(|(s, _)| &**s)
+        .filter(|s| s.weight > 0.0)
+        .map(|s| &*s.service)
         .collect();
     let service = services.choose(rng)?;
     let usable = |site: &str| up.iter().any(|m| m.region == site);
--- a/crates/playhouse/src/desks/rollouts.rs
+++ b/crates/playhouse/src/desks/rollouts.rs
@@ -3,9 +3,9 @@
 use super::{fault, order, Shared};
 use actix_web::http::StatusCode;
 use actix_web::{web, HttpRequest, HttpResponse};
-use config::duration_text::Span;
+use config::DurationText;
 use preview::{Action, Create, PreviewChange};
-use protocol::{BeginOrder, KillSwitch, Order};
+use protocol::{BeginRollout, Command, KillSwitch};
 use serde::Deserialize;
 use validator::Validate;
 
@@ -17,7 +17,7 @@
     service: String,
     #[validate(length(min = 1, max = 256, message = "must have 1 to 256 letters"))]
     target_version: String,
-    duration: Span,
+    duration: DurationText,
     #[serde(default)]
     who: String,
     #[serde(default)]
@@ -67,11 +67,11 @@
     if let Err(errors) = begin.validate() {
         return fault(StatusCode::BAD_REQUEST, &wrong(&errors));
     }
-    let begin = BeginOrder {
+    let begin = BeginRollout {
         service: begin.service,
         create: Some(Create {
             target: begin.target_version,
-            duration_ms: begin.duration.0,
+            duration_ms: begin.duration.ms,
         }),
         who: if begin.who.is_empty() {
             "operator".into()
@@ -80,7 +80,7 @@
         },
         why: begin.why,
     };
-    order(&house.0, &request, Order::Begin(begin)).await
+    order(&house.0, &request, Command::BeginRollout(begin)).await
 }
 
 pub async fn read(
@@ -88,11 +88,11 @@
     request: HttpRequest,
     service: web::Path<String>,
 ) -> HttpResponse {
-    order(&house.0, &request, Order::Rollout(service.into_inner())).await
+    order(&house.0, &request, Command::ReadRollout(service.into_inner())).await
 }
 
 pub async fn list(house: web::Data<Shared>, request: HttpRequest) -> HttpResponse {
-    order(&house.0, &request, Order::Rollouts(true)).await
+    order(&house.0, &request, Command::ReadRollouts(true)).await
 }
 
 pub async fn steer(
@@ -127,7 +127,7 @@
         bypass: steer.bypass,
         ..Default::default()
     };
-    order(&house.0, &request, Order::Steer(change)).await
+    order(&house.0, &request, Command::ChangeRollout(change)).await
 }
 
 pub async fn kill_switch(house: web::Data<Shared>, request: HttpRequest, body: web::Bytes) -> HttpResponse {
@@ -140,5 +140,5 @@
         who: switch.who,
         why: switch.why,
     };
-    order(&house.0, &request, Order::KillSwitch(switch)).await
+    order(&house.0, &request, Command::KillSwitch(switch)).await
 }
--- a/crates/playhouse/src/forwarding_tests.rs
+++ b/crates/playhouse/src/forwarding_tests.rs
@@ -3,8 +3,7 @@
 
 use crate::kernel::{start_all_but, House, Standing};
 use config::Settings;
-use control_state::encode_change;
-use control_state::Stage;
+use control_state::ControlState;
 use protocol::*;
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -162,13 +161,13 @@
     );
     let settings = Settings::parse(&text).expect("settings");
     let house = House::new(settings, String::new(), 0);
-    let mut stage = Stage::default();
-    let order = ReplaceOrder {
+    let mut stage = ControlState::default();
+    let order = ConfigurationCommand {
         base: 0,
         body: CONFIG.into(),
         ..Default::default()
     };
-    stage.apply(1, &encode_change(ChangeKind::Replace(order)));
+    stage.apply(1, &Change::encode(ChangeKind::Replace(order)));
     let put = workers
         .iter()
         .enumerate()
@@ -183,7 +182,7 @@
         .collect();
     stage.apply(
         2,
-        &encode_change(ChangeKind::Workers(WorkersChange {
+        &Change::encode(ChangeKind::Workers(WorkersChange {
             put,
             ..Default::default()
         })),
--- a/crates/playhouse/src/front.rs
+++ b/crates/playhouse/src/front.rs
@@ -15,9 +15,7 @@
 };
 use actix_service::{boxed, fn_service, Service, ServiceFactory};
 use bytes::{Bytes, BytesMut};
-use config::configuration::{ClientLimits, Configuration, RouteKind};
-use config::constants as c;
-use config::Route;
+use config::{constants as c, ClientLimits, Configuration, Route, RouteKind};
 use futures_util::StreamExt;
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -97,9 +95,9 @@
     }
 
     fn limits(&self) -> Times {
-        match &self.house.stage.get().config {
-            Some(config) => (config.limits.header_ms, config.limits.idle_ms),
-            None => (c::CONNECT_MS * 5, c::CONNECT_MS * 15),
+        match &self.house.stage.get().configuration {
+            Some(config) => (config.limits.header_timeout_ms, config.limits.idle_timeout_ms),
+            None => (c::CONNECT_TIMEOUT_MS * 5, c::CONNECT_TIMEOUT_MS * 15),
         }
     }
 
@@ -111,7 +109,7 @@
         let factory = HttpService::build()
             .keep_alive(Duration::from_millis(idle_ms))
             .client_request_timeout(Duration::from_millis(header_ms))
-            .client_disconnect_timeout(Duration::from_millis(c::CONNECT_MS))
+            .client_disconnect_timeout(Duration::from_millis(c::CONNECT_TIMEOUT_MS))
             .h1_allow_half_closed(false)
             .on_connect_ext(|_: &TcpStream, data| {
                 data.insert(Closed::default());
@@ -150,15 +148,19 @@
             return Err(closing(self.give_up("refused_leaving", c::RETRY_AFTER_MS)));
         }
         let stage = self.house.stage.get();
-        let config = match &stage.config {
+        let config = match &stage.configuration {
             Some(config) if self.house.can_serve() => config.clone(),
-            _ => return Err(closing(self.give_up("not_current", c::NOT_CURRENT_AFTER_MS))),
+            _ => {
+                return Err(closing(
+                    self.give_up("not_current", c::RETRY_AFTER_NOT_CURRENT_MS),
+                ))
+            }
         };
         let route = self.route(&request, &config)?;
         let deadline = number(request.headers(), "Deadline-Ms").unwrap_or(route.timeout_ms);
         let ends = arrived + Duration::from_millis(deadline.min(route.timeout_ms));
         let service: Arc<str> = match route.split.as_slice() {
-            [(only, _)] => only.clone(),
+            [only] => only.service.clone(),
             _ => self
                 .desk
                 .send(DrawService(route.clone()))
@@ -168,7 +170,8 @@
         };
         let partitioned = config.services.get(&service).is_some_and(|s| s.partitioned);
         let key = if partitioned {
-            let key = number(request.headers(), "Shard-Key").filter(|k| *k < u64::from(control_state::KEYS));
+            let key =
+                number(request.headers(), "Shard-Key").filter(|k| *k < u64::from(control_state::KEY_SPACE));
             match key {
                 Some(key) => Some(key as u32),
                 None => return Err(plain(StatusCode::BAD_REQUEST, "Shard-Key is missing or no key")),
@@ -274,7 +277,7 @@
                 },
             };
             let again = matches!(body, Some(Body::Whole(_)));
-            let last = tried.len() as u32 + 1 >= task.route.attempts || !again;
+            let last = tried.len() as u32 + 1 >= task.route.attempt_limit || !again;
             let fresh = addresses.contains(&choice.address);
             match self.one_try(request, &task, &choice, sending, seat, fresh).await {
                 Try::Answered(response) => return Ok(response),
@@ -330,11 +333,11 @@
         let terms = Terms {
             reuse_ms: match () {
                 () if fresh => 0,
-                () if once => c::IDLE_REUSE_ONCE_MS,
+                () if once => c::IDLE_REUSE_NON_IDEMPOTENT_MS,
                 () => c::IDLE_REUSE_MS,
             },
-            connect_ms: c::WORKER_CONNECT_MS + 2 * choice.rtt_ms as u64,
-            silence_ms: c::WORKER_SILENCE_MS + 2 * choice.rtt_ms as u64,
+            connect_ms: c::WORKER_CONNECT_TIMEOUT_MS + 2 * choice.rtt_ms as u64,
+            silence_ms: c::WORKER_USER_TIMEOUT_MS + 2 * choice.rtt_ms as u64,
             pairing: if once { Pairing::IdOnce } else { Pairing::Id },
         };
         let begun = Instant::now();
@@ -462,7 +465,7 @@
         if whole.len() as u64 > limits.body_bytes {
             return Err(too_large());
         }
-        if whole.len() > c::WHOLE_BODY_BYTES {
+        if whole.len() > c::BUFFERED_BODY_BYTES {
             let mut seen = whole.len() as u64;
             let rest = payload.map(move |part| {
                 let part = part.map_err(std::io::Error::other)?;
--- a/crates/playhouse/src/kernel.rs
+++ b/crates/playhouse/src/kernel.rs
@@ -1,7 +1,7 @@
 //! The kernel: what all parts share, and the plug-ins that register themselves.
 
 use config::Settings;
-use control_state::Stage;
+use control_state::ControlState;
 use std::any::{Any, TypeId};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -42,7 +42,7 @@
     pub settings_path: String,
     /// Pause between two lines of counters in the log, in seconds.
     pub counters_every_s: u64,
-    pub stage: Published<Stage>,
+    pub stage: Published<ControlState>,
     pub members: Published<Vec<callboard::Member>>,
     /// Round trips to sites, in ms.
     pub rtt: Published<BTreeMap<String, f64>>,
@@ -66,7 +66,7 @@
             settings: Published::new(settings),
             settings_path,
             counters_every_s,
-            stage: Published::new(Stage::default()),
+            stage: Published::new(ControlState::default()),
             members: Published::new(Vec::new()),
             rtt: Published::new(BTreeMap::new()),
             standing: Published::new(Standing::default()),
@@ -113,7 +113,7 @@
 
     /// Whether this node can serve a request that has reached it.
     pub fn can_serve(&self) -> bool {
-        self.standing.get().current && self.stage.get().config.is_some()
+        self.standing.get().current && self.stage.get().configuration.is_some()
     }
 }
 
--- a/crates/playhouse/src/keys.rs
+++ b/crates/playhouse/src/keys.rs
@@ -6,7 +6,7 @@
 use actix::prelude::*;
 use bytes::Bytes;
 use config::constants as c;
-use protocol::{Capacity, ChangeKind, Holding, KeyCounts, KeysChange};
+use protocol::{ChangeKind, KeyCounts, KeyLease, KeyLeaseChange, WorkerStats};
 use std::rc::Rc;
 use std::time::Duration;
 use wardrobe::{Act, GrantCall, Granted, ReleaseCall, Released, Wardrobe};
@@ -18,7 +18,7 @@
         return Ok(());
     }
     let bounds = &house.settings.get().terms.bounds;
-    let wardrobe = Wardrobe::new(bounds.hold_limit.0, bounds.thaw.0);
+    let wardrobe = Wardrobe::new(bounds.hold_limit.ms, bounds.thaw.ms);
     let dresser = Dresser {
         house: house.clone(),
         upstream: Upstream::new(),
@@ -34,7 +34,7 @@
 #[rtype(result = "()")]
 pub struct Counted {
     pub keys: Vec<KeyCounts>,
-    pub capacity: Vec<Capacity>,
+    pub capacity: Vec<WorkerStats>,
 }
 
 impl Handler<Counted> for Dresser {
@@ -61,8 +61,12 @@
 impl Actor for Dresser {
     type Context = Context<Self>;
     fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.run_interval(Duration::from_millis(c::KEYS_EVERY_MS), |me, ctx| me.round(ctx));
-        ctx.run_interval(Duration::from_millis(c::SWEEP_MS), |me, _| me.upstream.sweep());
+        ctx.run_interval(Duration::from_millis(c::KEY_CHECK_INTERVAL_MS), |me, ctx| {
+            me.round(ctx)
+        });
+        ctx.run_interval(Duration::from_millis(c::IDLE_SWEEP_INTERVAL_MS), |me, _| {
+            me.upstream.sweep()
+        });
     }
 }
 
@@ -97,7 +101,7 @@
         }
     }
 
-    fn log(&mut self, put: Vec<Holding>, ctx: &mut Context<Self>) {
+    fn log(&mut self, put: Vec<KeyLease>, ctx: &mut Context<Self>) {
         let Some(conductor) = self.house.get::<Addr<Conductor>>() else {
             return;
         };
@@ -108,11 +112,11 @@
                 h.from,
                 h.to,
                 h.worker,
-                h.fence,
-                h.leaving
+                h.fencing_token,
+                h.revoking
             );
         }
-        let change = ChangeKind::Keys(KeysChange { put });
+        let change = ChangeKind::KeyLeases(KeyLeaseChange { put });
         let duty = self.since;
         ctx.spawn(
             conductor
@@ -163,13 +167,13 @@
     fn grant(&self, call: GrantCall, ctx: &mut Context<Self>) {
         let h = &call.holding;
         let mut body = serde_json::json!({
-            "Source": h.from, "TargetVersion": h.to, "fence": h.fence, "Hold": format!("{}ms", call.hold_ms),
+            "Source": h.from, "TargetVersion": h.to, "fence": h.fencing_token, "Hold": format!("{}ms", call.hold_ms),
         });
         if !h.handover.is_empty() {
             body["Handover"] = h.handover.clone().into();
         }
         let (address, worker) = (call.address.clone(), h.worker.clone());
-        let work = self.ask(address, worker, "/grant", body, c::GRANT_WAIT_MS);
+        let work = self.ask(address, worker, "/grant", body, c::GRANT_TIMEOUT_MS);
         ctx.spawn(work.into_actor(self).map(move |result, me, _| {
             let (now, h) = (me.house.now(), &call.holding);
             let granted = match result {
@@ -178,7 +182,7 @@
                     log::warn!(
                         "event=grant_outrun worker={} fence={} answer={:?}",
                         h.worker,
-                        h.fence,
+                        h.fencing_token,
                         body
                     );
                     Granted::Outrun
@@ -204,9 +208,9 @@
 
     fn release(&self, call: ReleaseCall, ctx: &mut Context<Self>) {
         let h = &call.holding;
-        let body = serde_json::json!({ "Source": h.from, "TargetVersion": h.to, "fence": h.fence });
+        let body = serde_json::json!({ "Source": h.from, "TargetVersion": h.to, "fence": h.fencing_token });
         let (address, worker) = (call.address.clone(), h.worker.clone());
-        let work = self.ask(address, worker, RELEASE, body, c::RELEASE_WAIT_MS);
+        let work = self.ask(address, worker, RELEASE, body, c::RELEASE_TIMEOUT_MS);
         ctx.spawn(work.into_actor(self).map(move |result, me, ctx| {
             let released = match result {
                 Ok((status, headers, _)) if status.is_success() => {
--- a/crates/playhouse/src/leaving.rs
+++ b/crates/playhouse/src/leaving.rs
@@ -5,8 +5,7 @@
 use crate::front::Front;
 use crate::kernel::{House, Plugin};
 use actix::prelude::*;
-use config::constants as c;
-use config::Settings;
+use config::{constants as c, Settings};
 use std::rc::Rc;
 use std::time::{Duration, SystemTime};
 use tokio::signal::unix::{signal, SignalKind};
@@ -20,7 +19,7 @@
     actix_rt::spawn(async move {
         let mut seen = changed_at(&watcher);
         loop {
-            let pause = actix_rt::time::sleep(Duration::from_millis(c::SETTINGS_EVERY_MS));
+            let pause = actix_rt::time::sleep(Duration::from_millis(c::SETTINGS_CHECK_INTERVAL_MS));
             let told = tokio::select! {
                 _ = hup.recv() => true,
                 () = pause => false,
@@ -52,7 +51,7 @@
 /// the terms. The rest waits for a restart, and is said to.
 fn reload(house: &House) {
     let read = std::fs::read_to_string(&house.settings_path).map_err(|e| e.to_string());
-    let new = match read.and_then(|text| Settings::parse(&text)) {
+    let new = match read.and_then(|text| Settings::parse(&text).map_err(|e| e.to_string())) {
         Ok(new) => new,
         Err(e) => {
             log::warn!("event=settings_kept reason={e:?}");
@@ -83,14 +82,14 @@
     log::info!("event=leaving");
     house.leaving.set(true);
     let conductor = house.get::<Addr<Conductor>>();
-    let grace = house.settings.get().terms.bounds.grace_period.0;
+    let grace = house.settings.get().terms.bounds.grace_period.ms;
     let begun = house.now();
     let mut quiet_since = begun;
     let (mut may_end, mut told_at) = (conductor.is_none(), None);
     loop {
         let now = house.now();
         if let Some(conductor) = &conductor {
-            if told_at.is_none_or(|at| now - at >= c::LEAVE_EVERY_MS) {
+            if told_at.is_none_or(|at| now - at >= c::SHUTDOWN_ANNOUNCE_INTERVAL_MS) {
                 told_at = Some(now);
                 may_end = conductor.send(Leave).await.unwrap_or(true);
             }
@@ -104,7 +103,7 @@
         house.closing.set(gone > grace * 7 / 10);
         // Clients leave within the life of an answer; who still comes after
         // that is served as long as there is time.
-        let settled = gone > grace / 2 && now - quiet_since > c::LEAVE_QUIET_MS && may_end;
+        let settled = gone > grace / 2 && now - quiet_since > c::SHUTDOWN_QUIET_MS && may_end;
         if settled || gone > grace * 9 / 10 {
             if !may_end {
                 log::warn!(
--- a/crates/playhouse/src/lobby.rs
+++ b/crates/playhouse/src/lobby.rs
@@ -44,17 +44,17 @@
         ..Default::default()
     };
     let timing = Timing {
-        probe_every: c::PROBE_EVERY_MS,
-        probe_wait: c::PROBE_WAIT_MS,
-        probe_limit: c::PROBE_LIMIT_MS,
-        helpers: c::PROBE_HELPERS,
-        suspect: c::SUSPECT_MS,
-        forget: c::FORGET_MS,
-        gossip_times: c::GOSSIP_TIMES,
-        gossip_members: c::GOSSIP_MEMBERS,
-        join_every: c::JOIN_EVERY_MS,
-        rejoin_every: c::REJOIN_EVERY_MS,
-        exchange_every: c::EXCHANGE_EVERY_MS,
+        probe_every: c::PROBE_INTERVAL_MS,
+        probe_wait: c::PROBE_TIMEOUT_MS,
+        probe_limit: c::SUSPECT_AFTER_MS,
+        helpers: c::INDIRECT_PROBES,
+        suspect: c::SUSPICION_TIMEOUT_MS,
+        forget: c::DEAD_RETENTION_MS,
+        gossip_times: c::GOSSIP_RETRANSMITS,
+        gossip_members: c::GOSSIP_MESSAGE_MEMBERS,
+        join_every: c::JOIN_INTERVAL_MS,
+        rejoin_every: c::REJOIN_INTERVAL_MS,
+        exchange_every: c::EXCHANGE_INTERVAL_MS,
     };
     let seeds = settings
         .seed_addresses()
@@ -120,9 +120,9 @@
         self.flush();
         let mut wait = self.board.next_tick().saturating_sub(now);
         if self.board.has_changed() {
-            wait = wait.min(c::MEMBERS_EVERY_MS);
+            wait = wait.min(c::MEMBER_TABLE_INTERVAL_MS);
         }
-        let wait = Duration::from_millis(wait.max(c::PROBE_WAIT_MS / 10));
+        let wait = Duration::from_millis(wait.max(c::PROBE_TIMEOUT_MS / 10));
         ctx.run_later(wait, Self::schedule);
     }
 
@@ -136,8 +136,8 @@
         // News comes in bursts when all start together; the table is made anew at
         // most once for each, or it would cost a small node a second.
         let now = self.house.now();
-        let due =
-            now >= self.published + c::MEMBERS_EVERY_MS || self.house.members.get().len() < c::MEMBERS_FEW;
+        let due = now >= self.published + c::MEMBER_TABLE_INTERVAL_MS
+            || self.house.members.get().len() < c::MEMBER_TABLE_SMALL;
         if due && self.board.take_changed() {
             self.published = now;
             let members: Vec<Member> = std::iter::once(self.board.me())
@@ -168,7 +168,7 @@
     type Context = Context<Self>;
     fn started(&mut self, ctx: &mut Self::Context) {
         self.schedule(ctx);
-        ctx.run_interval(Duration::from_millis(c::REPORT_EVERY_MS), |lobby, _| {
+        ctx.run_interval(Duration::from_millis(c::REPORT_INTERVAL_MS), |lobby, _| {
             lobby.publish_rtt()
         });
     }
--- a/crates/playhouse/src/main.rs
+++ b/crates/playhouse/src/main.rs
@@ -32,8 +32,7 @@
 #[cfg(test)]
 mod vault_tests;
 
-use config::settings::SETTINGS_ENV;
-use config::Settings;
+use config::{settings::SETTINGS_ENV, Settings};
 use kernel::House;
 use std::process::ExitCode;
 
@@ -67,7 +66,7 @@
     }
     let path = std::env::var(SETTINGS_ENV).map_err(|_| format!("{SETTINGS_ENV} is not set"))?;
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
-    let settings = Settings::parse(&text)?;
+    let settings = Settings::parse(&text).map_err(|e| e.to_string())?;
     let every = args.counters_every;
     let system = actix::System::new();
     system.block_on(async move {
--- a/crates/playhouse/src/placement.rs
+++ b/crates/playhouse/src/placement.rs
@@ -5,7 +5,7 @@
 use actix::prelude::*;
 use boxoffice::{Bench, Ledger, Options, Placement};
 use config::constants as c;
-use protocol::{AllowanceChange, BenchChange, ChangeKind, Fraction, PlacementChange, Report};
+use protocol::{ChangeKind, EjectionChange, PlacementChange, Report, RetryAllowanceChange, SiteFraction};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -56,14 +56,16 @@
 impl Actor for Treasurer {
     type Context = Context<Self>;
     fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.run_interval(Duration::from_millis(c::BENCH_EVERY_MS), |me, ctx| me.round(ctx));
+        ctx.run_interval(Duration::from_millis(c::OUTLIER_CHECK_INTERVAL_MS), |me, ctx| {
+            me.round(ctx)
+        });
     }
 }
 
 impl Handler<Reported> for Treasurer {
     type Result = ();
     fn handle(&mut self, msg: Reported, _: &mut Self::Context) {
-        self.bench.take(&msg.report.capacity);
+        self.bench.take(&msg.report.workers);
         self.ledger.take(self.house.now(), msg.node, msg.report);
     }
 }
@@ -103,7 +105,7 @@
     fn decide(&mut self) -> Option<ChangeKind> {
         let now = self.house.now();
         let stage = self.house.stage.get();
-        if stage.config.is_none() || stage.workers.is_empty() {
+        if stage.configuration.is_none() || stage.workers.is_empty() {
             return None;
         }
         let settings = self.house.settings.get();
@@ -120,7 +122,7 @@
             .values()
             .filter(|w| !w.draining && !stage.evacuated.contains_key(&w.zone))
             .count();
-        let due = now >= self.decided + c::PLACEMENT_EVERY_MS
+        let due = now >= self.decided + c::PLACEMENT_INTERVAL_MS
             || self.version != stage.version()
             || self.sites != sites
             || self.workers.abs_diff(able) * 10 > self.workers;
@@ -144,7 +146,7 @@
         }
         let options = Options {
             watermark: c::WATERMARK,
-            prefix: c::PREFIX,
+            prefix: c::RANKING_PREFIX,
             deletion_threshold: c::DELETION_THRESHOLD,
             hysteresis: c::HYSTERESIS,
         };
@@ -156,7 +158,7 @@
         let fractions = placement
             .into_iter()
             .flat_map(|((service, group), parts)| {
-                parts.into_iter().map(move |(site, part)| Fraction {
+                parts.into_iter().map(move |(site, part)| SiteFraction {
                     service: service.clone(),
                     group: group.clone(),
                     site,
@@ -171,36 +173,36 @@
     fn judge_workers(&mut self) -> Option<ChangeKind> {
         let stage = self.house.stage.get();
         let on = self.bench.decide(self.house.now(), &stage);
-        if on == *stage.benched {
+        if on == *stage.ejected {
             return None;
         }
         log::info!("event=bench workers={on:?}");
         self.house.counters.add("bench_changes");
         let workers = on.into_iter().collect();
-        Some(ChangeKind::Bench(BenchChange { workers }))
+        Some(ChangeKind::Ejections(EjectionChange { workers }))
     }
 
     /// Divides the slack of the retry budget among the edge nodes that are up.
     /// A node that is not named has none.
     fn share_slack(&self) -> Option<ChangeKind> {
         let stage = self.house.stage.get();
-        stage.config.as_ref()?;
+        stage.configuration.as_ref()?;
         let members = self.house.members.get();
         let up: BTreeSet<u64> = members
             .iter()
             .filter(|m| m.is_alive() && m.ready && m.id != 0)
             .map(|m| m.id)
             .collect();
-        let named = &*stage.allowances;
+        let named = &*stage.retry_allowances;
         if up.is_empty() || up == *named {
             return None;
         }
         // Who was taken off may have used its share within the window still.
         let sharers = up.len().max(named.len()) as f64;
-        let slack = self.house.settings.get().terms.bounds.retry_slack * c::SLACK_PART / sharers;
-        Some(ChangeKind::Allowance(AllowanceChange {
-            put: up.difference(named).copied().collect(),
-            gone: named.difference(&up).copied().collect(),
+        let slack = self.house.settings.get().terms.bounds.retry_slack * c::RETRY_SLACK_PART / sharers;
+        Some(ChangeKind::RetryAllowance(RetryAllowanceChange {
+            granted: up.difference(named).copied().collect(),
+            revoked: named.difference(&up).copied().collect(),
             slack,
         }))
     }
--- a/crates/playhouse/src/platform.rs
+++ b/crates/playhouse/src/platform.rs
@@ -6,8 +6,7 @@
 use crate::upstream::{simple, Simple, Upstream};
 use actix::prelude::*;
 use boxoffice::{is_nothing, Caller, Casting, Scene};
-use config::constants as c;
-use config::duration_text::Span;
+use config::{constants as c, DurationText};
 use protocol::{ChangeKind, Worker};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -55,7 +54,7 @@
     capacity_slots: u32,
     state: String,
     #[serde(default)]
-    cold_left: Span,
+    cold_left: DurationText,
 }
 
 impl Listed {
@@ -68,7 +67,7 @@
             zone: self.zone,
             version: self.version,
             slots: self.capacity_slots,
-            cold_ms: self.cold_left.0,
+            warmup_ms: self.cold_left.ms,
             ..Default::default()
         }
     }
@@ -119,7 +118,7 @@
                 as_of,
                 callers: &self.callers(),
                 bounds: &settings.terms.bounds,
-                lag_ms: settings.platform.cloud_api.lag.0,
+                lag_ms: settings.platform.cloud_api.lag.ms,
             };
             let change = self.casting.compare(self.house.now(), &listed.collect(), &scene);
             if !is_nothing(&change) {
@@ -128,7 +127,7 @@
         } else {
             self.house.counters.add("platform_calls_failed");
         }
-        (begun + c::LIST_EVERY_MS.max(pages * c::LIST_PAGE_MS))
+        (begun + c::LIST_INTERVAL_MS.max(pages * c::LIST_PAGE_INTERVAL_MS))
             .saturating_sub(self.house.now())
             .max(IDLE_MS)
     }
@@ -158,7 +157,7 @@
                 path: &path,
                 worker: None,
                 body: None,
-                wait_ms: c::LIST_WAIT_MS,
+                wait_ms: c::LIST_TIMEOUT_MS,
                 fresh: false,
             };
             let (status, _, body) = simple(&self.upstream, call).await.ok()?;
--- a/crates/playhouse/src/post.rs
+++ b/crates/playhouse/src/post.rs
@@ -12,7 +12,7 @@
 use bytes::{Buf, BufMut, BytesMut};
 use config::constants as c;
 use prost::Message as _;
-use protocol::{Letter, Matter};
+use protocol::{Payload, PeerMessage};
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -38,7 +38,7 @@
                 Ok((stream, _)) => {
                     actix_rt::spawn(listen_to(stream, post.clone(), house.clone()));
                 }
-                Err(_) => actix_rt::time::sleep(Duration::from_millis(c::RECONNECT_MS)).await,
+                Err(_) => actix_rt::time::sleep(Duration::from_millis(c::RECONNECT_PAUSE_MS)).await,
             }
         }
     });
@@ -50,13 +50,13 @@
 #[rtype(result = "()")]
 pub struct Send {
     pub to: String,
-    pub matter: Matter,
+    pub matter: Payload,
 }
 
 /// A letter that has come in.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Delivered(pub Letter);
+pub struct Delivered(pub PeerMessage);
 
 /// The owner of the connections to other nodes.
 pub struct Post {
@@ -76,12 +76,12 @@
     fn handle(&mut self, msg: Send, _: &mut Self::Context) {
         let standing = self.house.standing.get();
         // Others may not know a node yet that is not current.
-        let answered = matches!(msg.matter, Matter::Call(_) | Matter::Digests(_)) || !standing.current;
+        let answered = matches!(msg.matter, Payload::Request(_) | Payload::Digests(_)) || !standing.current;
         let own = answered.then(|| self.house.settings.get().internal_address().to_string());
-        let letter = Letter {
+        let letter = PeerMessage {
             from: standing.id,
             cluster: standing.cluster,
-            matter: Some(msg.matter),
+            payload: Some(msg.matter),
             reply_to: own.unwrap_or_default(),
         };
         let mut frame = Vec::with_capacity(letter.encoded_len() + 4);
@@ -90,7 +90,7 @@
             return;
         }
         let line = self.lines.entry(msg.to.clone()).or_insert_with(|| {
-            let (tx, rx) = mpsc::channel(c::PEER_QUEUE);
+            let (tx, rx) = mpsc::channel(c::PEER_QUEUE_FRAMES);
             actix_rt::spawn(speak_to(msg.to, rx, self.house.clone()));
             tx
         });
@@ -109,7 +109,7 @@
             self.house.counters.add("letters_of_another_cluster");
             return;
         }
-        if let Some(Matter::Report(mut report)) = letter.matter {
+        if let Some(Payload::Report(mut report)) = letter.payload {
             if !self.house.standing.get().is_leader {
                 // From a node that follows this one: passed on with the rest.
                 if let Some(desk) = self.house.get::<Addr<Desk>>() {
@@ -121,13 +121,13 @@
                 let keys = std::mem::take(&mut report.keys);
                 dresser.do_send(Counted {
                     keys,
-                    capacity: report.capacity.clone(),
+                    capacity: report.workers.clone(),
                 });
             }
             if let Some(producer) = self.house.get::<Addr<Producer>>() {
                 producer.do_send(Outcomes {
-                    trials: std::mem::take(&mut report.trials),
-                    capacity: report.capacity.clone(),
+                    trials: std::mem::take(&mut report.rollout_samples),
+                    capacity: report.workers.clone(),
                 });
             }
             if let Some(treasurer) = self.house.get::<Addr<Treasurer>>() {
@@ -158,7 +158,7 @@
         }
         if stream.is_none() {
             let tries = c::PEER_CONNECT_TRIES;
-            let wait = c::PEER_CONNECT_MS << (failures / tries).min(2);
+            let wait = c::PEER_CONNECT_TIMEOUT_MS << (failures / tries).min(2);
             match sockets::connect(&to, wait).await {
                 Ok(s) => {
                     stream = Some(s);
@@ -168,7 +168,7 @@
                     // Voters are waited for by elections.
                     failures = if house.may_lead() { 0 } else { failures + 1 };
                     house.counters.add("peer_connects_failed");
-                    actix_rt::time::sleep(Duration::from_millis(c::RECONNECT_MS)).await;
+                    actix_rt::time::sleep(Duration::from_millis(c::RECONNECT_PAUSE_MS)).await;
                     while queue.try_recv().is_ok() {}
                     continue;
                 }
@@ -190,7 +190,7 @@
     loop {
         while buf.len() >= 4 {
             let length = (&buf[..4]).get_u32() as usize;
-            if length > c::FRAME_BYTES {
+            if length > c::MAX_FRAME_BYTES {
                 house.counters.add("malformed_frames");
                 return;
             }
@@ -198,7 +198,7 @@
                 break;
             }
             buf.advance(4);
-            let Ok(letter) = Letter::decode(buf.split_to(length)) else {
+            let Ok(letter) = PeerMessage::decode(buf.split_to(length)) else {
                 house.counters.add("malformed_frames");
                 return;
             };
--- a/crates/playhouse/src/producer.rs
+++ b/crates/playhouse/src/producer.rs
@@ -4,9 +4,9 @@
 use crate::kernel::{House, Plugin};
 use actix::prelude::*;
 use config::constants as c;
-use control_state::Stage;
+use control_state::ControlState;
 use preview::{Action, Critic, Facts, Level, Levels, Preview, Side, Trial, Verdict};
-use protocol::{short, Capacity, ChangeKind};
+use protocol::{name_hash, ChangeKind, WorkerStats};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -34,7 +34,7 @@
 #[rtype(result = "()")]
 pub struct Outcomes {
     pub trials: Vec<Trial>,
-    pub capacity: Vec<Capacity>,
+    pub capacity: Vec<WorkerStats>,
 }
 
 /// Whether an operator's change of a rollout may pass; the time since its order.
@@ -63,7 +63,7 @@
 impl Actor for Producer {
     type Context = Context<Self>;
     fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.run_interval(Duration::from_millis(c::ROLLOUT_EVERY_MS), |me, ctx| {
+        ctx.run_interval(Duration::from_millis(c::ROLLOUT_CHECK_INTERVAL_MS), |me, ctx| {
             me.round(ctx)
         });
     }
@@ -131,7 +131,7 @@
         }
     }
 
-    fn facts(&self, stage: &Stage, p: &Preview, behind: bool) -> Facts {
+    fn facts(&self, stage: &ControlState, p: &Preview, behind: bool) -> Facts {
         let mut facts = Facts {
             behind,
             reported_at: self.reported_at,
@@ -144,7 +144,7 @@
                 continue;
             }
             match p.side(&w.version) {
-                Side::New if w.cold_ms == 0 && !stage.is_unread(w) => facts.ready += 1,
+                Side::New if w.warmup_ms == 0 && !stage.is_warmup_unknown(w) => facts.ready += 1,
                 Side::Old => facts.old += 1,
                 _ => {}
             }
@@ -153,18 +153,18 @@
             let row = stage.workers.get(worker);
             row.is_some_and(|w| p.side(&w.version) == Side::Old)
         };
-        let table = stage.holdings.get(&p.service);
+        let table = stage.key_leases.get(&p.service);
         let mut held = table.into_iter().flat_map(|t| t.values());
         facts.keys_left = held.any(|h| old(&h.worker));
         facts
     }
 
     /// What is counted of new versions is no sign of the system's state.
-    fn take_capacity(&mut self, capacity: &[Capacity]) {
+    fn take_capacity(&mut self, capacity: &[WorkerStats]) {
         let stage = self.house.stage.get();
         let on_trial: BTreeSet<u32> = if stage.rollouts.values().any(|p| p.is_active()) {
-            let new = stage.workers.values().filter(|w| stage.side(w) == Side::New);
-            new.map(|w| short(&w.id)).collect()
+            let new = stage.workers.values().filter(|w| stage.cohort(w) == Side::New);
+            new.map(|w| name_hash(&w.id)).collect()
         } else {
             BTreeSet::new()
         };
@@ -180,7 +180,7 @@
         let now = self.house.now();
         self.reported_at = now;
         self.critic.follow(now, &self.house.stage.get().rollouts);
-        self.critic.take(&msg.trials, short);
+        self.critic.take(&msg.trials, name_hash);
         self.take_capacity(&msg.capacity);
     }
 }
--- a/crates/playhouse/src/sockets.rs
+++ b/crates/playhouse/src/sockets.rs
@@ -26,7 +26,7 @@
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&SocketAddr::V4(address).into())?;
-    socket.listen(c::BACKLOG as i32)?;
+    socket.listen(c::LISTEN_BACKLOG as i32)?;
     TcpListener::from_std(socket.into())
 }
 
--- a/crates/playhouse/src/stored_data_tests.rs
+++ b/crates/playhouse/src/stored_data_tests.rs
@@ -3,7 +3,7 @@
 //! encoded state that its snapshot and log come to.
 
 use crate::vault::{Opened, Vault};
-use control_state::Stage;
+use control_state::ControlState;
 use flate2::read::GzDecoder;
 use raft::{EntryType, Membership};
 use std::io::Read;
@@ -59,7 +59,7 @@
     let indexes: Vec<u64> = saved.entries.iter().map(|e| e.index).collect();
     assert_eq!(indexes, (9..=17).collect::<Vec<u64>>());
 
-    let mut state: Stage = opened.stage;
+    let mut state: ControlState = opened.stage;
     assert_eq!((state.index, state.version()), (8, 1));
     for entry in &saved.entries {
         assert_eq!(entry.entry_type, EntryType::Command as i32);
@@ -70,9 +70,9 @@
         20,
         "a replace, a modify, and one logged as a delta"
     );
-    assert!(state.evacuated.contains_key("n2") && state.returned.contains_key("n1"));
+    assert!(state.evacuated.contains_key("n2") && state.ended_evacuations.contains_key("n1"));
     assert_eq!(state.rollouts.len(), 1);
-    assert_eq!(state.holding("pages", 1000).map(|h| h.fence), Some(2));
+    assert_eq!(state.key_lease("pages", 1000).map(|h| h.fencing_token), Some(2));
     assert!(state.kill_switch.as_ref().is_some_and(|k| k.on));
     let encoded = prost::Message::encode_to_vec(&state.image());
     assert_eq!(encoded, unpacked(STATE), "byte for byte");
--- a/crates/playhouse/src/upstream.rs
+++ b/crates/playhouse/src/upstream.rs
@@ -130,8 +130,10 @@
             Some((least, until)) if now < until => half.min(least),
             _ => half,
         };
-        self.wary
-            .set(Some((least, now + Duration::from_millis(c::WARY_MS))));
+        self.wary.set(Some((
+            least,
+            now + Duration::from_millis(c::STALE_CONNECTION_CAUTION_MS),
+        )));
     }
 
     /// An idle connection, and how long it has rested.
@@ -171,7 +173,7 @@
         let mut idle = self.idle.borrow_mut();
         let lines = idle.entry(address.to_string()).or_default();
         let since = Instant::now();
-        if lines.len() < c::IDLE_CONNECTIONS {
+        if lines.len() < c::MAX_IDLE_CONNECTIONS {
             lines.push(Idle {
                 line,
                 since,
@@ -259,7 +261,7 @@
         }
         let mut reader = Reader::new(line);
         let mut whole = BytesMut::new();
-        while whole.len() <= c::WHOLE_BODY_BYTES {
+        while whole.len() <= c::BUFFERED_BODY_BYTES {
             match reader.next().await {
                 Ok(Some(part)) if whole.is_empty() => whole = BytesMut::from(part),
                 Ok(Some(part)) => whole.extend_from_slice(&part),
@@ -634,9 +636,9 @@
             .insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     }
     let terms = Terms {
-        reuse_ms: if fresh { 0 } else { c::IDLE_REUSE_ONCE_MS },
-        connect_ms: c::CONNECT_MS.min(wait_ms),
-        silence_ms: c::WORKER_SILENCE_MS + 2 * c::FAR_MS as u64,
+        reuse_ms: if fresh { 0 } else { c::IDLE_REUSE_NON_IDEMPOTENT_MS },
+        connect_ms: c::CONNECT_TIMEOUT_MS.min(wait_ms),
+        silence_ms: c::WORKER_USER_TIMEOUT_MS + 2 * c::DEFAULT_RTT_MS as u64,
         pairing: Pairing::Connection,
     };
     let call = upstream.call(address, head, Sending::Whole(body.unwrap_or_default()), terms);
--- a/crates/playhouse/src/vault.rs
+++ b/crates/playhouse/src/vault.rs
@@ -11,7 +11,7 @@
 mod power_tests;
 
 use config::constants as c;
-use control_state::Stage;
+use control_state::ControlState;
 use high_water::HighWater;
 use prost::Message;
 use raft::{HardState, PersistentState, StorageWrite};
@@ -59,7 +59,7 @@
     pub identity: Identity,
     pub saved: PersistentState,
     /// The state of the snapshot.
-    pub stage: Stage,
+    pub stage: ControlState,
     /// The disk held nothing of ours.
     pub empty: bool,
     /// Why the store before this one was set aside, if it was.
--- a/crates/playhouse/src/vault/load.rs
+++ b/crates/playhouse/src/vault/load.rs
@@ -5,7 +5,7 @@
 //! file under its own name is never a first write cut short.
 
 use super::{high_water, meta_number, open_store, sync_folder, Fallible, Identity, Paths, LOG, META};
-use control_state::Stage;
+use control_state::ControlState;
 use prost::Message;
 use raft::{Entry, HardState, PersistentState, Snapshot};
 use rand::Rng;
@@ -16,7 +16,7 @@
     pub db: Database,
     pub identity: Identity,
     pub saved: PersistentState,
-    pub stage: Stage,
+    pub stage: ControlState,
     pub commits: u64,
     pub empty: bool,
     pub damage: Option<String>,
@@ -88,7 +88,7 @@
         db,
         identity,
         saved: PersistentState::default(),
-        stage: Stage::default(),
+        stage: ControlState::default(),
         commits: 0,
         empty: damage.is_none(),
         damage,
@@ -111,7 +111,7 @@
         )));
     }
     check_log(&saved).map_err(Unfit::Unreadable)?;
-    let stage = Stage::from_snapshot(saved.snapshot.index, &saved.snapshot.data)
+    let stage = ControlState::from_snapshot(saved.snapshot.index, &saved.snapshot.data)
         .map_err(|e| Unfit::Unreadable(format!("snapshot at index {}: {e}", saved.snapshot.index)))?;
     Ok(Loaded {
         db,
--- a/crates/playhouse/src/vault_tests.rs
+++ b/crates/playhouse/src/vault_tests.rs
@@ -116,7 +116,7 @@
     let snapshot = Snapshot {
         index: 8,
         term: 2,
-        data: control_state::Stage::default().to_snapshot(),
+        data: control_state::ControlState::default().to_snapshot(),
         ..Default::default()
     };
     store.write(StorageWrite {
@@ -255,7 +255,7 @@
     let snapshot = Snapshot {
         index: 2,
         term: 2,
-        data: control_state::Stage::default().to_snapshot(),
+        data: control_state::ControlState::default().to_snapshot(),
         ..Default::default()
     };
     first.vault.write(
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,7 +1,22 @@
-//! Messages between nodes, and the changes that the log orders.
+//! Messages between nodes, commands of the operator, reports, and the changes that the log
+//! orders. Protocol buffers: tags and types are fixed, since nodes of earlier versions read
+//! the messages and stored logs and snapshots hold the changes.
 
+mod change;
+mod command;
 mod correlation;
-mod messages;
+mod image;
+mod peer_message;
+mod report;
 
-pub use correlation::{CallId, Calls, Life, Unknown};
-pub use messages::*;
+pub use change::{
+    Change, ChangeKind, ConfigurationDelta, DeltaPart, EjectionChange, EvacuationChange, KeyLease,
+    KeyLeaseChange, PlacementChange, RetryAllowanceChange, SiteFraction, WarmupGroup, Worker, WorkersChange,
+};
+pub use command::{
+    BeginRollout, Command, CommandRequest, CommandResponse, CommandTag, ConfigurationCommand, KillSwitch,
+};
+pub use correlation::{CallId, Incarnation, PendingCalls, UnmatchedAnswers};
+pub use image::{CommandHistoryImage, ConfigurationKey, ControlStateImage, EndedEvacuation, JudgedCommand};
+pub use peer_message::{Payload, PeerMessage, RangeDigests, Repair};
+pub use report::{name_hash, Demand, KeyCounts, Report, RoundTrip, WorkerStats};
--- a/crates/protocol/tests/correlation.rs
+++ b/crates/protocol/tests/correlation.rs
@@ -5,39 +5,46 @@
 use proptest::sample::Index;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::TestRunner;
-use protocol::{CallId, Calls, Life};
+use protocol::{CallId, Incarnation, PendingCalls};
 use std::collections::BTreeMap;
 
 const WAIT: u64 = 100;
 
 #[test]
 fn an_answer_ends_the_call_that_it_belongs_to() {
-    let mut calls = Calls::new(Life(7), WAIT);
+    let mut calls = PendingCalls::new(Incarnation(7), WAIT);
     let first = calls.begin("a", 0, "first");
     let second = calls.begin("a", 0, "second");
     assert_eq!(calls.finish(&"a", second, 1), Some("second"));
     assert_eq!(calls.finish(&"a", second, 1), None, "a second answer");
     assert_eq!(calls.finish(&"b", first, 1), None, "another peer's");
     let earlier = CallId {
-        life: Life(6),
+        incarnation: Incarnation(6),
         ..first
     };
     assert_eq!(calls.finish(&"a", earlier, 1), None, "another life's");
     assert_eq!(calls.finish(&"a", first, 1), Some("first"));
-    let unknown = calls.unknown();
-    assert_eq!((unknown.other_life, unknown.other_peer, unknown.over), (1, 1, 1));
+    let unmatched = calls.unmatched();
+    assert_eq!(
+        (
+            unmatched.other_incarnation,
+            unmatched.other_peer,
+            unmatched.not_pending
+        ),
+        (1, 1, 1)
+    );
 }
 
 #[test]
 fn what_is_not_answered_in_time_is_dropped() {
-    let mut calls = Calls::new(Life(7), WAIT);
+    let mut calls = PendingCalls::new(Incarnation(7), WAIT);
     for now in 0..10 * WAIT {
         calls.begin("a", now, ());
-        assert!(calls.open() as u64 <= WAIT);
+        assert!(calls.pending() as u64 <= WAIT);
     }
     let late = calls.begin("a", 10 * WAIT, ());
     assert_eq!(calls.finish(&"a", late, 11 * WAIT), None);
-    assert_eq!((calls.open(), calls.unknown().over), (0, 1));
+    assert_eq!((calls.pending(), calls.unmatched().not_pending), (0, 1));
 }
 
 /// What may be wrong in a pairing, planted to see that the search finds it.
@@ -70,7 +77,7 @@
     id: CallId,
     from: usize,
     /// The how many-th life of the caller.
-    life: u64,
+    incarnation: u64,
     peer: usize,
     /// Tells this call from all others of all lives: what the checker goes by.
     name: u64,
@@ -80,35 +87,35 @@
     fault: Fault,
     now: u64,
     lives: [u64; NODES],
-    calls: Vec<Calls<usize, u64>>,
+    calls: Vec<PendingCalls<usize, u64>>,
     asked: Vec<Asked>,
     answers: Vec<(Asked, usize)>,
     answered: BTreeMap<CallId, u64>,
 }
 
 impl World {
-    fn start(&mut self, node: usize) -> Calls<usize, u64> {
+    fn start(&mut self, node: usize) -> PendingCalls<usize, u64> {
         self.lives[node] += 1;
         let drawn = (self.lives[node] << 8) + node as u64;
-        let life = if self.fault == Fault::LifeIgnored {
+        let incarnation = if self.fault == Fault::LifeIgnored {
             1
         } else {
             drawn
         };
-        Calls::new(Life(life), WAIT)
+        PendingCalls::new(Incarnation(incarnation), WAIT)
     }
 
     fn ask(&mut self, from: usize, peer: usize) -> Result<(), String> {
         let name = self.asked.len() as u64 + 1;
         let id = self.calls[from].begin(peer, self.now, name);
-        let life = self.lives[from];
+        let incarnation = self.lives[from];
         if self.asked.iter().any(|a| a.id == id) && self.fault == Fault::None {
             return Err(format!("{id:?} was used before"));
         }
         self.asked.push(Asked {
             id,
             from,
-            life,
+            incarnation,
             peer,
             name,
         });
@@ -126,7 +133,7 @@
             got = got.or(self.answered.get(&call.id).copied());
         }
         let Some(name) = got else { return Ok(()) };
-        let right = name == call.name && call.life == self.lives[to];
+        let right = name == call.name && call.incarnation == self.lives[to];
         let twice = self.answered.insert(call.id, name).is_some();
         if !right || call.from != to || call.peer != by || twice {
             return Err(format!("{call:?}, answered by {by}, reached {name} at {to}"));
--- a/crates/rehearsal/examples/capacity.rs
+++ b/crates/rehearsal/examples/capacity.rs
@@ -12,12 +12,8 @@
 
 use boxoffice::{Bench, Caller, Casting, Scene};
 use callboard::{Board, Member, Notice, Timing};
-use config::configuration::RouteKind;
-use config::constants as c;
-use config::settings::Bounds;
-use config::Configuration;
-use control_state::Stage;
-use control_state::{encode_change, KEYS};
+use config::{constants as c, settings::Bounds, Configuration, RouteKind};
+use control_state::{ControlState, KEY_SPACE};
 use prost::Message as _;
 use protocol::*;
 use rehearsal::world::World;
@@ -92,17 +88,17 @@
 }
 
 const TIMING: Timing = Timing {
-    probe_every: c::PROBE_EVERY_MS,
-    probe_wait: c::PROBE_WAIT_MS,
-    probe_limit: c::PROBE_LIMIT_MS,
-    helpers: c::PROBE_HELPERS,
-    suspect: c::SUSPECT_MS,
-    forget: c::FORGET_MS,
-    gossip_times: c::GOSSIP_TIMES,
-    gossip_members: c::GOSSIP_MEMBERS,
-    join_every: c::JOIN_EVERY_MS,
-    rejoin_every: c::REJOIN_EVERY_MS,
-    exchange_every: c::EXCHANGE_EVERY_MS,
+    probe_every: c::PROBE_INTERVAL_MS,
+    probe_wait: c::PROBE_TIMEOUT_MS,
+    probe_limit: c::SUSPECT_AFTER_MS,
+    helpers: c::INDIRECT_PROBES,
+    suspect: c::SUSPICION_TIMEOUT_MS,
+    forget: c::DEAD_RETENTION_MS,
+    gossip_times: c::GOSSIP_RETRANSMITS,
+    gossip_members: c::GOSSIP_MESSAGE_MEMBERS,
+    join_every: c::JOIN_INTERVAL_MS,
+    rejoin_every: c::REJOIN_INTERVAL_MS,
+    exchange_every: c::EXCHANGE_INTERVAL_MS,
 };
 
 /// Bytes a second and processor time of a node's membership: at the start, calm,
@@ -193,7 +189,7 @@
 
 /// A control state of so many workers, with the routes and holders that go with
 /// them at the target.
-fn state(workers: usize) -> Stage {
+fn state(workers: usize) -> ControlState {
     let services = (workers / 27).max(1);
     let routes = (workers as f64 * ROUTES / WORKERS) as usize;
     let groups: Vec<String> = (0..services)
@@ -215,12 +211,12 @@
         points.join(","),
         groups.join(",")
     );
-    let mut stage = Stage::default();
+    let mut stage = ControlState::default();
     let mut change = |kind| {
         let index = stage.index + 1;
-        stage.apply(index, &encode_change(kind));
+        stage.apply(index, &Change::encode(kind));
     };
-    change(ChangeKind::Replace(ReplaceOrder {
+    change(ChangeKind::Replace(ConfigurationCommand {
         body: body.into_bytes(),
         ..Default::default()
     }));
@@ -232,25 +228,25 @@
     let mut fence = 0;
     for s in (0..services).step_by(3) {
         let held: Vec<usize> = (0..workers).filter(|i| i % services == s).collect();
-        let each = KEYS / held.len() as u32;
+        let each = KEY_SPACE / held.len() as u32;
         for (n, i) in held.iter().enumerate() {
             fence += 1;
             let from = n as u32 * each;
-            put.push(Holding {
+            put.push(KeyLease {
                 service: format!("service-{s}"),
                 from,
                 to: if n + 1 == held.len() {
-                    KEYS - 1
+                    KEY_SPACE - 1
                 } else {
                     from + each - 1
                 },
                 worker: worker(*i, services).id,
-                fence,
+                fencing_token: fence,
                 ..Default::default()
             });
         }
     }
-    change(ChangeKind::Keys(KeysChange { put }));
+    change(ChangeKind::KeyLeases(KeyLeaseChange { put }));
     stage
 }
 
@@ -266,7 +262,7 @@
         let services = (workers / 27).max(1);
         let mut held = Arc::new(stage.clone());
         let mut draining = false;
-        let mut word_of_one = |held: &mut Arc<Stage>| {
+        let mut word_of_one = |held: &mut Arc<ControlState>| {
             draining = !draining;
             let row = Worker {
                 draining,
@@ -277,7 +273,7 @@
                 ..Default::default()
             };
             let mut next = (**held).clone();
-            next.apply(next.index + 1, &encode_change(ChangeKind::Workers(change)));
+            next.apply(next.index + 1, &Change::encode(ChangeKind::Workers(change)));
             *held = Arc::new(next);
         };
         note(
@@ -285,7 +281,7 @@
             "us a node",
             micros(|| word_of_one(&mut held)),
         );
-        let body = stage.config_body.to_vec();
+        let body = stage.configuration_body.to_vec();
         note(
             "one route changes: the configuration is read whole",
             "us a node",
@@ -308,7 +304,7 @@
             me: 1,
             rtt: BTreeMap::new(),
         });
-        let config = stage.config.clone().expect("there");
+        let config = stage.configuration.clone().expect("there");
         let route = config.route("h1.example", "/a1/x").expect("there").clone();
         assert_eq!(route.kind, RouteKind::Idempotent);
         let mut now = 10_000;
@@ -368,12 +364,12 @@
         );
         let mut bench = Bench::default();
         bench.begin(0);
-        let seen: Vec<Capacity> = stage
+        let seen: Vec<WorkerStats> = stage
             .workers
             .keys()
-            .map(|id| Capacity {
-                worker: short(id),
-                answer_ms: 90.0,
+            .map(|id| WorkerStats {
+                worker: name_hash(id),
+                response_ms: 90.0,
                 served: 5,
                 failed: 0,
             })
@@ -392,7 +388,7 @@
             "leader: renewals of keys",
             "us a look",
             micros(|| {
-                now += c::KEYS_EVERY_MS;
+                now += c::KEY_CHECK_INTERVAL_MS;
                 for act in wardrobe.tick(now, &stage) {
                     match act {
                         Act::Grant(g) => wardrobe.granted(now, &g, Granted::Yes),
@@ -431,7 +427,7 @@
         let mut version = 0;
         let mut order = |world: &mut World| {
             let body = rehearsal::script::configuration(version + 1);
-            let order = ReplaceOrder {
+            let order = ConfigurationCommand {
                 base: version,
                 body,
                 ..Default::default()
--- a/crates/rehearsal/examples/catch_up.rs
+++ b/crates/rehearsal/examples/catch_up.rs
@@ -6,7 +6,7 @@
 //! ```
 
 use control_state::Outcome;
-use protocol::ReplaceOrder;
+use protocol::ConfigurationCommand;
 use rehearsal::script::large_configuration;
 use rehearsal::world::World;
 
@@ -33,7 +33,7 @@
     let name = format!("to-{version}");
     let body = large_configuration(version, routes, false);
     for _ in 0..100 {
-        let order = ReplaceOrder {
+        let order = ConfigurationCommand {
             base: version - 1,
             body: body.clone(),
             ..Default::default()
@@ -42,7 +42,7 @@
             for _ in 0..100 {
                 world.run(10);
                 match world.answers.get(&name) {
-                    Some(Some(Outcome::Applied | Outcome::Already)) => return,
+                    Some(Some(Outcome::Applied | Outcome::AlreadyApplied)) => return,
                     Some(Some(other)) => panic!("version {version}: {other:?}"),
                     Some(None) => break,
                     None => {}
--- a/crates/rehearsal/src/front.rs
+++ b/crates/rehearsal/src/front.rs
@@ -6,11 +6,11 @@
 use crate::node::{Did, Life};
 use crate::world::LOSSES;
 use config::constants as c;
-use control_state::key_of;
-use control_state::{encode_order, Judgement, Outcome};
-use protocol::CallId;
-use protocol::Calls;
-use protocol::{self, ChangeKind, EvacuationChange, OrderTag, ReplaceOrder, TakenOrder};
+use control_state::{configuration_key, Confirmation, Judgement, Outcome};
+use protocol::{
+    CallId, Change, ChangeKind, CommandTag, ConfigurationCommand, ConfigurationKey, EvacuationChange,
+    PendingCalls,
+};
 use raft::{is_durable, tolerates_faults, LogPosition, ReadState};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -45,7 +45,7 @@
     pub request: Request,
     pub body: Vec<u8>,
     /// What it is known by that names no base; given by the node that it reaches.
-    pub tag: Option<OrderTag>,
+    pub tag: Option<CommandTag>,
 }
 
 /// Who waits for an order.
@@ -77,13 +77,13 @@
     since: u64,
     state: State,
     /// A majority has confirmed this copy since the order came.
-    after_read: bool,
+    confirmation: Confirmation,
 }
 
 /// An order in the log: what it is known by, where it stands.
 struct Proposal {
-    key: Option<TakenOrder>,
-    tag: Option<OrderTag>,
+    key: Option<ConfigurationKey>,
+    tag: Option<CommandTag>,
     index: u64,
     term: u64,
 }
@@ -121,7 +121,7 @@
 /// The orders that one life of a node deals with.
 pub struct Front {
     pub life: u64,
-    calls: Calls<u64, u64>,
+    calls: PendingCalls<u64, u64>,
     errands: BTreeMap<u64, Errand>,
     next: u64,
     /// When orders of the ledger were first seen here, by index.
@@ -136,7 +136,7 @@
         let drawn = if mutant == Mutant::PairsByNumber { 0 } else { life };
         Front {
             life,
-            calls: Calls::new(protocol::Life(drawn), c::CALL_WAIT_MS),
+            calls: PendingCalls::new(protocol::Incarnation(drawn), c::COMMAND_TIMEOUT_MS),
             errands: BTreeMap::new(),
             next: 0,
             orders_seen: BTreeMap::new(),
@@ -149,15 +149,15 @@
     pub fn take(&mut self, now: u64, node: &Life, origin: Origin, mut order: Order) {
         self.next += 1;
         if let (Origin::Operator { .. }, Request::Evacuate { zone, begin }) = (&origin, &order.request) {
-            let command = protocol::Order::Evacuate(evacuation(zone, *begin));
-            let digests = control_state::order_digests(&command);
-            let tag = digests.map(|(subject, digest)| OrderTag {
-                life: self.life,
+            let command = protocol::Command::Evacuate(evacuation(zone, *begin));
+            let digests = control_state::command_digests(&command);
+            let tag = digests.map(|digests| CommandTag {
+                incarnation: self.life,
                 number: self.next,
                 as_of: node.stage.index,
-                subject,
-                digest,
-                again: 0,
+                subject: digests.subject,
+                digest: digests.command,
+                repeats: 0,
                 cautious: !begin,
             });
             order.tag = tag.filter(|_| self.mutant != Mutant::SendsNoTag);
@@ -167,7 +167,7 @@
             order,
             since: now,
             state: State::Routing { at: now },
-            after_read: false,
+            confirmation: Confirmation::Unconfirmed,
         };
         self.errands.insert(self.next, errand);
     }
@@ -180,7 +180,7 @@
         if reply.status == NOT_LEADER {
             if let Some(errand) = self.errands.get_mut(&number) {
                 errand.state = State::Routing {
-                    at: now + c::CALL_RETRY_MS,
+                    at: now + c::COMMAND_RETRY_MS,
                 };
             }
             return Vec::new();
@@ -206,7 +206,7 @@
     /// One step of time, after the node has done what `did` says.
     pub fn step(&mut self, now: u64, node: &mut Life, did: &Did) -> Vec<Act> {
         let mut acts = Vec::new();
-        let known: BTreeSet<u64> = node.stage.ledger.indexes().collect();
+        let known: BTreeSet<u64> = node.stage.command_history.tagged_indexes().collect();
         self.orders_seen.retain(|index, _| known.contains(index));
         for index in known {
             self.orders_seen.entry(index).or_insert(now);
@@ -247,13 +247,13 @@
             read: None,
         };
         let from_operator = matches!(errand.origin, Origin::Operator { .. });
-        if from_operator && now >= errand.since + c::CALL_WAIT_MS {
+        if from_operator && now >= errand.since + c::COMMAND_TIMEOUT_MS {
             return Some(reply(UNAVAILABLE));
         }
         // Who does not lead after all: looks again, or says so to who passed it on.
         let not_leader = |errand: &mut Errand| {
             errand.state = State::Routing {
-                at: now + c::CALL_RETRY_MS,
+                at: now + c::COMMAND_RETRY_MS,
             };
             (!from_operator).then(|| reply(NOT_LEADER))
         };
@@ -268,7 +268,7 @@
                 if from_operator && began && silent >= c::OUT_OF_CONTACT_MS {
                     return Some(reply(ELSEWHERE));
                 }
-                if node.raft.is_leader() && (!from_operator || silent < c::ELECTION_MIN_MS) {
+                if node.raft.is_leader() && (!from_operator || silent < c::ELECTION_TIMEOUT_MS) {
                     return match self.carry_out(now, node, errand, acts) {
                         Ok(state) => {
                             errand.state = state;
@@ -303,12 +303,12 @@
                 match here {
                     Some((_, t, outcome)) if *t == term || self.mutant == Mutant::IgnoresTerm => {
                         match outcome {
-                            Some(Outcome::Applied | Outcome::Already)
+                            Some(Outcome::Applied | Outcome::AlreadyApplied)
                                 if self.mutant == Mutant::IgnoresTerm =>
                             {
                                 Some(reply(TAKEN))
                             }
-                            Some(Outcome::Applied | Outcome::Already) => {
+                            Some(Outcome::Applied | Outcome::AlreadyApplied) => {
                                 errand.state = State::Spreading { index, since: now };
                                 None
                             }
@@ -330,18 +330,18 @@
                 if !raft.is_established_leader() {
                     return not_leader(errand);
                 }
-                if !is_durable(raft, index, now, LOSSES, c::CONTACT_MS) {
-                    return (now >= since + c::CALL_WAIT_MS).then(|| reply(UNAVAILABLE));
+                if !is_durable(raft, index, now, LOSSES, c::CONTACT_TIMEOUT_MS) {
+                    return (now >= since + c::COMMAND_TIMEOUT_MS).then(|| reply(UNAVAILABLE));
                 }
                 let voters = raft.membership().voters.iter();
                 let behind = voters
                     .filter_map(|v| raft.progress(v.id))
-                    .any(|p| now.saturating_sub(p.last_heard) < c::CONTACT_MS && p.applied < index);
+                    .any(|p| now.saturating_sub(p.last_heard) < c::CONTACT_TIMEOUT_MS && p.applied < index);
                 (now >= since + c::APPLY_WAIT_MS || !behind).then(|| reply(TAKEN))
             }
             State::Reading { token, until } => match did.reads.iter().find(|r| r.token == token) {
                 Some(ReadState { confirmed: true, .. }) if errand.order.request != Request::Read => {
-                    errand.after_read = true;
+                    errand.confirmation = Confirmation::Confirmed;
                     errand.state = State::Routing { at: now };
                     None
                 }
@@ -362,7 +362,7 @@
     /// What this node's copy says is in force.
     fn read_back(&self, node: &Life) -> Option<(u64, u64)> {
         let version = node.stage.version();
-        (version > 0).then(|| (version, digest(&node.stage.config_body)))
+        (version > 0).then(|| (version, digest(&node.stage.configuration_body)))
     }
 
     /// Waits for a majority to confirm this copy.
@@ -371,7 +371,7 @@
         node.raft.request_read(self.next);
         State::Reading {
             token: self.next,
-            until: now + c::CALL_WAIT_MS,
+            until: now + c::COMMAND_TIMEOUT_MS,
         }
     }
 
@@ -395,7 +395,7 @@
             }
             Request::Read => return Ok(self.confirm(now, node)),
             Request::Replace { content, .. } => {
-                let replace = ReplaceOrder {
+                let replace = ConfigurationCommand {
                     base: content.base,
                     body: errand.order.body.clone(),
                     ..Default::default()
@@ -403,17 +403,17 @@
                 if self.mutant == Mutant::RefusesByCopy && content.base != node.stage.version() {
                     return Err(LOST);
                 }
-                match node.stage.judge_order(&replace, errand.after_read) {
+                match node.stage.judge(&replace, errand.confirmation) {
                     Judgement::Log => {}
                     Judgement::Confirm => return Ok(self.confirm(now, node)),
                     // Taken before: it stands at or below what is committed.
-                    Judgement::Final(Outcome::Already | Outcome::Applied) => {
+                    Judgement::Final(Outcome::AlreadyApplied | Outcome::Applied) => {
                         let index = node.raft.commit_index();
                         return Ok(State::Spreading { index, since: now });
                     }
                     Judgement::Final(outcome) => return Err(status_of(&outcome)),
                 }
-                let key = key_of(&replace);
+                let key = configuration_key(&replace);
                 if let Some(p) = self.under_way.iter().find(|p| p.key.as_ref() == Some(&key)) {
                     return Ok(State::Logged {
                         index: p.index,
@@ -428,18 +428,18 @@
                     let under_way = under_way.filter_map(|p| Some((p.index, p.tag.as_ref()?)));
                     let recent = |index: u64| {
                         let at = self.orders_seen.get(&index);
-                        at.is_some_and(|at| now.saturating_sub(*at) < c::SAME_ORDER_MS)
+                        at.is_some_and(|at| now.saturating_sub(*at) < c::REPEATED_COMMAND_MS)
                     };
-                    let again = node.stage.ledger.repeated(&tag, under_way, recent);
-                    OrderTag {
-                        again: again.unwrap_or(0),
+                    let again = node.stage.command_history.recent_like(&tag, under_way, recent);
+                    CommandTag {
+                        repeats: again.unwrap_or(0),
                         ..tag
                     }
                 });
                 (ChangeKind::Evacuate(evacuation(zone, *begin)), None, tag)
             }
         };
-        let data = encode_order(node.stage.for_log(kind), tag.clone());
+        let data = Change::encode_tagged(node.stage.compact_for_log(kind), tag.clone());
         let LogPosition { index, term } = node.raft.propose(data).ok_or(NOT_LEADER)?;
         self.under_way.push(Proposal {
             key,
@@ -470,10 +470,10 @@
 /// The status that tells what came of an order.
 fn status_of(outcome: &Outcome) -> u16 {
     match outcome {
-        Outcome::Applied | Outcome::Already => TAKEN,
-        Outcome::Lost(_) => LOST,
+        Outcome::Applied | Outcome::AlreadyApplied => TAKEN,
+        Outcome::Conflict(_) => LOST,
         Outcome::Invalid(_) => 400,
-        Outcome::Refused(_) => 409,
-        Outcome::Unclear => UNAVAILABLE,
+        Outcome::RolloutRejected(_) => 409,
+        Outcome::Undecidable => UNAVAILABLE,
     }
 }
--- a/crates/rehearsal/src/node.rs
+++ b/crates/rehearsal/src/node.rs
@@ -2,24 +2,23 @@
 
 use crate::disk::Disk;
 use config::constants as c;
-use control_state::Outcome;
-use control_state::Stage;
-use protocol::ReplaceOrder;
+use control_state::{ControlState, Outcome};
+use protocol::ConfigurationCommand;
 use raft::{Config, EntryType, LogPosition, RaftNode, ReadState, UpstreamSelector};
 use std::collections::VecDeque;
 use wardrobe::Wardrobe;
 
 pub const TIMING: Config = Config {
     heartbeat_ms: c::HEARTBEAT_MS,
-    learner_heartbeat_ms: c::OBSERVER_HEARTBEAT_MS,
-    election_timeout_ms: c::ELECTION_MIN_MS,
-    election_jitter_ms: c::ELECTION_SPREAD_MS,
+    learner_heartbeat_ms: c::LEARNER_HEARTBEAT_MS,
+    election_timeout_ms: c::ELECTION_TIMEOUT_MS,
+    election_jitter_ms: c::ELECTION_JITTER_MS,
     lease_ms: c::LEASE_MS,
-    resend_ms: c::RESEND_MS,
+    resend_ms: c::APPEND_RESEND_MS,
     snapshot_resend_ms: c::SNAPSHOT_RESEND_MS,
-    peer_timeout_ms: c::FOLLOWER_GONE_MS,
+    peer_timeout_ms: c::PEER_TIMEOUT_MS,
     append_bytes: c::APPEND_BYTES,
-    retained_bytes: c::LOG_TAIL_BYTES,
+    retained_bytes: c::LOG_RETAINED_BYTES,
 };
 
 /// What waits for a write: its number, messages, and the last entry and its term.
@@ -28,7 +27,7 @@
 /// A running process.
 pub struct Life {
     pub raft: RaftNode,
-    pub stage: Stage,
+    pub stage: ControlState,
     pub wardrobe: Wardrobe,
     pub wardrobe_since: Option<u64>,
     pub next_poll: u64,
@@ -51,7 +50,7 @@
     pub name: String,
     pub index: u64,
     pub term: u64,
-    pub order: ReplaceOrder,
+    pub order: ConfigurationCommand,
 }
 
 pub struct Node {
@@ -68,7 +67,7 @@
 pub struct Did {
     pub sent: Vec<raft::Message>,
     /// Orders settled: name, order, outcome.
-    pub settled: Vec<(String, ReplaceOrder, Option<Outcome>)>,
+    pub settled: Vec<(String, ConfigurationCommand, Option<Outcome>)>,
     /// Entries applied: index, term, and for a change its outcome.
     pub applied: Vec<(u64, u64, Option<Outcome>)>,
     /// Reads that may be answered from the copy, or may not, by token.
@@ -94,10 +93,10 @@
             }
             None => (id, raft::PersistentState::default()),
         };
-        let stage = Stage::from_snapshot(saved.snapshot.index, &saved.snapshot.data);
+        let stage = ControlState::from_snapshot(saved.snapshot.index, &saved.snapshot.data);
         let stage = stage.expect("the disk gives back what was written");
         let mut raft = RaftNode::new(id, saved, TIMING, now, id);
-        raft.set_snapshot_check(Stage::is_readable);
+        raft.set_snapshot_check(ControlState::is_snapshot_readable);
         self.life = Some(Life {
             raft,
             stage,
@@ -132,7 +131,7 @@
                     }
                 }
             }
-            let late = life.written > life.done && now - life.written_at > c::DISK_PATIENCE_MS;
+            let late = life.written > life.done && now - life.written_at > c::DISK_TIMEOUT_MS;
             life.raft.set_storage_failed(late);
         }
         loop {
@@ -162,7 +161,7 @@
             if let Some(snapshot) = ready.snapshot {
                 did.installed = true;
                 if snapshot.index > life.stage.index {
-                    let stage = Stage::from_snapshot(snapshot.index, &snapshot.data);
+                    let stage = ControlState::from_snapshot(snapshot.index, &snapshot.data);
                     life.stage = stage.expect("the agreement takes none that cannot be read");
                 }
                 life.raft.on_applied(life.stage.index);
@@ -195,7 +194,7 @@
             }
         }
         // As the program does it, and sooner where entries are few.
-        let room = c::LOG_KEEP_BYTES.max(life.raft.snapshot_bytes());
+        let room = c::LOG_MAX_BYTES.max(life.raft.snapshot_bytes());
         if life.raft.log_len() > 40 || life.raft.log_bytes() > room {
             life.raft.compact(life.stage.to_snapshot());
         }
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -15,10 +15,8 @@
 use crate::node::{Did, Node};
 use crate::workers::StandIn;
 use crate::world::{World, STEP_MS};
-use config::constants::SAME_ORDER_MS;
-use control_state::encode_change;
-use protocol::CallId;
-use protocol::{BenchChange, ChangeKind, Worker};
+use config::constants::REPEATED_COMMAND_MS;
+use protocol::{CallId, Change, ChangeKind, EjectionChange, Worker};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -1038,8 +1036,8 @@
                 };
                 for i in 0..count {
                     let workers = vec![format!("b{i}")];
-                    let change = ChangeKind::Bench(BenchChange { workers });
-                    life.raft.propose(encode_change(change));
+                    let change = ChangeKind::Ejections(EjectionChange { workers });
+                    life.raft.propose(Change::encode(change));
                 }
             }
             Fault::Worker { who, what } => {
@@ -1135,7 +1133,7 @@
     };
     let stage = &life.stage;
     let version = stage.version();
-    let body = digest(&stage.config_body);
+    let body = digest(&stage.configuration_body);
     let content = (version > 0).then(|| {
         contents.get(&(version, body)).copied().unwrap_or(Content {
             base: 0,
@@ -1144,7 +1142,7 @@
         })
     });
     let evacuated = stage.evacuated.clone();
-    let ledger = prost::Message::encode_to_vec(&stage.ledger.image());
+    let ledger = prost::Message::encode_to_vec(&stage.command_history.image());
     let digest = digest(format!("{content:?} {evacuated:?} {ledger:?}").as_bytes());
     Replica {
         index: stage.index,
@@ -1163,7 +1161,7 @@
     let promise = Promise {
         disks: DISKS,
         calm_from: Some(played.calm_from),
-        alike_ms: SAME_ORDER_MS,
+        alike_ms: REPEATED_COMMAND_MS,
     };
     let violations = judge(&played.history, promise);
     let wrong = played.wrong.into_iter().take(1);
--- a/crates/rehearsal/src/script.rs
+++ b/crates/rehearsal/src/script.rs
@@ -31,7 +31,7 @@
 use crate::workers::StandIn;
 use crate::world::World;
 use control_state::Outcome;
-use protocol::{ReplaceOrder, Worker};
+use protocol::{ConfigurationCommand, Worker};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -166,7 +166,7 @@
             }
             "run" => self.world.run(number(rest.first())?),
             "order" | "try" => {
-                let order = ReplaceOrder {
+                let order = ConfigurationCommand {
                     base: number(rest.get(1))?,
                     body: large_configuration(number(rest.get(2))?, self.routes, self.all),
                     ..Default::default()
@@ -314,8 +314,8 @@
             "answer" => {
                 let got = world.answers.get(words[1]).cloned().flatten();
                 match words[2] {
-                    "taken" => matches!(got, Some(Outcome::Applied | Outcome::Already)),
-                    "lost" => matches!(got, Some(Outcome::Lost(_))),
+                    "taken" => matches!(got, Some(Outcome::Applied | Outcome::AlreadyApplied)),
+                    "lost" => matches!(got, Some(Outcome::Conflict(_))),
                     "invalid" => matches!(got, Some(Outcome::Invalid(_))),
                     "none" => got.is_none(),
                     other => return Err(format!("no such outcome: {other}")),
@@ -369,7 +369,7 @@
                     }
                     next = next.max(to + 1);
                 }
-                next == control_state::KEYS
+                next == control_state::KEY_SPACE
             }
             "current" => words[1..]
                 .iter()
--- a/crates/rehearsal/src/workers.rs
+++ b/crates/rehearsal/src/workers.rs
@@ -1,6 +1,6 @@
 //! Stand-in workers that hold keys, as the protocol lays it down.
 
-use protocol::{Holding, Worker};
+use protocol::{KeyLease, Worker};
 use wardrobe::{Granted, Released};
 
 #[derive(Clone, Debug)]
@@ -36,29 +36,29 @@
     }
 
     /// Takes a grant that arrives now. Its clock for the hold runs 2% slow.
-    pub fn grant(&mut self, now: u64, h: &Holding, hold_ms: u64) -> Granted {
+    pub fn grant(&mut self, now: u64, h: &KeyLease, hold_ms: u64) -> Granted {
         if self
             .seen
             .iter()
-            .any(|s| s.from <= h.to && s.to >= h.from && s.fence > h.fence)
+            .any(|s| s.from <= h.to && s.to >= h.from && s.fence > h.fencing_token)
         {
             return Granted::Outrun;
         }
         let held = Held {
             from: h.from,
             to: h.to,
-            fence: h.fence,
+            fence: h.fencing_token,
             until: now + hold_ms * 102 / 100,
         };
-        self.took.push((h.from, h.to, h.fence, held.until));
+        self.took.push((h.from, h.to, h.fencing_token, held.until));
         self.cut(h.from, h.to);
         self.held.push(held.clone());
         self.seen.push(held);
         Granted::Yes
     }
 
-    pub fn release(&mut self, h: &Holding) -> Released {
-        self.took.push((h.from, h.to, h.fence, 0));
+    pub fn release(&mut self, h: &KeyLease) -> Released {
+        self.took.push((h.from, h.to, h.fencing_token, 0));
         self.cut(h.from, h.to);
         Released::Yes(format!("from-{}", self.listed.id))
     }
--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -4,7 +4,7 @@
 use crate::node::{Did, Life, Node, Pending};
 use crate::workers::StandIn;
 use config::constants as c;
-use control_state::{encode_change, Outcome};
+use control_state::Outcome;
 use protocol::*;
 use raft::{
     next_membership, tolerates_faults, FaultTolerance, LogPosition, PeerObservation, SilenceTimeouts,
@@ -239,7 +239,7 @@
         };
         if let Some(life) = &mut node.life {
             life.raft.tick(now);
-            if life.leaving && now % c::LEAVE_EVERY_MS == 1 {
+            if life.leaving && now % c::SHUTDOWN_ANNOUNCE_INTERVAL_MS == 1 {
                 life.raft.announce_shutdown(now);
             }
         }
@@ -256,8 +256,8 @@
         self.did.push((name.to_string(), did));
     }
 
-    fn settle(&mut self, order: String, replace: &ReplaceOrder, outcome: Option<Outcome>) {
-        if matches!(outcome, Some(Outcome::Applied | Outcome::Already)) {
+    fn settle(&mut self, order: String, replace: &ConfigurationCommand, outcome: Option<Outcome>) {
+        if matches!(outcome, Some(Outcome::Applied | Outcome::AlreadyApplied)) {
             if let Ok(config) = config::Configuration::parse(&replace.body) {
                 self.acked_version = self.acked_version.max(config.version);
             }
@@ -355,7 +355,7 @@
                         continue;
                     }
                     let back = if end == Granted::Unclear {
-                        sent + c::GRANT_WAIT_MS
+                        sent + c::GRANT_TIMEOUT_MS
                     } else {
                         now + 20
                     };
@@ -431,8 +431,8 @@
             .map(|n| (n.id(), n.region.clone()))
             .collect();
         let timing = UpstreamTimeouts {
-            silence_ms: c::SOURCE_SILENT_MS,
-            avoid_ms: c::SOURCE_SHUN_MS,
+            silence_ms: c::UPSTREAM_SILENCE_MS,
+            avoid_ms: c::UPSTREAM_AVOID_MS,
         };
         let frozen = &self.frozen;
         let runs = |n: &&mut Node| n.disk.is_none() && !frozen.contains(&n.name);
@@ -484,20 +484,20 @@
             life.raft.set_learners(&others);
             let others: Vec<PeerObservation> = seen.iter().filter(|s| s.voter.id != me).cloned().collect();
             let patience = SilenceTimeouts {
-                contact_ms: c::CONTACT_MS,
-                removal_ms: c::VOTER_GONE_MS,
-                urgent_removal_ms: c::VOTER_LEFT_MS,
+                contact_ms: c::CONTACT_TIMEOUT_MS,
+                removal_ms: c::VOTER_REMOVAL_MS,
+                urgent_removal_ms: c::VOTER_URGENT_REMOVAL_MS,
             };
             if let Some(roll) = next_membership(&life.raft, now, &others, LOSSES, patience) {
                 life.raft.propose_membership(&roll);
             }
             // What is committed is applied before any duty looks at it.
             let behind = life.stage.index < life.raft.commit_index();
-            if behind || !life.raft.holds_lease(now) || life.stage.config.is_none() {
+            if behind || !life.raft.holds_lease(now) || life.stage.configuration.is_none() {
                 continue;
             }
             if now >= life.next_poll {
-                life.next_poll = now + c::LIST_EVERY_MS;
+                life.next_poll = now + c::LIST_INTERVAL_MS;
                 let gone: Vec<String> = life
                     .stage
                     .workers
@@ -515,10 +515,10 @@
                 if !put.is_empty() || !gone.is_empty() {
                     let change = ChangeKind::Workers(WorkersChange {
                         put,
-                        gone,
+                        removed: gone,
                         ..Default::default()
                     });
-                    life.raft.propose(encode_change(change));
+                    life.raft.propose(Change::encode(change));
                 }
             }
             if life.wardrobe_since != Some(life.raft.leader_since()) {
@@ -534,11 +534,11 @@
                 match act {
                     Act::Log(put) => {
                         life.raft
-                            .propose(encode_change(ChangeKind::Keys(KeysChange { put })));
+                            .propose(Change::encode(ChangeKind::KeyLeases(KeyLeaseChange { put })));
                     }
                     Act::Grant(call) => {
                         let takes = 20 + self.rng.gen_range(0..=self.lag_ms);
-                        let late = takes + 20 > c::GRANT_WAIT_MS;
+                        let late = takes + 20 > c::GRANT_TIMEOUT_MS;
                         if late {
                             let unclear = Flight::Granted {
                                 leader: name.clone(),
@@ -546,7 +546,7 @@
                                 call: call.clone(),
                                 end: Granted::Unclear,
                             };
-                            flights.push((now + c::GRANT_WAIT_MS, unclear));
+                            flights.push((now + c::GRANT_TIMEOUT_MS, unclear));
                         }
                         let grant = Flight::Grant {
                             leader: name.clone(),
@@ -575,7 +575,7 @@
 
     /// Gives an order to the node that leads; `false` if none does, or if the
     /// voters would not bear the losses yet.
-    pub fn order(&mut self, name: &str, order: ReplaceOrder) -> bool {
+    pub fn order(&mut self, name: &str, order: ConfigurationCommand) -> bool {
         let Some(leader) = self.leader_name() else {
             return false;
         };
@@ -585,7 +585,7 @@
         if !tolerates_faults(life.raft.membership(), LOSSES) {
             return false;
         }
-        let data = encode_change(life.stage.for_log(ChangeKind::Replace(order.clone())));
+        let data = Change::encode(life.stage.compact_for_log(ChangeKind::Replace(order.clone())));
         match life.raft.propose(data) {
             Some(LogPosition { index, term }) => {
                 life.orders.push(Pending {
--- a/crates/rehearsal/tests/catch_up.rs
+++ b/crates/rehearsal/tests/catch_up.rs
@@ -3,7 +3,7 @@
 
 use config::Configuration;
 use control_state::Outcome;
-use protocol::ReplaceOrder;
+use protocol::ConfigurationCommand;
 use rehearsal::script::large_configuration;
 use rehearsal::world::World;
 
@@ -15,7 +15,7 @@
 #[test]
 fn a_large_configuration_is_valid_and_differs_in_one_route() {
     let [one, two] = [7, 8].map(|version| large_configuration(version, 300, false));
-    assert_eq!(Configuration::faults(&one), []);
+    assert_eq!(Configuration::errors(&one), []);
     assert!((70_000..100_000).contains(&one.len()), "{} bytes", one.len());
     let differ = one.iter().zip(&two).filter(|(a, b)| a != b).count();
     assert!(one.len() == two.len() && differ < 100, "{differ} bytes differ");
@@ -42,7 +42,7 @@
     let name = format!("to-{version}");
     let body = large_configuration(version, routes, false);
     for _ in 0..100 {
-        let order = ReplaceOrder {
+        let order = ConfigurationCommand {
             base: version - 1,
             body: body.clone(),
             ..Default::default()
@@ -51,7 +51,7 @@
             for _ in 0..100 {
                 world.run(10);
                 match world.answers.get(&name) {
-                    Some(Some(Outcome::Applied | Outcome::Already)) => return,
+                    Some(Some(Outcome::Applied | Outcome::AlreadyApplied)) => return,
                     Some(Some(other)) => panic!("version {version}: {other:?}"),
                     Some(None) => break,
                     None => {}
--- a/crates/rehearsal/tests/cold.rs
+++ b/crates/rehearsal/tests/cold.rs
@@ -2,10 +2,8 @@
 //! arbitrary arrivals, joins, restarts, leaders and views that lag behind.
 
 use boxoffice::{Caller, Casting, Listed, Scene};
-use config::constants as c;
-use config::settings::Bounds;
-use control_state::Stage;
-use control_state::{encode_change, KEYS};
+use config::{constants as c, settings::Bounds};
+use control_state::{ControlState, KEY_SPACE};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use protocol::*;
@@ -85,7 +83,7 @@
     nodes: Vec<Node>,
     workers: BTreeMap<String, Worker>,
     /// The log: when each state was reached.
-    log: Vec<(u64, Arc<Stage>)>,
+    log: Vec<(u64, Arc<ControlState>)>,
     casting: Casting,
     bounds: Bounds,
     per_s: f64,
@@ -108,7 +106,7 @@
             rng: SmallRng::seed_from_u64(seed),
             nodes: Vec::new(),
             workers: BTreeMap::new(),
-            log: vec![(0, Arc::new(Stage::default()))],
+            log: vec![(0, Arc::new(ControlState::default()))],
             casting: Casting::default(),
             bounds,
             per_s: 100.0,
@@ -116,7 +114,7 @@
             answers: Vec::new(),
             back: Vec::new(),
         };
-        day.change(ChangeKind::Replace(ReplaceOrder {
+        day.change(ChangeKind::Replace(ConfigurationCommand {
             body: CONFIG.replace("RATE", rate).into(),
             ..Default::default()
         }));
@@ -165,25 +163,25 @@
         self.workers.insert(id.into(), worker);
     }
 
-    fn stage(&self) -> Arc<Stage> {
+    fn stage(&self) -> Arc<ControlState> {
         self.log[self.log.len() - 1].1.clone()
     }
 
     fn change(&mut self, kind: ChangeKind) {
         let mut stage = (*self.stage()).clone();
-        stage.apply(stage.index + 1, &encode_change(kind));
+        stage.apply(stage.index + 1, &Change::encode(kind));
         self.log.push((self.now, Arc::new(stage)));
     }
 
     fn give_keys(&mut self, worker: &str) {
-        let put = vec![Holding {
+        let put = vec![KeyLease {
             service: "k".into(),
-            to: KEYS - 1,
+            to: KEY_SPACE - 1,
             worker: worker.into(),
-            fence: self.log.len() as u64,
+            fencing_token: self.log.len() as u64,
             ..Default::default()
         }];
-        self.change(ChangeKind::Keys(KeysChange { put }));
+        self.change(ChangeKind::KeyLeases(KeyLeaseChange { put }));
     }
 
     fn happen(&mut self, event: &Event) {
@@ -234,7 +232,7 @@
         for (id, w) in &self.workers {
             let mut row = w.row.clone();
             if w.cold_from <= shown || !self.stage().workers.contains_key(id) {
-                row.cold_ms = w.cold_until.saturating_sub(shown);
+                row.warmup_ms = w.cold_until.saturating_sub(shown);
             }
             listed.insert(id.clone(), row);
         }
@@ -330,7 +328,7 @@
             me: node.id,
             rtt: BTreeMap::new(),
         });
-        let Some(config) = log[node.seen].1.config.clone() else {
+        let Some(config) = log[node.seen].1.configuration.clone() else {
             return;
         };
         for (path, service) in [("/a/", "s"), ("/b/", "k")] {
@@ -344,7 +342,7 @@
                 let tried: Vec<String> = Vec::new();
                 let ask = Request {
                     route,
-                    key: (service == "k").then(|| self.rng.gen_range(0..KEYS)),
+                    key: (service == "k").then(|| self.rng.gen_range(0..KEY_SPACE)),
                     service,
                     tried: &tried,
                     left_ms: 8000,
@@ -448,7 +446,7 @@
     ];
     let day = play(3, 45, RATE, &events);
     // Workers of both services bear 3 a second for 3 s; of those with keys, one.
-    let bears = (5.0 + 1.0) * 3.0 * 3.0 * c::COLD_PART;
+    let bears = (5.0 + 1.0) * 3.0 * 3.0 * c::WARMUP_PART;
     let used = day.most().1 as f64 / bears;
     println!("used: {used:.2}");
     assert!(used > 0.4, "{used:.2}");
