--- a/crates/rehearsal/tests/histories.rs
+++ b/crates/rehearsal/tests/histories.rs
@@ -2,12 +2,11 @@
 //! last saw, one rollout of a service is active, ends are final, races have one
 //! winner, and the split from before comes back exactly.
 
-use control_state::Stage;
-use control_state::{encode_change, Outcome};
+use control_state::{ControlState, Outcome};
 use preview::{Action, Create, PreviewChange, Refusal, Side, State};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use protocol::ChangeKind;
+use protocol::{Change, ChangeKind};
 use std::collections::BTreeMap;
 
 const ACTIONS: [Action; 7] = [
@@ -49,7 +48,7 @@
 }
 
 /// Versions of a service that get requests, by their side.
-fn split(stage: &Stage, service: &str) -> Vec<(String, Side)> {
+fn split(stage: &ControlState, service: &str) -> Vec<(String, Side)> {
     let versions = (1..5).map(|v| format!("v{v}"));
     let side = |v: &str| stage.rollouts.get(service).map_or(Side::Old, |p| p.side(v));
     versions.map(|v| (v.clone(), side(&v))).collect()
@@ -65,7 +64,7 @@
 
     #[test]
     fn histories_keep_the_promises(moves in moves()) {
-        let mut stage = Stage::default();
+        let mut stage = ControlState::default();
         // What each service's rollout was at, over time.
         let mut seen: BTreeMap<String, Vec<u64>> = BTreeMap::new();
         for m in moves {
@@ -88,7 +87,7 @@
             let before = stage.rollouts.get(&service).cloned();
             let other = stage.rollouts.get(&format!("s{}", 1 - m.service)).cloned();
             let index = stage.index + 1;
-            let outcome = stage.apply(index, &encode_change(ChangeKind::Rollout(change.clone())));
+            let outcome = stage.apply(index, &Change::encode(ChangeKind::Rollout(change.clone())));
             let after = stage.rollouts.get(&service).cloned();
             prop_assert_eq!(&other, &stage.rollouts.get(&format!("s{}", 1 - m.service)).cloned());
             match outcome {
@@ -120,12 +119,12 @@
                         _ => {}
                     }
                 }
-                Outcome::Already => {
+                Outcome::AlreadyApplied => {
                     let p = before.clone().expect("there");
                     prop_assert!(action == Action::Create && p.is_active());
                     prop_assert_eq!(&before, &after);
                 }
-                Outcome::Refused(refusal) => {
+                Outcome::RolloutRejected(refusal) => {
                     prop_assert_eq!(&before, &after, "what is refused changes nothing");
                     if let Refusal::Held { target, .. } = refusal {
                         prop_assert_eq!(target, before.expect("there").target.clone());
@@ -133,7 +132,7 @@
                 }
                 other => prop_assert!(false, "{other:?}"),
             }
-            let again = Stage::from_image(stage.image()).expect("readable");
+            let again = ControlState::from_image(stage.image()).expect("readable");
             prop_assert_eq!(&again.rollouts, &stage.rollouts);
         }
     }
--- a/crates/rehearsal/tests/model.rs
+++ b/crates/rehearsal/tests/model.rs
@@ -4,15 +4,14 @@
 //! its predecessor granted must be found.
 
 use config::constants as c;
-use control_state::encode_change;
-use control_state::Stage;
+use control_state::ControlState;
 use protocol::*;
 use rehearsal::workers::StandIn;
 use wardrobe::{Act, GrantCall, Granted, ReleaseCall, Released, Wardrobe};
 
 const TICK_MS: u64 = 100;
 /// A call that has not arrived by then never does: its connection has ended.
-const LOST_MS: u64 = c::GRANT_WAIT_MS + c::WORKER_SILENCE_MS + 4 * c::FAR_MS as u64;
+const LOST_MS: u64 = c::GRANT_TIMEOUT_MS + c::WORKER_USER_TIMEOUT_MS + 4 * c::DEFAULT_RTT_MS as u64;
 const DEPTH: usize = 7;
 const LATE_DEPTH: usize = 6;
 
@@ -75,7 +74,7 @@
 #[derive(Clone)]
 struct Model {
     now: u64,
-    stage: Stage,
+    stage: ControlState,
     leaders: [Wardrobe; 2],
     leading: usize,
     flights: Vec<Flight>,
@@ -86,12 +85,12 @@
 
 impl Model {
     fn new(forgets: bool) -> Model {
-        let mut stage = Stage::default();
+        let mut stage = ControlState::default();
         let mut change = |kind| {
             let index = stage.index + 1;
-            stage.apply(index, &encode_change(kind));
+            stage.apply(index, &Change::encode(kind));
         };
-        change(ChangeKind::Replace(ReplaceOrder {
+        change(ChangeKind::Replace(ConfigurationCommand {
             body: rehearsal::script::configuration(1),
             ..Default::default()
         }));
@@ -123,7 +122,7 @@
 
     fn change(&mut self, kind: ChangeKind) {
         let index = self.stage.index + 1;
-        self.stage.apply(index, &encode_change(kind));
+        self.stage.apply(index, &Change::encode(kind));
     }
 
     fn lead(&mut self) {
@@ -165,7 +164,7 @@
             Step::End => {
                 self.workers[1].up = false;
                 self.change(ChangeKind::Workers(WorkersChange {
-                    gone: vec!["w1".into()],
+                    removed: vec!["w1".into()],
                     ..Default::default()
                 }));
                 self.pass(step, 1);
@@ -187,7 +186,7 @@
             for act in self.leaders[self.leading].tick(now, &stage) {
                 let call = match act {
                     Act::Log(put) => {
-                        self.change(ChangeKind::Keys(KeysChange { put }));
+                        self.change(ChangeKind::KeyLeases(KeyLeaseChange { put }));
                         self.leaders[self.leading].logged();
                         continue;
                     }
@@ -218,7 +217,7 @@
                 self.flights.push(f);
                 continue;
             };
-            let waits = now < f.sent + c::GRANT_WAIT_MS && !mute;
+            let waits = now < f.sent + c::GRANT_TIMEOUT_MS && !mute;
             let leader = &mut self.leaders[f.leader];
             match &f.call {
                 Call::Grant(g) => {
@@ -245,7 +244,7 @@
     fn give_up(&mut self) {
         let now = self.now;
         for f in &self.flights {
-            if now < f.sent + c::GRANT_WAIT_MS || now >= f.sent + c::GRANT_WAIT_MS + TICK_MS {
+            if now < f.sent + c::GRANT_TIMEOUT_MS || now >= f.sent + c::GRANT_TIMEOUT_MS + TICK_MS {
                 continue;
             }
             let leader = &mut self.leaders[f.leader];
@@ -255,7 +254,7 @@
             }
         }
         self.flights
-            .retain(|f| now < f.sent + LOST_MS && !(f.arrived && now >= f.sent + c::GRANT_WAIT_MS));
+            .retain(|f| now < f.sent + LOST_MS && !(f.arrived && now >= f.sent + c::GRANT_TIMEOUT_MS));
     }
 
     fn check(&self) {
--- a/crates/rehearsal/tests/rollouts.rs
+++ b/crates/rehearsal/tests/rollouts.rs
@@ -20,8 +20,7 @@
 //! in time, and what was said to have ended has ended everywhere.
 
 use config::settings::Bounds;
-use control_state::Stage;
-use control_state::{encode_change, Outcome};
+use control_state::{ControlState, Outcome};
 use preview::{Action, Create, Critic, Facts, Level, Levels, PreviewChange, Side, State, Trial};
 use protocol::*;
 use rand::rngs::SmallRng;
@@ -86,7 +85,7 @@
     rng: SmallRng,
     nodes: Vec<Node>,
     workers: BTreeMap<String, StandIn>,
-    log: Vec<(u64, Arc<Stage>)>,
+    log: Vec<(u64, Arc<ControlState>)>,
     flights: Vec<Flight>,
     reports: Vec<(u64, Vec<Trial>, u64, u64)>,
     critic: Critic,
@@ -124,7 +123,7 @@
             rng: SmallRng::seed_from_u64(seed),
             nodes: Vec::new(),
             workers: BTreeMap::new(),
-            log: vec![(0, Arc::new(Stage::default()))],
+            log: vec![(0, Arc::new(ControlState::default()))],
             flights: Vec::new(),
             reports: Vec::new(),
             critic: Critic::default(),
@@ -155,13 +154,13 @@
         fleet
     }
 
-    fn stage(&self) -> Arc<Stage> {
+    fn stage(&self) -> Arc<ControlState> {
         self.log[self.log.len() - 1].1.clone()
     }
 
     fn change(&mut self, kind: ChangeKind) -> Outcome {
         let mut stage = (*self.stage()).clone();
-        let outcome = stage.apply(stage.index + 1, &encode_change(kind));
+        let outcome = stage.apply(stage.index + 1, &Change::encode(kind));
         self.log.push((self.now, Arc::new(stage)));
         outcome
     }
@@ -170,7 +169,7 @@
         let base = self.version;
         self.version += 1;
         let body = CONFIG.replace("VERSION", &self.version.to_string()).into();
-        let order = ReplaceOrder {
+        let order = ConfigurationCommand {
             base,
             body,
             ..Default::default()
@@ -256,7 +255,7 @@
             ..Default::default()
         };
         match self.change(ChangeKind::Rollout(change)) {
-            Outcome::Refused(refusal) => self.refused = Some(format!("{refusal:?}")),
+            Outcome::RolloutRejected(refusal) => self.refused = Some(format!("{refusal:?}")),
             Outcome::Applied => {
                 self.ordered_at = self.now;
                 self.term = self.now + duration_ms;
@@ -281,12 +280,12 @@
             self.refused = Some("gate".into());
             return;
         }
-        if let Outcome::Refused(refusal) = self.change(ChangeKind::Rollout(change)) {
+        if let Outcome::RolloutRejected(refusal) = self.change(ChangeKind::Rollout(change)) {
             self.refused = Some(format!("{refusal:?}"));
         }
     }
 
-    fn facts(&mut self, stage: &Stage) -> Facts {
+    fn facts(&mut self, stage: &ControlState) -> Facts {
         let able = |w: &&Arc<Worker>| !stage.evacuated.contains_key(&w.zone);
         let p = stage.rollouts.get("s");
         let of = |side: Side| {
@@ -324,7 +323,7 @@
         for (_, trials, served, failed) in due {
             self.reported_at = now;
             self.levels.take(served, failed);
-            self.critic.take(&trials, short);
+            self.critic.take(&trials, name_hash);
         }
         if now % 260 >= STEP {
             return;
@@ -425,7 +424,7 @@
             me: node.id,
             rtt: BTreeMap::new(),
         });
-        let Some(config) = self.log[node.seen].1.config.clone() else {
+        let Some(config) = self.log[node.seen].1.configuration.clone() else {
             return;
         };
         let chance = self.rate * STEP as f64 / 1000.0 / count as f64;
@@ -529,7 +528,7 @@
         assert_eq!(self.lost_sends, 0, "sent to a new version without the core");
         assert_eq!(self.old_after_end, 0, "sent to the old version after its end");
         let stage = self.stage();
-        let again = Stage::from_image(stage.image()).expect("readable");
+        let again = ControlState::from_image(stage.image()).expect("readable");
         assert_eq!(again.rollouts, stage.rollouts, "it survives in a snapshot");
     }
 }
--- a/crates/understage/src/fleet.rs
+++ b/crates/understage/src/fleet.rs
@@ -92,7 +92,7 @@
                 disk: disk.as_deref(),
             },
         );
-        Settings::parse(&text)?;
+        Settings::parse(&text).map_err(|e| e.to_string())?;
         node.start(&program, &text, group)
     }
 
--- a/crates/understage/tests/parts.rs
+++ b/crates/understage/tests/parts.rs
@@ -1,7 +1,6 @@
 //! What a fleet is made of, without starting one.
 
-use config::configuration::Configuration;
-use config::Settings;
+use config::{Configuration, Settings};
 use std::path::Path;
 use understage::net::Net;
 use understage::node::leads_in;
@@ -38,7 +37,7 @@
     let theirs = Configuration::parse(&orders::configuration(4, "b", 300)).expect("valid");
     assert!(theirs.route(orders::HOST, &path).is_none());
     let fault = Configuration::parse(&orders::invalid(4, "bad-7")).expect_err("invalid");
-    assert!(fault.0.contains("bad-7"), "{fault}");
+    assert!(fault.to_string().contains("bad-7"), "{fault}");
 }
 
 #[test]
--- a/crates/understudy/src/lib.rs
+++ b/crates/understudy/src/lib.rs
@@ -1,9 +1,9 @@
 //! Repair: a data-plane copy is compared with another by digests over ranges
 //! of its rows, and ranges that differ are mended from the newer copy.
 
-use control_state::Stage;
+use control_state::ControlState;
 use prost::Message;
-use protocol::{Digests, Mend, StageImage};
+use protocol::{ControlStateImage, RangeDigests, Repair};
 
 /// Ranges that hold one table each: configuration, evacuations, fractions,
 /// allowances with all that is small.
@@ -32,28 +32,28 @@
 }
 
 /// Keeps of an image only the rows of the given ranges.
-fn pick(image: &StageImage, wanted: impl Fn(usize) -> bool) -> StageImage {
-    let mut part = StageImage {
+fn pick(image: &ControlStateImage, wanted: impl Fn(usize) -> bool) -> ControlStateImage {
+    let mut part = ControlStateImage {
         index: image.index,
         ..Default::default()
     };
     if wanted(0) {
         part.version = image.version;
-        part.ledger = image.ledger.clone();
+        part.command_history = image.command_history.clone();
         part.configuration = image.configuration.clone();
     }
     if wanted(1) {
         part.evacuated = image.evacuated.clone();
-        part.returned = image.returned.clone();
+        part.ended_evacuations = image.ended_evacuations.clone();
     }
     if wanted(2) {
         part.fractions = image.fractions.clone();
     }
     if wanted(3) {
-        part.allowances = image.allowances.clone();
-        part.slack = image.slack;
-        part.benched = image.benched.clone();
-        part.casts = image.casts.clone();
+        part.retry_allowances = image.retry_allowances.clone();
+        part.retry_slack = image.retry_slack;
+        part.ejected = image.ejected.clone();
+        part.warmup_groups = image.warmup_groups.clone();
         part.rollouts = image.rollouts.clone();
         part.kill_switch = image.kill_switch.clone();
     }
@@ -63,8 +63,8 @@
         .filter(|w| wanted(range_of_worker(&w.id)))
         .cloned()
         .collect();
-    part.holdings = image
-        .holdings
+    part.key_leases = image
+        .key_leases
         .iter()
         .filter(|h| wanted(range_of_holding(&h.service, h.from)))
         .cloned()
@@ -73,7 +73,7 @@
 }
 
 /// The digests of a copy.
-pub fn digests(stage: &Stage) -> Digests {
+pub fn digests(stage: &ControlState) -> RangeDigests {
     let image = stage.image();
     let ranges = (0..RANGES)
         .map(|range| {
@@ -82,7 +82,7 @@
             mix(BASIS, &part.encode_to_vec())
         })
         .collect();
-    Digests {
+    RangeDigests {
         index: image.index,
         ranges,
         ..Default::default()
@@ -91,7 +91,7 @@
 
 /// What a peer that sent its digests lacks of this copy; `None` if this copy is
 /// not the newer one or nothing differs.
-pub fn mend_for(stage: &Stage, theirs: &Digests) -> Option<Mend> {
+pub fn mend_for(stage: &ControlState, theirs: &RangeDigests) -> Option<Repair> {
     if stage.index < theirs.index {
         return None;
     }
@@ -104,18 +104,18 @@
         return None;
     }
     let image = pick(&stage.image(), |r| ranges.contains(&(r as u32)));
-    Some(Mend {
+    Some(Repair {
         index: stage.index,
         ranges,
         image: Some(image),
-        life: theirs.life,
-        id: theirs.id,
+        incarnation: theirs.incarnation,
+        number: theirs.number,
     })
 }
 
 /// The copy with the ranges of a mend put in place of its own; `None` if the
 /// mend is not newer or cannot be read.
-pub fn mended(stage: &Stage, mend: &Mend) -> Option<Stage> {
+pub fn mended(stage: &ControlState, mend: &Repair) -> Option<ControlState> {
     let newer = mend.image.as_ref()?;
     if mend.index < stage.index {
         return None;
@@ -125,33 +125,33 @@
     image.index = mend.index;
     if given(0) {
         image.version = newer.version;
-        image.ledger = newer.ledger.clone();
+        image.command_history = newer.command_history.clone();
         image.configuration = newer.configuration.clone();
     }
     if given(1) {
         image.evacuated = newer.evacuated.clone();
-        image.returned = newer.returned.clone();
+        image.ended_evacuations = newer.ended_evacuations.clone();
     }
     if given(2) {
         image.fractions = newer.fractions.clone();
     }
     if given(3) {
-        image.allowances = newer.allowances.clone();
-        image.slack = newer.slack;
-        image.benched = newer.benched.clone();
-        image.casts = newer.casts.clone();
+        image.retry_allowances = newer.retry_allowances.clone();
+        image.retry_slack = newer.retry_slack;
+        image.ejected = newer.ejected.clone();
+        image.warmup_groups = newer.warmup_groups.clone();
         image.rollouts = newer.rollouts.clone();
         image.kill_switch = newer.kill_switch.clone();
     }
     image.workers.extend(newer.workers.iter().cloned());
-    image.holdings.extend(newer.holdings.iter().cloned());
-    Stage::from_image(image)
+    image.key_leases.extend(newer.key_leases.iter().cloned());
+    ControlState::from_image(image).ok()
 }
 
 /// The same, of a mend that answers digests which this node has sent: `None` also
 /// if the copy has changed since. What a mend leaves out is equal to the copy
 /// that was asked about, and to no other.
-pub fn mended_since(stage: &Stage, asked: &Digests, mend: &Mend) -> Option<Stage> {
+pub fn mended_since(stage: &ControlState, asked: &RangeDigests, mend: &Repair) -> Option<ControlState> {
     let unchanged = digests(stage) == *asked;
     unchanged.then(|| mended(stage, mend))?
 }
--- a/crates/understudy/tests/asked.rs
+++ b/crates/understudy/tests/asked.rs
@@ -1,23 +1,22 @@
 //! A mend says of the ranges that it leaves out only that they were equal to what
 //! was asked about. On a copy that has changed since it makes a state that never was.
 
-use control_state::encode_change;
-use control_state::Stage;
-use protocol::{ChangeKind, EvacuationChange};
+use control_state::ControlState;
+use protocol::{Change, ChangeKind, EvacuationChange};
 use understudy::{digests, mend_for, mended, mended_since};
 
-fn evacuate(stage: &Stage, begin: bool) -> Stage {
+fn evacuate(stage: &ControlState, begin: bool) -> ControlState {
     let zone = "z".to_string();
     let mut next = stage.clone();
     let change = ChangeKind::Evacuate(EvacuationChange { zone, begin });
-    next.apply(stage.index + 1, &encode_change(change));
+    next.apply(stage.index + 1, &Change::encode(change));
     next
 }
 
 #[test]
 fn a_second_mend_to_one_question_is_taken_only_if_nothing_changed_meanwhile() {
     // The zone is empty for a moment, as it was twice before: begun, taken back.
-    let mut before = Stage::default();
+    let mut before = ControlState::default();
     for begin in [true, true, false] {
         before = evacuate(&before, begin);
     }
--- a/crates/understudy/tests/repair.rs
+++ b/crates/understudy/tests/repair.rs
@@ -1,18 +1,17 @@
 //! What differs between two copies is sent, and only the newer one gives.
 
-use control_state::encode_change;
-use control_state::Stage;
-use protocol::{ChangeKind, EvacuationChange, Worker, WorkersChange};
+use control_state::ControlState;
+use protocol::{Change, ChangeKind, EvacuationChange, Worker, WorkersChange};
 use understudy::{digests, mend_for, mended};
 
-fn add(stage: &mut Stage, index: u64, id: &str) {
+fn add(stage: &mut ControlState, index: u64, id: &str) {
     let put = vec![Worker {
         id: id.into(),
         ..Default::default()
     }];
     stage.apply(
         index,
-        &encode_change(ChangeKind::Workers(WorkersChange {
+        &Change::encode(ChangeKind::Workers(WorkersChange {
             put,
             ..Default::default()
         })),
@@ -21,7 +20,7 @@
 
 #[test]
 fn only_what_differs_is_sent_and_the_copies_end_equal() {
-    let mut newer = Stage::default();
+    let mut newer = ControlState::default();
     for i in 1..=40 {
         add(&mut newer, i, &format!("w{i}"));
     }
@@ -29,15 +28,15 @@
     add(&mut newer, 41, "late");
     newer.apply(
         42,
-        &encode_change(ChangeKind::Workers(WorkersChange {
+        &Change::encode(ChangeKind::Workers(WorkersChange {
             put: vec![],
-            gone: vec!["w3".into()],
+            removed: vec!["w3".into()],
             ..Default::default()
         })),
     );
     newer.apply(
         43,
-        &encode_change(ChangeKind::Evacuate(EvacuationChange {
+        &Change::encode(ChangeKind::Evacuate(EvacuationChange {
             zone: "z".into(),
             begin: true,
         })),
@@ -51,11 +50,11 @@
 
 #[test]
 fn the_newer_copy_is_never_mended_from_the_older() {
-    let mut old = Stage::default();
+    let mut old = ControlState::default();
     add(&mut old, 1, "a");
     let mut new = old.clone();
     add(&mut new, 2, "b");
     assert!(mend_for(&old, &digests(&new)).is_none());
-    let stale = mend_for(&old, &digests(&Stage::default())).expect("differs");
+    let stale = mend_for(&old, &digests(&ControlState::default())).expect("differs");
     assert!(mended(&new, &stale).is_none());
 }
--- a/crates/usher/src/attempt.rs
+++ b/crates/usher/src/attempt.rs
@@ -84,7 +84,7 @@
 pub const PROMISES: [u16; 4] = [408, 421, 429, 503];
 
 /// Heads that are not ours, passed over before a connection is given up, heads.
-const STRANGERS: u32 = config::constants::STRANGE_ANSWERS;
+const STRANGERS: u32 = config::constants::MAX_UNMATCHED_RESPONSES;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Attempt {
--- a/crates/usher/src/pool.rs
+++ b/crates/usher/src/pool.rs
@@ -32,8 +32,8 @@
     pub fn new(workers: &[Arc<Worker>], zone: &str, limit: u32, keyed: bool, place: Place) -> Pool {
         let edges = place.edges.max(1);
         let each = limit / (edges as u32 + 1);
-        let scarce = each < c::CONNECTIONS_EACH;
-        if keyed || !scarce && workers.len() <= c::POOL_ALL {
+        let scarce = each < c::MIN_CONNECTIONS_PER_WORKER;
+        if keyed || !scarce && workers.len() <= c::SUBSET_THRESHOLD {
             let each = each.max(1);
             let members = workers.iter().map(|w| (w.clone(), each)).collect();
             let sharers = place.in_zone.max(1) as f64;
@@ -63,14 +63,19 @@
             } else {
                 (place.number, edges)
             };
-            let room = f64::from(limit) * if near { c::NEAR_PART } else { c::FAR_PART };
+            let room = f64::from(limit)
+                * if near {
+                    c::LOCAL_CONNECTION_PART
+                } else {
+                    c::REMOTE_CONNECTION_PART
+                };
             let size = if near {
-                c::WINDOW.min(here.len())
+                c::LOCAL_SUBSET.min(here.len())
             } else if scarce {
                 let fits = (room * here.len() as f64 / nodes as f64) as usize;
-                fits.clamp(1, c::FAR_WINDOW).min(here.len())
+                fits.clamp(1, c::REMOTE_SUBSET).min(here.len())
             } else {
-                c::FAR_WINDOW.min(here.len())
+                c::REMOTE_SUBSET.min(here.len())
             };
             let callers = if near { nodes } else { edges };
             let sharers = (callers * size).div_ceil(here.len());
--- a/crates/usher/src/seats.rs
+++ b/crates/usher/src/seats.rs
@@ -1,12 +1,10 @@
 use crate::budget::Budget;
 use crate::pool::{Place, Pool};
 use crate::trial::{Ledger, Ticket, Trials};
-use config::configuration::{cold_bound, Route};
-use config::constants as c;
-use config::settings::Bounds;
-use control_state::Stage;
+use config::{constants as c, settings::Bounds, warmup_limit, Route, WeightedService};
+use control_state::ControlState;
 use preview::{Side, Trial};
-use protocol::{short, Worker};
+use protocol::{name_hash, Worker};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -133,28 +131,28 @@
     /// Requests of the last while: what is sent now may arrive within the same
     /// second as they.
     fn sent_while_cold(&self, now: u64) -> usize {
-        let recent = |at: &&u64| **at + c::COLD_WINDOW_MS > now;
+        let recent = |at: &&u64| **at + c::WARMUP_WINDOW_MS > now;
         self.cold_sent.iter().filter(recent).count()
     }
 
     /// Takes in what the control state says of its being cold.
-    fn take_cold(&mut self, now: u64, stage: &Stage) {
+    fn take_cold(&mut self, now: u64, stage: &ControlState) {
         let worker = self.worker.clone();
-        let returned = stage.returned.get(&worker.zone).copied().unwrap_or(0);
-        if worker.cold_at != self.cold_seen {
-            self.cold_seen = worker.cold_at;
-            if worker.cold_ms > 0 {
-                self.cool(now, worker.cold_ms + c::COLD_MARGIN_MS);
-            } else if !stage.is_unread(&worker) {
+        let returned = stage.ended_evacuations.get(&worker.zone).copied().unwrap_or(0);
+        if worker.warmup_index != self.cold_seen {
+            self.cold_seen = worker.warmup_index;
+            if worker.warmup_ms > 0 {
+                self.cool(now, worker.warmup_ms + c::WARMUP_MARGIN_MS);
+            } else if !stage.is_warmup_unknown(&worker) {
                 self.cold_until = now;
             }
         }
         // Workers of a zone that was taken back are cold at first.
         if returned > self.returned_seen {
             self.returned_seen = returned;
-            if stage.is_unread(&worker) {
-                let cold_ms = stage.returned_cold_ms(&worker.service);
-                self.cool(now, cold_ms + c::COLD_MARGIN_MS);
+            if stage.is_warmup_unknown(&worker) {
+                let cold_ms = stage.restored_zone_warmup_ms(&worker.service);
+                self.cool(now, cold_ms + c::WARMUP_MARGIN_MS);
             }
         }
     }
@@ -166,7 +164,7 @@
     zones: BTreeMap<String, String>,
     bounds: Bounds,
     neighbours: Neighbours,
-    stage: Arc<Stage>,
+    stage: Arc<ControlState>,
     seats: HashMap<String, Seat>,
     by_service: HashMap<String, Vec<String>>,
     /// Which workers of a service this node uses; made when first needed.
@@ -220,10 +218,10 @@
 
     /// Takes a newer copy of the control state; returns the workers that are
     /// gone. What has not changed costs nothing.
-    pub fn set_stage(&mut self, now: u64, stage: Arc<Stage>) -> Vec<String> {
+    pub fn set_stage(&mut self, now: u64, stage: Arc<ControlState>) -> Vec<String> {
         self.born.get_or_insert(now);
         let before = std::mem::replace(&mut self.stage, stage.clone());
-        let same_config = match (&before.config, &stage.config) {
+        let same_config = match (&before.configuration, &stage.configuration) {
             (Some(a), Some(b)) => Arc::ptr_eq(a, b),
             (a, b) => a.is_none() && b.is_none(),
         };
@@ -234,15 +232,15 @@
         if !Arc::ptr_eq(&before.workers, &stage.workers) || self.seats.is_empty() {
             gone = self.take_workers(now, &stage);
         }
-        if before.returned != stage.returned {
+        if before.ended_evacuations != stage.ended_evacuations {
             for seat in self.seats.values_mut() {
                 seat.take_cold(now, &stage);
             }
         }
-        if !Arc::ptr_eq(&before.benched, &stage.benched) {
-            for id in before.benched.difference(&stage.benched) {
+        if !Arc::ptr_eq(&before.ejected, &stage.ejected) {
+            for id in before.ejected.difference(&stage.ejected) {
                 if let Some(seat) = self.seats.get_mut(id) {
-                    seat.trial_until = now + c::TRIAL_MS;
+                    seat.trial_until = now + c::PROBATION_MS;
                     seat.failures = 0;
                 }
             }
@@ -250,7 +248,7 @@
         gone
     }
 
-    fn take_workers(&mut self, now: u64, stage: &Stage) -> Vec<String> {
+    fn take_workers(&mut self, now: u64, stage: &ControlState) -> Vec<String> {
         let gone: Vec<String> = self
             .seats
             .keys()
@@ -326,11 +324,11 @@
         let of = self.by_service.get(service)?.iter();
         let all = of.filter_map(|id| self.seats.get(id).map(|s| s.worker.clone()));
         let workers: Vec<Arc<Worker>> = if side == Side::New {
-            let mut trial: Vec<_> = self.stage.on_trial(service).into_iter().cloned().collect();
+            let mut trial: Vec<_> = self.stage.canary_workers(service).into_iter().cloned().collect();
             trial.sort_by(|a, b| a.id.cmp(&b.id));
             trial
         } else {
-            all.filter(|w| known.partitioned || self.stage.side(w) == side)
+            all.filter(|w| known.partitioned || self.stage.cohort(w) == side)
                 .collect()
         };
         let pool = Rc::new(Pool::new(
@@ -352,7 +350,7 @@
             .map(|s| s.answer_ms)
             .collect();
         if known.is_empty() {
-            c::ANSWER_MS
+            c::DEFAULT_RESPONSE_MS
         } else {
             known.iter().sum::<f64>() / known.len() as f64
         }
@@ -360,22 +358,22 @@
 
     /// Draws one of a route's services by weight.
     pub fn draw_service(&mut self, route: &Route) -> Arc<str> {
-        let total: f64 = route.split.iter().map(|(_, w)| w).sum();
+        let total: f64 = route.split.iter().map(|s| s.weight).sum();
         let mut left = self.rng.gen::<f64>() * total;
-        for (service, weight) in &route.split {
+        for WeightedService { service, weight } in &route.split {
             left -= weight;
             if left < 0.0 && *weight > 0.0 {
                 return service.clone();
             }
         }
-        let last = route.split.iter().rev().find(|(_, w)| *w > 0.0);
-        last.map_or_else(|| "".into(), |(s, _)| s.clone())
+        let last = route.split.iter().rev().find(|s| s.weight > 0.0);
+        last.map_or_else(|| "".into(), |s| s.service.clone())
     }
 
     /// Chooses a worker and counts the try against it. The first try of a
     /// request is free, further ones are charged to the budget.
     pub fn choose(&mut self, now: u64, request: &Request) -> Found {
-        let window = self.bounds.retry_window.0;
+        let window = self.bounds.retry_window.ms;
         if request.tried.is_empty() {
             self.budgets
                 .entry(request.service.to_string())
@@ -388,9 +386,9 @@
             None => return Found::Nobody(self.come_back(now, request)),
         };
         if !request.tried.is_empty() {
-            let named = self.stage.allowances.contains(&self.neighbours.me);
-            let slack = if named { self.stage.slack } else { 0.0 };
-            let ratio = self.bounds.retry_ratio * c::BUDGET_PART;
+            let named = self.stage.retry_allowances.contains(&self.neighbours.me);
+            let slack = if named { self.stage.retry_slack } else { 0.0 };
+            let ratio = self.bounds.retry_ratio * c::RETRY_BUDGET_PART;
             let budget = self.budgets.entry(request.service.to_string()).or_default();
             if !budget.further_try(now, window, ratio, slack) {
                 return Found::Spent;
@@ -403,7 +401,7 @@
         };
         seat.inflight += 1;
         if seat.is_cold(now) {
-            while seat.cold_sent.len() > c::COLD_REMEMBERED {
+            while seat.cold_sent.len() > c::WARMUP_MAX_SHARES {
                 seat.cold_sent.pop_front();
             }
             seat.cold_sent.push_back(now);
@@ -455,8 +453,8 @@
             ledger.sent(request.tried.is_empty(), side == Side::New);
         }
         (!seat.is_cold(now)).then(|| Ticket {
-            service: short(request.service),
-            route: short(&request.route.name),
+            service: name_hash(request.service),
+            route: name_hash(&request.route.name),
             new: side == Side::New,
             ordered: p.ordered,
         })
@@ -467,13 +465,13 @@
             return 0.0;
         };
         if seat.region == self.region {
-            c::NEAR_MS
+            c::LOCAL_RTT_MS
         } else {
             self.neighbours
                 .rtt
                 .get(&seat.region)
                 .copied()
-                .unwrap_or(c::FAR_MS)
+                .unwrap_or(c::DEFAULT_RTT_MS)
         }
     }
 
@@ -486,28 +484,28 @@
             return true;
         }
         // Who has just begun does not know what its last life has sent.
-        if self.born.is_none_or(|born| now < born + c::COLD_WINDOW_MS) {
+        if self.born.is_none_or(|born| now < born + c::WARMUP_WINDOW_MS) {
             return false;
         }
-        let Some(cast) = self.stage.cast_of(&seat.worker) else {
+        let Some(cast) = self.stage.warmup_nodes(&seat.worker) else {
             return false;
         };
         if !cast.contains(&self.neighbours.me) {
             return false;
         }
         let service = self.stage.service(&seat.worker.service);
-        let shares = cold_bound(service, &self.bounds) / cast.len();
+        let shares = warmup_limit(service, &self.bounds) / cast.len();
         // Without a figure, one a second.
-        let rate = service.map_or(0.0, |s| s.cold_rate);
-        let rate = c::COLD_PART * if rate > 0.0 { rate } else { 1.0 };
+        let rate = service.map_or(0.0, |s| s.warmup_rate);
+        let rate = c::WARMUP_PART * if rate > 0.0 { rate } else { 1.0 };
         let gap = 1000.0 * cast.len() as f64 / rate;
-        seat.sent_while_cold(now) < shares.min(c::COLD_REMEMBERED) && seat.has_turn(now, gap)
+        seat.sent_while_cold(now) < shares.min(c::WARMUP_MAX_SHARES) && seat.has_turn(now, gap)
     }
 
     /// Whether a worker may be given a request at all.
     fn may(&self, seat: &Seat, each: u32, request: &Request) -> bool {
         let w = &seat.worker;
-        let homes = &request.route.homes;
+        let homes = &request.route.home_regions;
         !w.draining
             && !self.stage.evacuated.contains_key(&w.zone)
             && (homes.is_empty() || homes.contains(&seat.region))
@@ -527,12 +525,12 @@
     fn best_of(&mut self, now: u64, request: &Request, side: Side) -> Option<String> {
         let pool = self.pool(request.service, side)?;
         if let Some(key) = request.key {
-            let holding = self.stage.holding(request.service, key)?;
-            if holding.leaving || holding.worker.is_empty() {
+            let holding = self.stage.key_lease(request.service, key)?;
+            if holding.revoking || holding.worker.is_empty() {
                 return None;
             }
             let seat = self.seats.get(&holding.worker)?;
-            if self.stage.side(&seat.worker) == Side::Neither {
+            if self.stage.cohort(&seat.worker) == Side::Neither {
                 return None;
             }
             let each = pool.members.first().map_or(1, |(_, each)| *each);
@@ -551,7 +549,7 @@
             if !may || self.hopeless(seat, request, &pool) {
                 continue;
             }
-            if now < seat.left_alone_until || self.stage.benched.contains(&worker.id) {
+            if now < seat.left_alone_until || self.stage.ejected.contains(&worker.id) {
                 // A worker left alone is tried only when there is no other.
                 if seat.inflight == 0 && spare.is_none() {
                     spare = Some(worker);
@@ -560,8 +558,8 @@
             }
             let mut cost = self.cost(seat, request, &pool) * self.rng.gen_range(0.95..1.05);
             if now < seat.trial_until {
-                let left = (seat.trial_until - now) as f64 / c::TRIAL_MS as f64;
-                cost *= 1.0 + (c::TRIAL_PRICE - 1.0) * left;
+                let left = (seat.trial_until - now) as f64 / c::PROBATION_MS as f64;
+                cost *= 1.0 + (c::PROBATION_COST - 1.0) * left;
             }
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, worker));
@@ -580,7 +578,8 @@
     /// Whether a request has any prospect of being answered in time there. The
     /// less its rank, the sooner it makes room.
     fn hopeless(&self, seat: &Seat, request: &Request, pool: &Pool) -> bool {
-        let patience = c::PATIENCE / (1.0 + c::RANK_STEP * f64::from(request.route.priority));
+        let patience =
+            c::DEADLINE_SLACK_FACTOR / (1.0 + c::PRIORITY_STEP * f64::from(request.route.priority));
         self.expected(seat, pool) > patience * request.left_ms as f64
     }
 
@@ -588,18 +587,18 @@
     /// a price for leaving the zone or the region.
     fn cost(&self, seat: &Seat, request: &Request, pool: &Pool) -> f64 {
         let answer = self.expected(seat, pool);
-        let aim = request.route.aim_ms as f64;
+        let aim = request.route.target_ms as f64;
         let distance = if seat.worker.zone == request.zone.unwrap_or(&self.zone) {
             0.0
         } else if seat.region == self.region {
-            c::NEAR_MS + c::ZONE_PENALTY * aim
+            c::LOCAL_RTT_MS + c::ZONE_PENALTY * aim
         } else {
             let rtt = self
                 .neighbours
                 .rtt
                 .get(&seat.region)
                 .copied()
-                .unwrap_or(c::FAR_MS);
+                .unwrap_or(c::DEFAULT_RTT_MS);
             rtt + c::REGION_PENALTY * aim
         };
         answer + distance
@@ -608,12 +607,12 @@
     /// When a refused client should come back.
     fn come_back(&self, now: u64, request: &Request) -> u64 {
         if let Some(key) = request.key {
-            let holding = self.stage.holding(request.service, key);
+            let holding = self.stage.key_lease(request.service, key);
             let seat = holding.and_then(|h| self.seats.get(&h.worker));
             return match (holding, seat) {
-                (Some(h), Some(_)) if h.leaving => c::HANDOVER_AFTER_MS,
+                (Some(h), Some(_)) if h.revoking => c::RETRY_AFTER_HANDOVER_MS,
                 (_, Some(seat)) if seat.failures == 0 => c::RETRY_AFTER_MS,
-                _ => c::HOLDER_GONE_AFTER_MS,
+                _ => c::RETRY_AFTER_HOLDER_LOST_MS,
             };
         }
         let soonest = self
@@ -655,30 +654,31 @@
                 seat.known = true;
                 seat.answered_ms += ms;
                 seat.answered_at = now;
-                seat.answer_ms += (ms - seat.answer_ms) * c::ANSWER_SMOOTHING;
+                seat.answer_ms += (ms - seat.answer_ms) * c::RESPONSE_SMOOTHING;
             }
             Observed::Erred(ms) => {
                 seat.known = true;
                 seat.answered_at = now;
-                seat.answer_ms += (ms - seat.answer_ms) * c::ANSWER_SMOOTHING;
+                seat.answer_ms += (ms - seat.answer_ms) * c::RESPONSE_SMOOTHING;
                 seat.failed += 1;
                 seat.failures += 1;
                 if seat.failures > 1 {
-                    seat.left_alone_until = seat.left_alone_until.max(now + c::EJECT_MS);
+                    seat.left_alone_until = seat.left_alone_until.max(now + c::LOCAL_EJECTION_MS);
                 }
             }
             Observed::Late => seat.failed += 1,
             Observed::Gone => {
                 seat.failed += 1;
-                seat.left_alone_until = seat.left_alone_until.max(now + c::GONE_MS);
+                seat.left_alone_until = seat.left_alone_until.max(now + c::REUSED_ADDRESS_MS);
             }
             Observed::TurnedAway => {
-                seat.left_alone_until = seat.left_alone_until.max(now + c::FULL_MS);
+                seat.left_alone_until = seat.left_alone_until.max(now + c::OVERLOAD_PAUSE_MS);
             }
             Observed::Failed => {
                 seat.failures += 1;
                 seat.failed += 1;
-                let pause = (c::EJECT_MS << (seat.failures - 1).min(4)).min(c::EJECT_MAX_MS);
+                let pause =
+                    (c::LOCAL_EJECTION_MS << (seat.failures - 1).min(4)).min(c::LOCAL_EJECTION_MAX_MS);
                 seat.left_alone_until = seat.left_alone_until.max(now + pause);
             }
             Observed::Elsewhere | Observed::Abandoned => {}
@@ -720,7 +720,6 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use control_state::encode_change;
     use protocol::*;
 
     const CONFIG: &str = r#"{"Version":1,"Limits":{"HeaderMaxBytes":1,"BodyMaxBytes":1,"HeaderTimeout":"1s","IdleTimeout":"1s"},
@@ -729,14 +728,14 @@
           {"Name":"home","RouteType":"non_idempotent","Target":"300ms","Condition":{"PathPrefix":"/b/"},"Treatment":{"Service":"s","Timeout":"2s","HomeRegions":["far"]}}]}],
         "Groups":[{"Name":"s","ConnectionLimit":40,"ColdPeriod":"3s","ColdRateS":6.0}]}"#;
 
-    fn stage(workers: &[(&str, &str, u64)]) -> Stage {
-        let mut stage = Stage::default();
-        let order = ReplaceOrder {
+    fn stage(workers: &[(&str, &str, u64)]) -> ControlState {
+        let mut stage = ControlState::default();
+        let order = ConfigurationCommand {
             base: 0,
             body: CONFIG.into(),
             ..Default::default()
         };
-        stage.apply(1, &encode_change(ChangeKind::Replace(order)));
+        stage.apply(1, &Change::encode(ChangeKind::Replace(order)));
         let put = workers
             .iter()
             .map(|(id, zone, cold_ms)| Worker {
@@ -744,25 +743,25 @@
                 service: "s".into(),
                 zone: zone.to_string(),
                 slots: 6,
-                cold_ms: *cold_ms,
-                cast: 1,
+                warmup_ms: *cold_ms,
+                warmup_group: 1,
                 ..Default::default()
             })
             .collect();
-        let casts = vec![Cast {
+        let casts = vec![WarmupGroup {
             number: 1,
             nodes: vec![7, 8, 9],
         }];
         let change = WorkersChange {
             put,
-            casts,
+            warmup_groups: casts,
             ..Default::default()
         };
-        stage.apply(2, &encode_change(ChangeKind::Workers(change)));
+        stage.apply(2, &Change::encode(ChangeKind::Workers(change)));
         stage
     }
 
-    fn usher(stage: &Stage) -> Usher {
+    fn usher(stage: &ControlState) -> Usher {
         let zones = [("z1", "near"), ("z2", "near"), ("z3", "far")];
         let zones = zones
             .iter()
@@ -788,8 +787,8 @@
         usher
     }
 
-    fn pick(usher: &mut Usher, stage: &Stage, path: &str, now: u64, tried: &[String]) -> Found {
-        let config = stage.config.clone().expect("config");
+    fn pick(usher: &mut Usher, stage: &ControlState, path: &str, now: u64, tried: &[String]) -> Found {
+        let config = stage.configuration.clone().expect("config");
         let route = config.route("h", path).expect("route");
         usher.choose(
             now,
@@ -836,7 +835,7 @@
         assert_eq!(id(&pick(&mut u, &stage, "/a/", 20, &[])), "next");
         stage.apply(
             3,
-            &encode_change(ChangeKind::Evacuate(EvacuationChange {
+            &Change::encode(ChangeKind::Evacuate(EvacuationChange {
                 zone: "z2".into(),
                 begin: true,
             })),
@@ -851,9 +850,9 @@
         w.draining = true;
         stage.apply(
             4,
-            &encode_change(ChangeKind::Workers(WorkersChange {
+            &Change::encode(ChangeKind::Workers(WorkersChange {
                 put: vec![w],
-                gone: vec![],
+                removed: vec![],
                 ..Default::default()
             })),
         );
@@ -873,7 +872,7 @@
             for u in &mut nodes {
                 if let Found::Worker(_) = pick(u, &stage, "/a/", now, &[]) {
                     assert!((7..=9).contains(&u.neighbours.me), "only its cast");
-                    assert!(now >= c::COLD_WINDOW_MS, "nobody who has just begun");
+                    assert!(now >= c::WARMUP_WINDOW_MS, "nobody who has just begun");
                     sent.push(now);
                     u.observe(now, "cold", Observed::Answered(50.0));
                 }
@@ -891,7 +890,7 @@
     fn a_request_without_prospect_is_refused_at_once() {
         let stage = stage(&[("own", "z1", 0)]);
         let mut u = usher(&stage);
-        let config = stage.config.clone().expect("config");
+        let config = stage.configuration.clone().expect("config");
         let route = config.route("h", "/a/").expect("route");
         let mut ask = |left_ms| {
             u.choose(
@@ -913,20 +912,23 @@
     #[test]
     fn who_waits_for_a_key_is_told_how_long() {
         let mut stage = stage(&[("own", "z1", 0)]);
-        let hold = |leaving| Holding {
+        let hold = |leaving| KeyLease {
             service: "s".into(),
             to: 9,
             worker: "own".into(),
-            fence: 1,
-            leaving,
+            fencing_token: 1,
+            revoking: leaving,
             ..Default::default()
         };
         let mut after = |leaving: bool, failed: bool| {
             let put = vec![hold(leaving)];
             let index = stage.index + 1;
-            stage.apply(index, &encode_change(ChangeKind::Keys(KeysChange { put })));
+            stage.apply(
+                index,
+                &Change::encode(ChangeKind::KeyLeases(KeyLeaseChange { put })),
+            );
             let mut u = usher(&stage);
-            let config = stage.config.clone().expect("config");
+            let config = stage.configuration.clone().expect("config");
             let route = config.route("h", "/a/").expect("route");
             let ask = Request {
                 route,
@@ -946,8 +948,8 @@
             u.choose(0, &ask)
         };
         assert_eq!(id(&after(false, false)), "own");
-        assert_eq!(after(true, false), Found::Nobody(c::HANDOVER_AFTER_MS));
-        assert_eq!(after(false, true), Found::Nobody(c::HOLDER_GONE_AFTER_MS));
+        assert_eq!(after(true, false), Found::Nobody(c::RETRY_AFTER_HANDOVER_MS));
+        assert_eq!(after(false, true), Found::Nobody(c::RETRY_AFTER_HOLDER_LOST_MS));
     }
 
     #[test]
@@ -973,7 +975,7 @@
         for (i, begin) in [(3, true), (4, false)] {
             stage.apply(
                 i,
-                &encode_change(ChangeKind::Evacuate(EvacuationChange {
+                &Change::encode(ChangeKind::Evacuate(EvacuationChange {
                     zone: "z2".into(),
                     begin,
                 })),
--- a/crates/wardrobe/src/lib.rs
+++ b/crates/wardrobe/src/lib.rs
@@ -8,10 +8,10 @@
 mod plan;
 
 use config::constants as c;
-use control_state::Stage;
+use control_state::ControlState;
 use loads::Loads;
 use plan::View;
-use protocol::{Capacity, Holding, KeyCounts};
+use protocol::{KeyCounts, KeyLease, WorkerStats};
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
     /// Tells the call from all others of this process.
     pub number: u64,
     pub address: String,
-    pub holding: Holding,
+    pub holding: KeyLease,
     pub hold_ms: u64,
 }
 
@@ -31,13 +31,13 @@
     /// Tells the call from all others of this process.
     pub number: u64,
     pub address: String,
-    pub holding: Holding,
+    pub holding: KeyLease,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Act {
     /// To be put into the log; [`Wardrobe::logged`] says how that went.
-    Log(Vec<Holding>),
+    Log(Vec<KeyLease>),
     Grant(GrantCall),
     Release(ReleaseCall),
 }
@@ -86,7 +86,7 @@
 
 /// By when a grant has arrived or never will, from when it is made, ms: it is given
 /// up after its wait, and what has gone out by then ends with its connection.
-const LATE_MS: u64 = c::GRANT_WAIT_MS + c::WORKER_SILENCE_MS + 4 * c::FAR_MS as u64;
+const LATE_MS: u64 = c::GRANT_TIMEOUT_MS + c::WORKER_USER_TIMEOUT_MS + 4 * c::DEFAULT_RTT_MS as u64;
 
 /// When the hold under a fence must have ended, as far as calls that are over
 /// go, and until when one of unclear end may still arrive.
@@ -129,7 +129,7 @@
 impl Wardrobe {
     pub fn new(hold_limit_ms: u64, thaw_ms: u64) -> Wardrobe {
         Wardrobe {
-            hold_ms: c::HOLD_MS.min(hold_limit_ms),
+            hold_ms: c::KEY_LEASE_MS.min(hold_limit_ms),
             thaw_ms,
             tracks: BTreeMap::new(),
             calls: 0,
@@ -139,12 +139,12 @@
             inherited_top: 0,
             inherited_leaving: HashSet::new(),
             hold_limit_ms,
-            last_ms: c::LAST_HOLD_MS.min(hold_limit_ms),
+            last_ms: c::FINAL_KEY_LEASE_MS.min(hold_limit_ms),
             awaiting_log: false,
             cold: BTreeMap::new(),
             shunned: BTreeMap::new(),
             loads: Loads::default(),
-            renew_ms: c::RENEW_MS,
+            renew_ms: c::KEY_RENEWAL_INTERVAL_MS,
             counted: true,
         }
     }
@@ -155,14 +155,14 @@
     }
 
     fn end_after(&self, now: u64, hold_ms: u64) -> u64 {
-        now + (hold_ms as f64 * c::HOLD_CLOCK).ceil() as u64 + self.thaw_ms
+        now + (hold_ms as f64 * c::LEASE_CLOCK_FACTOR).ceil() as u64 + self.thaw_ms
     }
 
     /// When the hold of a range has certainly ended, its last grant included, as
     /// far as calls that are over go.
-    fn range_end(&self, h: &Holding) -> u64 {
-        let hold = self.hold(h.fence).end;
-        if self.inherited_leaving.contains(&(h.fence, h.from)) {
+    fn range_end(&self, h: &KeyLease) -> u64 {
+        let hold = self.hold(h.fencing_token).end;
+        if self.inherited_leaving.contains(&(h.fencing_token, h.from)) {
             hold.max(self.end_after(self.inherited.settled, self.last_ms))
         } else {
             hold
@@ -171,7 +171,7 @@
 
     /// Begins the duty: what earlier leaders granted may have arrived as late
     /// as now, and what they sent may still be under way.
-    pub fn begin(&mut self, now: u64, stage: &Stage) {
+    pub fn begin(&mut self, now: u64, stage: &ControlState) {
         let settled = now + LATE_MS;
         let loads = std::mem::take(&mut self.loads);
         *self = Wardrobe {
@@ -182,13 +182,13 @@
                 end: self.end_of(settled),
                 settled,
             },
-            inherited_top: stage.top_fence(),
+            inherited_top: stage.highest_fencing_token(),
             inherited_leaving: stage
-                .holdings
+                .key_leases
                 .values()
                 .flat_map(|t| t.values())
-                .filter(|h| h.leaving)
-                .map(|h| (h.fence, h.from))
+                .filter(|h| h.revoking)
+                .map(|h| (h.fencing_token, h.from))
                 .collect(),
             ..Wardrobe::new(self.hold_limit_ms, self.thaw_ms)
         };
@@ -202,19 +202,19 @@
         }
     }
 
-    fn key(h: &Holding) -> (String, u32, u64) {
-        (h.service.clone(), h.from, h.fence)
+    fn key(h: &KeyLease) -> (String, u32, u64) {
+        (h.service.clone(), h.from, h.fencing_token)
     }
 
     /// Looks at who holds what and says what to do.
-    pub fn tick(&mut self, now: u64, stage: &Stage) -> Vec<Act> {
-        let Some(config) = &stage.config else {
+    pub fn tick(&mut self, now: u64, stage: &ControlState) -> Vec<Act> {
+        let Some(config) = &stage.configuration else {
             return Vec::new();
         };
         self.note_cold(now, stage);
         self.counted |= self.loads.close(now);
-        let holdings: Vec<Arc<Holding>> = stage
-            .holdings
+        let holdings: Vec<Arc<KeyLease>> = stage
+            .key_leases
             .values()
             .flat_map(|t| t.values().cloned())
             .collect();
@@ -222,11 +222,11 @@
         // the leader longer than the renewals.
         let held: HashSet<(&str, u32, u64)> = holdings
             .iter()
-            .map(|h| (h.service.as_str(), h.from, h.fence))
+            .map(|h| (h.service.as_str(), h.from, h.fencing_token))
             .collect();
         self.tracks
             .retain(|(s, from, fence), t| t.call.is_some() || held.contains(&(s.as_str(), *from, *fence)));
-        let fences: HashSet<u64> = holdings.iter().map(|h| h.fence).collect();
+        let fences: HashSet<u64> = holdings.iter().map(|h| h.fencing_token).collect();
         self.holds.retain(|fence, _| fences.contains(fence));
         // A grant under way covers what its range was when it was sent, which
         // may be more than the holding is now.
@@ -245,11 +245,13 @@
         let late_end = self.end_of(now + LATE_MS);
         let mut acts = Vec::new();
         let mut grants: Vec<(u64, GrantCall)> = Vec::new();
-        let mut puts: Vec<Holding> = Vec::new();
+        let mut puts: Vec<KeyLease> = Vec::new();
         for h in &holdings {
             let worker = stage.workers.get(&h.worker);
-            let hold = self.hold(h.fence);
-            let range_end = self.range_end(h).max(bounds.get(&h.fence).copied().unwrap_or(0));
+            let hold = self.hold(h.fencing_token);
+            let range_end = self
+                .range_end(h)
+                .max(bounds.get(&h.fencing_token).copied().unwrap_or(0));
             let number = self.calls + 1;
             let long_ms = self.last_ms;
             let long_end = self.end_after(now + LATE_MS, long_ms);
@@ -257,46 +259,46 @@
             let Some(worker) = worker else {
                 // Nobody holds it, or the life that held it has ended.
                 if track.call.is_none() {
-                    puts.push(Holding {
+                    puts.push(KeyLease {
                         worker: String::new(),
-                        leaving: false,
+                        revoking: false,
                         ..(**h).clone()
                     });
                 }
                 continue;
             };
-            let must_leave = h.leaving
+            let must_leave = h.revoking
                 || worker.draining
                 || stage.evacuated.contains_key(&worker.zone)
-                || stage.benched.contains(&worker.id)
-                || !stage.may_hold(worker)
-                || track.failures >= c::GRANT_FAILURES;
+                || stage.ejected.contains(&worker.id)
+                || !stage.may_hold_keys(worker)
+                || track.failures >= c::MAX_GRANT_FAILURES;
             if track.call.is_some() || now < if must_leave { track.retry_at } else { track.next_at } {
                 continue;
             }
             if must_leave {
-                if !h.leaving {
-                    puts.push(Holding {
-                        leaving: true,
+                if !h.revoking {
+                    puts.push(KeyLease {
+                        revoking: true,
                         ..(**h).clone()
                     });
                 } else if track.freed.is_some() || range_end.max(track.extended_end) <= now {
-                    puts.push(Holding {
+                    puts.push(KeyLease {
                         worker: String::new(),
-                        leaving: false,
+                        revoking: false,
                         handover: track.freed.clone().unwrap_or_default(),
                         ..(**h).clone()
                     });
                 } else if hold.settled <= now
                     && !flying
                         .iter()
-                        .any(|(fence, (a, b))| *fence == h.fence && *a <= h.to && *b >= h.from)
+                        .any(|(fence, (a, b))| *fence == h.fencing_token && *a <= h.to && *b >= h.from)
                 {
                     self.calls = number;
                     track.call = Some(number);
                     // What runs goes on until its end; the hold must outlast it. Who
                     // has left grants unanswered is let run out instead.
-                    let well = track.failures == 0 && !stage.benched.contains(&worker.id);
+                    let well = track.failures == 0 && !stage.ejected.contains(&worker.id);
                     if !track.extended && well && long_ms > self.hold_ms {
                         track.extended = true;
                         track.extended_end = long_end;
@@ -321,8 +323,8 @@
                 continue;
             }
             if track.outrun {
-                puts.push(Holding {
-                    fence: plan::NEW_FENCE,
+                puts.push(KeyLease {
+                    fencing_token: plan::NEW_FENCE,
                     handover: String::new(),
                     ..(**h).clone()
                 });
@@ -338,8 +340,9 @@
         }
         // A part of all that is held in one look, the most urgent first: made all
         // at once, hundreds of calls would hold up the heartbeats.
-        self.renew_ms = (holdings.len() as u64 * 1000 / c::GRANTS_PER_S).clamp(c::RENEW_MS, c::RENEW_MAX_MS);
-        let room = 8 + holdings.len() * 2 * c::KEYS_EVERY_MS as usize / self.renew_ms as usize;
+        self.renew_ms = (holdings.len() as u64 * 1000 / c::MAX_GRANTS_PER_S)
+            .clamp(c::KEY_RENEWAL_INTERVAL_MS, c::KEY_RENEWAL_MAX_INTERVAL_MS);
+        let room = 8 + holdings.len() * 2 * c::KEY_CHECK_INTERVAL_MS as usize / self.renew_ms as usize;
         grants.sort_by_key(|(due, _)| *due);
         for (_, mut call) in grants.into_iter().take(room) {
             self.calls += 1;
@@ -355,14 +358,14 @@
             return acts;
         }
         let cold = |id: &str| {
-            let unread = |w: &Arc<protocol::Worker>| stage.is_unread(w);
+            let unread = |w: &Arc<protocol::Worker>| stage.is_warmup_unknown(w);
             self.is_weak(now, id) || stage.workers.get(id).is_some_and(unread)
         };
         let view = View::new(stage, &self.loads, &cold);
-        let mut next_fence = stage.top_fence() + 1;
+        let mut next_fence = stage.highest_fencing_token() + 1;
         let mut logged = view.hand_out(&puts, &mut next_fence);
         for service in config.services.values().filter(|s| s.partitioned) {
-            if !stage.holdings.contains_key(&*service.name) {
+            if !stage.key_leases.contains_key(&*service.name) {
                 logged.extend(view.first(&service.name, &mut next_fence));
             }
         }
@@ -387,19 +390,19 @@
     }
 
     /// Remembers how long workers stay cold, from when it was told.
-    fn note_cold(&mut self, now: u64, stage: &Stage) {
+    fn note_cold(&mut self, now: u64, stage: &ControlState) {
         self.cold
-            .retain(|id, _| stage.workers.get(id).is_some_and(|w| w.cold_ms > 0));
-        for w in stage.workers.values().filter(|w| w.cold_ms > 0) {
+            .retain(|id, _| stage.workers.get(id).is_some_and(|w| w.warmup_ms > 0));
+        for w in stage.workers.values().filter(|w| w.warmup_ms > 0) {
             let entry = self.cold.entry(w.id.clone()).or_default();
-            if entry.0 != w.cold_at {
-                *entry = (w.cold_at, now + w.cold_ms + c::COLD_MARGIN_MS);
+            if entry.0 != w.warmup_index {
+                *entry = (w.warmup_index, now + w.warmup_ms + c::WARMUP_MARGIN_MS);
             }
         }
     }
 
     /// Takes in what a proxy counted.
-    pub fn take_loads(&mut self, keys: &[KeyCounts], capacity: &[Capacity]) {
+    pub fn take_loads(&mut self, keys: &[KeyCounts], capacity: &[WorkerStats]) {
         self.loads.take(keys, capacity);
     }
 
@@ -427,28 +430,29 @@
             0
         };
         // Not all in step: fences in turn come due in turn.
-        let turn = renew_ms / 4 * (holding.fence % 16) / 16;
+        let turn = renew_ms / 4 * (holding.fencing_token % 16) / 16;
         t.next_at = now
             + if granted == Granted::Yes {
                 renew_ms - turn
             } else {
-                c::RENEW_MS / 4
+                c::KEY_RENEWAL_INTERVAL_MS / 4
             };
-        if t.failures >= c::GRANT_FAILURES {
-            self.shunned.insert(holding.worker.clone(), now + c::SHUN_MS);
+        if t.failures >= c::MAX_GRANT_FAILURES {
+            self.shunned
+                .insert(holding.worker.clone(), now + c::HOLDER_AVOID_MS);
         }
-        let mut hold = self.hold(holding.fence);
+        let mut hold = self.hold(holding.fencing_token);
         match granted {
             // It arrived by now; one before it may still.
             Granted::Yes => hold.end = self.end_of(now.max(hold.settled)),
             Granted::NotSent | Granted::Outrun => {}
             Granted::Unclear => {
-                let settled = now + c::WORKER_SILENCE_MS + 4 * c::FAR_MS as u64;
+                let settled = now + c::WORKER_USER_TIMEOUT_MS + 4 * c::DEFAULT_RTT_MS as u64;
                 hold.settled = settled.max(hold.settled);
                 hold.end = self.end_of(hold.settled).max(hold.end);
             }
         }
-        self.holds.insert(holding.fence, hold);
+        self.holds.insert(holding.fencing_token, hold);
     }
 
     /// When the hold under a fence has certainly ended.
@@ -466,7 +470,7 @@
     }
 
     /// The track of a call, if it waits for just this one.
-    fn waiting(&mut self, holding: &Holding, number: u64) -> Option<&mut Track> {
+    fn waiting(&mut self, holding: &KeyLease, number: u64) -> Option<&mut Track> {
         let track = self.tracks.get_mut(&Self::key(holding));
         let track = track.filter(|t| t.call == Some(number));
         if track.is_none() {
@@ -483,7 +487,7 @@
         track.call = None;
         match released {
             Released::Yes(handover) => track.freed = Some(handover),
-            Released::Failed => track.retry_at = now + c::RENEW_MS / 4,
+            Released::Failed => track.retry_at = now + c::KEY_RENEWAL_INTERVAL_MS / 4,
         }
     }
 }
--- a/crates/wardrobe/src/loads.rs
+++ b/crates/wardrobe/src/loads.rs
@@ -1,8 +1,8 @@
 //! How busy keys and workers are.
 
 use config::constants as c;
-use control_state::KEYS;
-use protocol::{short, Capacity, KeyCounts, Worker};
+use control_state::KEY_SPACE;
+use protocol::{name_hash, KeyCounts, Worker, WorkerStats};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Default)]
@@ -27,10 +27,10 @@
 }
 
 impl Loads {
-    pub fn take(&mut self, keys: &[KeyCounts], capacity: &[Capacity]) {
+    pub fn take(&mut self, keys: &[KeyCounts], capacity: &[WorkerStats]) {
         for k in keys {
             let load = self.services.entry(k.service).or_default();
-            load.counted.resize(KEYS as usize, 0.0);
+            load.counted.resize(KEY_SPACE as usize, 0.0);
             for (bucket, count) in k.buckets.iter().zip(&k.counts) {
                 if let Some(slot) = load.counted.get_mut(*bucket as usize) {
                     *slot += *count as f32;
@@ -39,7 +39,7 @@
         }
         for w in capacity.iter().filter(|w| w.served > 0) {
             let sum = self.answers.entry(w.worker).or_default();
-            sum.0 += f64::from(w.answer_ms) * w.served as f64;
+            sum.0 += f64::from(w.response_ms) * w.served as f64;
             sum.1 += w.served as f64;
         }
     }
@@ -47,24 +47,28 @@
     /// Closes a period of counting, when one is over; whether it was.
     pub fn close(&mut self, now: u64) -> bool {
         let span = now.saturating_sub(self.closed_at);
-        if span < c::KEY_COUNT_MS {
+        if span < c::KEY_LOAD_INTERVAL_MS {
             return false;
         }
         self.answers.retain(|_, (sum, count)| {
-            *sum *= c::KEY_ANSWERS;
-            *count *= c::KEY_ANSWERS;
+            *sum *= c::KEY_RESPONSE_RETENTION;
+            *count *= c::KEY_RESPONSE_RETENTION;
             *count > 0.01
         });
         self.closed_at = now;
         let seconds = span.min(5000) as f32 / 1000.0;
         for load in self.services.values_mut() {
-            load.rates.resize(KEYS as usize, 0.0);
+            load.rates.resize(KEY_SPACE as usize, 0.0);
             load.periods += 1;
-            let weight = (1.0 / f64::from(load.periods)).max(c::KEY_SMOOTHING) as f32;
+            let weight = (1.0 / f64::from(load.periods)).max(c::KEY_LOAD_SMOOTHING) as f32;
             for (rate, counted) in load.rates.iter_mut().zip(&mut load.counted) {
                 let usual = *rate * seconds;
-                let onset = *counted >= c::KEY_ONSET_LEAST && *counted > usual * c::KEY_ONSET_TIMES;
-                let weight = if onset { weight.max(c::KEY_ONSET) } else { weight };
+                let onset = *counted >= c::KEY_SURGE_MIN_REQUESTS && *counted > usual * c::KEY_SURGE_FACTOR;
+                let weight = if onset {
+                    weight.max(c::KEY_SURGE_SMOOTHING)
+                } else {
+                    weight
+                };
                 *rate += (*counted / seconds - *rate) * weight;
                 *counted = 0.0;
             }
@@ -81,26 +85,26 @@
 
     /// Requests a second of a service, as far as they are known.
     pub fn rate(&self, service: &str) -> f64 {
-        self.services.get(&short(service)).map_or(0.0, |l| l.total)
+        self.services.get(&name_hash(service)).map_or(0.0, |l| l.total)
     }
 
     /// Whether enough was counted to go by.
     pub fn known(&self, service: &str) -> bool {
         self.services
-            .get(&short(service))
+            .get(&name_hash(service))
             .is_some_and(|l| l.periods >= 2 && l.total > 1.0)
     }
 
     /// The part of a service's load that falls on a range of keys; over all
     /// keys it adds up to 1.
     pub fn weight(&self, service: &str, from: u32, to: u32) -> f64 {
-        let even = f64::from(to - from + 1) / f64::from(KEYS);
-        let Some(load) = self.services.get(&short(service)).filter(|l| l.total > 1.0) else {
+        let even = f64::from(to - from + 1) / f64::from(KEY_SPACE);
+        let Some(load) = self.services.get(&name_hash(service)).filter(|l| l.total > 1.0) else {
             return even;
         };
         let before = |key: u32| load.before.get(key as usize).copied().unwrap_or(load.total);
         let counted = before(to + 1) - before(from);
-        even * c::KEY_EVEN + counted / load.total * (1.0 - c::KEY_EVEN)
+        even * c::KEY_EVEN_LOAD_PART + counted / load.total * (1.0 - c::KEY_EVEN_LOAD_PART)
     }
 
     /// What each of these workers bears compared with their mean; never far
@@ -109,7 +113,7 @@
         let able = |w: &&Worker| {
             let (sum, count) = self
                 .answers
-                .get(&short(&w.id))
+                .get(&name_hash(&w.id))
                 .filter(|(_, count)| *count > 3.0)?;
             Some(f64::from(w.slots.max(1)) * count / sum.max(1.0))
         };
--- a/crates/wardrobe/src/plan.rs
+++ b/crates/wardrobe/src/plan.rs
@@ -2,9 +2,8 @@
 
 use crate::loads::Loads;
 use config::constants as c;
-use control_state::Stage;
-use control_state::KEYS;
-use protocol::{Holding, Worker};
+use control_state::{ControlState, KEY_SPACE};
+use protocol::{KeyLease, Worker};
 use std::cell::OnceCell;
 use std::collections::HashMap;
 
@@ -13,7 +12,7 @@
 
 /// What planning goes by.
 pub struct View<'a> {
-    pub stage: &'a Stage,
+    pub stage: &'a ControlState,
     pub loads: &'a Loads,
     pub cold: &'a dyn Fn(&str) -> bool,
     /// The workers by service, once they have been asked for.
@@ -34,7 +33,7 @@
 }
 
 impl<'a> View<'a> {
-    pub fn new(stage: &'a Stage, loads: &'a Loads, cold: &'a dyn Fn(&str) -> bool) -> View<'a> {
+    pub fn new(stage: &'a ControlState, loads: &'a Loads, cold: &'a dyn Fn(&str) -> bool) -> View<'a> {
         View {
             stage,
             loads,
@@ -63,9 +62,9 @@
             .iter()
             .copied()
             .filter(|w| !w.draining && !self.stage.evacuated.contains_key(&w.zone))
-            .filter(|w| self.stage.may_hold(w))
+            .filter(|w| self.stage.may_hold_keys(w))
             .collect();
-        let fit = |w: &&Worker| !(self.cold)(&w.id) && !self.stage.benched.contains(&w.id);
+        let fit = |w: &&Worker| !(self.cold)(&w.id) && !self.stage.ejected.contains(&w.id);
         let warm: Vec<&Worker> = able.iter().copied().filter(fit).collect();
         if warm.is_empty() {
             able
@@ -77,8 +76,8 @@
     fn candidates(&self, service: &str) -> Vec<Candidate<'_>> {
         let usable = self.usable(service);
         let mut held: HashMap<&str, f64> = HashMap::new();
-        let table = self.stage.holdings.get(service);
-        for h in table.into_iter().flat_map(|t| t.values()).filter(|h| !h.leaving) {
+        let table = self.stage.key_leases.get(service);
+        for h in table.into_iter().flat_map(|t| t.values()).filter(|h| !h.revoking) {
             *held.entry(&h.worker).or_default() += self.loads.weight(service, h.from, h.to);
         }
         let strengths = self.loads.strengths(&usable);
@@ -125,23 +124,23 @@
     }
 
     /// The first division of a service, neighbours in one zone.
-    pub fn first(&self, service: &str, fence: &mut u64) -> Vec<Holding> {
+    pub fn first(&self, service: &str, fence: &mut u64) -> Vec<KeyLease> {
         let mut workers = self.usable(service);
         workers.sort_by(|a, b| (&a.zone, &a.id).cmp(&(&b.zone, &b.id)));
         let names: Vec<String> = workers.iter().map(|w| w.id.clone()).collect();
         if names.is_empty() {
             return Vec::new();
         }
-        self.cut(service, 0, KEYS - 1, &names)
+        self.cut(service, 0, KEY_SPACE - 1, &names)
             .into_iter()
             .map(|(from, to, worker)| {
                 *fence += 1;
-                Holding {
+                KeyLease {
                     service: service.into(),
                     from,
                     to,
                     worker,
-                    fence: *fence - 1,
+                    fencing_token: *fence - 1,
                     ..Default::default()
                 }
             })
@@ -150,14 +149,14 @@
 
     /// Turns ranges without a holder into ranges of the least busy workers,
     /// and passes the others on as they are.
-    pub fn hand_out(&self, puts: &[Holding], fence: &mut u64) -> Vec<Holding> {
+    pub fn hand_out(&self, puts: &[KeyLease], fence: &mut u64) -> Vec<KeyLease> {
         let mut out = Vec::new();
         let mut given: Vec<(String, Vec<Candidate>)> = Vec::new();
         for put in puts {
             if !put.worker.is_empty() {
                 let mut put = put.clone();
-                if put.fence == NEW_FENCE {
-                    put.fence = *fence;
+                if put.fencing_token == NEW_FENCE {
+                    put.fencing_token = *fence;
                     *fence += 1;
                 }
                 out.push(put);
@@ -171,7 +170,7 @@
             };
             if candidates.is_empty() {
                 // Nobody can take it; say so once.
-                let before = self.stage.holding(&put.service, put.from);
+                let before = self.stage.key_lease(&put.service, put.from);
                 if before.is_some_and(|h| !h.worker.is_empty()) {
                     out.push(put.clone());
                 }
@@ -183,7 +182,7 @@
             candidates.sort_by(|a, b| a.fill().total_cmp(&b.fill()));
             let mut room = 0.0;
             let mut names = Vec::new();
-            for x in candidates.iter().take(c::SPLIT) {
+            for x in candidates.iter().take(c::MAX_SPLIT_RANGES) {
                 names.push(x.worker.id.clone());
                 room += (mean * x.strength - x.load).max(0.0);
                 if room >= weight * 0.8 {
@@ -196,14 +195,14 @@
                 }
                 let handover = put.handover.clone();
                 let service = put.service.clone();
-                out.push(Holding {
+                out.push(KeyLease {
                     service,
                     from,
                     to,
                     worker,
-                    fence: *fence,
+                    fencing_token: *fence,
                     handover,
-                    leaving: false,
+                    revoking: false,
                 });
                 *fence += 1;
             }
@@ -213,9 +212,9 @@
 
     /// Steps towards equal loads: the fullest workers give up what they have
     /// above the mean, piece by piece, as far as the leanest have room for it.
-    pub fn even_out(&self) -> Vec<Holding> {
+    pub fn even_out(&self) -> Vec<KeyLease> {
         let mut out = Vec::new();
-        for (service, table) in &self.stage.holdings {
+        for (service, table) in &self.stage.key_leases {
             let mut candidates = self.candidates(service);
             if candidates.len() < 2 {
                 continue;
@@ -223,13 +222,13 @@
             let mean = candidates.iter().map(|x| x.load).sum::<f64>()
                 / candidates.iter().map(|x| x.strength).sum::<f64>();
             // The fewer requests a worker gets, the more its count is luck.
-            let seen = self.loads.rate(service) / candidates.len() as f64 * c::KEY_SEEN_S;
-            let above = c::FULL.max(1.0 + c::KEY_LUCK / seen.max(1.0).sqrt());
+            let seen = self.loads.rate(service) / candidates.len() as f64 * c::KEY_LOAD_WINDOW_S;
+            let above = c::OVERLOADED_ABOVE.max(1.0 + c::KEY_LOAD_DEVIATIONS / seen.max(1.0).sqrt());
             // What the workers keep once the pieces planned so far are gone.
-            let whole = table.values().filter(|h| !h.leaving);
-            let mut kept: Vec<Holding> = whole.map(|h| (**h).clone()).collect();
+            let whole = table.values().filter(|h| !h.revoking);
+            let mut kept: Vec<KeyLease> = whole.map(|h| (**h).clone()).collect();
             let under_way = table.len() - kept.len();
-            let most = c::MOVES.max(candidates.len() / c::MOVES_PART);
+            let most = c::REBALANCE_MIN_MOVES.max(candidates.len() / c::REBALANCE_WORKERS_PER_MOVE);
             let moves = out.len() + most.saturating_sub(under_way);
             while out.len() < moves {
                 candidates.sort_by(|a, b| a.fill().total_cmp(&b.fill()));
@@ -237,7 +236,7 @@
                     break;
                 };
                 let hot = self.loads.known(service) && full.fill() > mean * above;
-                if !hot && lean.fill() >= mean * c::LEAN || full.fill() <= mean {
+                if !hot && lean.fill() >= mean * c::UNDERLOADED_BELOW || full.fill() <= mean {
                     break;
                 }
                 let room = (mean - lean.fill()) * lean.strength;
@@ -261,7 +260,7 @@
     }
 
     /// A piece at an end of a holding that weighs at most about the amount.
-    fn piece(&self, h: &Holding, amount: f64) -> Option<(Holding, f64)> {
+    fn piece(&self, h: &KeyLease, amount: f64) -> Option<(KeyLease, f64)> {
         let walk = |keys: &mut dyn Iterator<Item = u32>| {
             let (mut sum, mut end) = (0.0, None);
             for key in keys {
@@ -279,10 +278,10 @@
         };
         let up = walk(&mut (h.from..=h.to));
         let down = walk(&mut (h.from..=h.to).rev());
-        let piece = |from, to| Holding {
+        let piece = |from, to| KeyLease {
             from,
             to,
-            leaving: true,
+            revoking: true,
             ..h.clone()
         };
         match (up, down) {
@@ -294,10 +293,10 @@
 }
 
 /// Takes a piece off the end of the holding that it is part of.
-fn cut_away(kept: &mut Vec<Holding>, piece: &Holding) {
+fn cut_away(kept: &mut Vec<KeyLease>, piece: &KeyLease) {
     for h in kept
         .iter_mut()
-        .filter(|h| h.fence == piece.fence && h.from <= piece.from && h.to >= piece.to)
+        .filter(|h| h.fencing_token == piece.fencing_token && h.from <= piece.from && h.to >= piece.to)
     {
         if h.from == piece.from {
             h.from = piece.to + 1;
--- a/crates/wardrobe/src/tests.rs
+++ b/crates/wardrobe/src/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
-use control_state::{encode_change, KEYS};
+use control_state::KEY_SPACE;
 use protocol::*;
 
 const CONFIG: &str = r#"{"Version":1,"Limits":{"HeaderMaxBytes":1,"BodyMaxBytes":1,"HeaderTimeout":"1s","IdleTimeout":"1s"},
     "AccessPoints":[],"Groups":[{"Name":"s","Partitioned":true}]}"#;
 
 struct Play {
-    stage: Stage,
+    stage: ControlState,
     wardrobe: Wardrobe,
     now: u64,
     /// Calls made since the last look.
@@ -16,12 +16,12 @@
 impl Play {
     fn new(workers: usize) -> Play {
         let mut play = Play {
-            stage: Stage::default(),
+            stage: ControlState::default(),
             wardrobe: Wardrobe::new(10_000, 300),
             now: 0,
             calls: vec![],
         };
-        play.change(ChangeKind::Replace(ReplaceOrder {
+        play.change(ChangeKind::Replace(ConfigurationCommand {
             base: 0,
             body: CONFIG.into(),
             ..Default::default()
@@ -35,11 +35,11 @@
     }
 
     fn change(&mut self, kind: ChangeKind) {
-        self.stage.apply(self.stage.index + 1, &encode_change(kind));
+        self.stage.apply(self.stage.index + 1, &Change::encode(kind));
     }
 
-    fn log(&mut self, put: Vec<Holding>) {
-        self.change(ChangeKind::Keys(KeysChange { put }));
+    fn log(&mut self, put: Vec<KeyLease>) {
+        self.change(ChangeKind::KeyLeases(KeyLeaseChange { put }));
         self.wardrobe.logged();
     }
 
@@ -73,7 +73,7 @@
     }
 
     fn held_by(&self, id: &str) -> u32 {
-        self.stage.holdings["s"]
+        self.stage.key_leases["s"]
             .values()
             .filter(|h| h.worker == id)
             .map(|h| h.to - h.from + 1)
@@ -82,11 +82,11 @@
 
     fn check_cover(&self) {
         let mut next = 0;
-        for h in self.stage.holdings["s"].values() {
+        for h in self.stage.key_leases["s"].values() {
             assert_eq!(h.from, next);
             next = h.to + 1;
         }
-        assert_eq!(next, KEYS);
+        assert_eq!(next, KEY_SPACE);
     }
 }
 
@@ -105,8 +105,11 @@
     p.run(500, "");
     assert!(matches!(p.calls[0], Act::Log(_)));
     p.check_cover();
-    assert_eq!(p.held_by("w2"), KEYS / 4);
-    let fences: std::collections::BTreeSet<u64> = p.stage.holdings["s"].values().map(|h| h.fence).collect();
+    assert_eq!(p.held_by("w2"), KEY_SPACE / 4);
+    let fences: std::collections::BTreeSet<u64> = p.stage.key_leases["s"]
+        .values()
+        .map(|h| h.fencing_token)
+        .collect();
     assert_eq!(fences.len(), 4);
 }
 
@@ -114,7 +117,7 @@
 fn a_draining_worker_hands_over_with_its_token_under_a_higher_fence() {
     let mut p = Play::new(4);
     p.run(1000, "");
-    let top = p.stage.top_fence();
+    let top = p.stage.highest_fencing_token();
     let put = vec![Worker {
         draining: true,
         ..worker("w1")
@@ -127,7 +130,10 @@
     p.run(1000, "");
     p.check_cover();
     assert_eq!(p.held_by("w1"), 0);
-    let moved: Vec<_> = p.stage.holdings["s"].values().filter(|h| h.fence > top).collect();
+    let moved: Vec<_> = p.stage.key_leases["s"]
+        .values()
+        .filter(|h| h.fencing_token > top)
+        .collect();
     assert!(moved.len() > 1 && moved.iter().all(|h| h.handover == "token"));
 }
 
@@ -144,12 +150,16 @@
         put,
         ..Default::default()
     }));
-    let least = (c::HOLD_MS as f64 * c::HOLD_CLOCK) as u64;
+    let least = (c::KEY_LEASE_MS as f64 * c::LEASE_CLOCK_FACTOR) as u64;
     while p.held_by("w0") > 0 {
         p.run(100, "w0");
-        assert!(p.now < stopped + 3 * c::HOLD_MS);
+        assert!(p.now < stopped + 3 * c::KEY_LEASE_MS);
     }
-    assert!(p.now - stopped + c::RENEW_MS >= least, "{}", p.now - stopped);
+    assert!(
+        p.now - stopped + c::KEY_RENEWAL_INTERVAL_MS >= least,
+        "{}",
+        p.now - stopped
+    );
 }
 
 #[test]
@@ -170,7 +180,7 @@
     p.wardrobe.begin(p.now, &p.stage);
     p.change(ChangeKind::Workers(WorkersChange {
         put: vec![],
-        gone: vec!["w0".into()],
+        removed: vec!["w0".into()],
         ..Default::default()
     }));
     let put = vec![Worker {
@@ -184,12 +194,12 @@
     p.run(300, "w1");
     assert_eq!(p.held_by("w0"), 0);
     assert!(p.held_by("w1") > 0);
-    p.run(c::HOLD_MS, "w1");
+    p.run(c::KEY_LEASE_MS, "w1");
     assert!(
         p.held_by("w1") > 0,
         "an earlier leader's last grant may still run"
     );
-    p.run(c::LAST_HOLD_MS, "w1");
+    p.run(c::FINAL_KEY_LEASE_MS, "w1");
     assert_eq!(p.held_by("w1"), 0);
     p.check_cover();
 }
@@ -199,7 +209,7 @@
     let mut p = Play::new(4);
     p.run(1000, "");
     let put = vec![Worker {
-        cold_ms: 3000,
+        warmup_ms: 3000,
         ..worker("new")
     }];
     p.change(ChangeKind::Workers(WorkersChange {
@@ -210,10 +220,10 @@
     assert_eq!(p.held_by("new"), 0, "still cold");
     p.run(6000, "");
     p.check_cover();
-    assert!(p.held_by("new") >= KEYS / 5 * 4 / 10, "{}", p.held_by("new"));
-    let settled = p.stage.top_fence();
+    assert!(p.held_by("new") >= KEY_SPACE / 5 * 4 / 10, "{}", p.held_by("new"));
+    let settled = p.stage.highest_fencing_token();
     p.run(6000, "");
-    assert_eq!(p.stage.top_fence(), settled, "and then nothing moves");
+    assert_eq!(p.stage.highest_fencing_token(), settled, "and then nothing moves");
 }
 
 #[test]
@@ -222,14 +232,14 @@
     p.run(1000, "");
     let hot = 5000;
     for _ in 0..8 {
-        let buckets: Vec<u32> = (0..KEYS).collect();
+        let buckets: Vec<u32> = (0..KEY_SPACE).collect();
         let counts = buckets
             .iter()
             .map(|b| if *b == hot { 96_000 } else { 1 })
             .collect();
         p.wardrobe.take_loads(
             &[KeyCounts {
-                service: short("s"),
+                service: name_hash("s"),
                 buckets,
                 counts,
             }],
@@ -238,8 +248,8 @@
         p.run(1000, "");
     }
     p.check_cover();
-    let holder = p.stage.holding("s", 5000).expect("covered").worker.clone();
-    assert!(p.held_by(&holder) < KEYS / 16, "{}", p.held_by(&holder));
+    let holder = p.stage.key_lease("s", 5000).expect("covered").worker.clone();
+    assert!(p.held_by(&holder) < KEY_SPACE / 16, "{}", p.held_by(&holder));
 }
 
 #[test]
@@ -255,13 +265,13 @@
         }
         assert!(p.now < 5000);
     };
-    let h = p.stage.holding("s", 0).expect("covered").clone();
-    let piece = Holding {
+    let h = p.stage.key_lease("s", 0).expect("covered").clone();
+    let piece = KeyLease {
         to: 99,
-        leaving: true,
+        revoking: true,
         ..h.clone()
     };
-    p.change(ChangeKind::Keys(KeysChange { put: vec![piece] }));
+    p.change(ChangeKind::KeyLeases(KeyLeaseChange { put: vec![piece] }));
     p.now += 100;
     assert!(!p
         .wardrobe
@@ -277,7 +287,7 @@
     p.now += 100;
     let acts = p.wardrobe.tick(p.now, &p.stage);
     let last = acts.iter().find_map(|a| match a {
-        Act::Grant(g) if g.hold_ms > c::HOLD_MS => Some(g.clone()),
+        Act::Grant(g) if g.hold_ms > c::KEY_LEASE_MS => Some(g.clone()),
         _ => None,
     });
     let last = last.expect("a last grant");
@@ -296,7 +306,7 @@
 fn a_worker_that_has_seen_a_higher_fence_is_granted_under_a_new_one() {
     let mut p = Play::new(2);
     p.run(500, "");
-    let top = p.stage.top_fence();
+    let top = p.stage.highest_fencing_token();
     let call = until(&mut p, |act| match act {
         Act::Grant(g) if g.holding.from == 0 => Some(g.clone()),
         _ => None,
@@ -305,12 +315,15 @@
     p.wardrobe.granted(p.now, &call, Granted::Outrun);
     p.calls.clear();
     p.run(1500, "");
-    let again = p.stage.holding("s", 0).expect("covered");
-    assert_eq!((again.worker.as_str(), again.fence), (h.worker.as_str(), top + 1));
+    let again = p.stage.key_lease("s", 0).expect("covered");
+    assert_eq!(
+        (again.worker.as_str(), again.fencing_token),
+        (h.worker.as_str(), top + 1)
+    );
     assert!(p
         .calls
         .iter()
-        .any(|a| matches!(a, Act::Grant(g) if g.holding.fence == top + 1)));
+        .any(|a| matches!(a, Act::Grant(g) if g.holding.fencing_token == top + 1)));
 }
 
 #[test]
@@ -393,14 +406,14 @@
     let held: Vec<u32> = (0..8).map(|i| p.held_by(&format!("x{i}"))).collect();
     let holders = held.iter().filter(|h| **h > 0).count();
     assert_eq!(holders, 1, "a small share goes to few workers: {held:?}");
-    assert!(with_new(&p) < KEYS / 5, "{held:?}");
+    assert!(with_new(&p) < KEY_SPACE / 5, "{held:?}");
     p.check_cover();
     step(&mut p, Action::Promote);
     p.run(9000, "");
-    assert!(with_new(&p) > KEYS / 10 && with_new(&p) < KEYS / 2);
+    assert!(with_new(&p) > KEY_SPACE / 10 && with_new(&p) < KEY_SPACE / 2);
     step(&mut p, Action::Promote);
     p.run(12_000, "");
-    assert_eq!(with_new(&p), KEYS, "all of it");
+    assert_eq!(with_new(&p), KEY_SPACE, "all of it");
     p.check_cover();
     step(&mut p, Action::Rollback);
     p.run(12_000, "");
@@ -456,11 +469,14 @@
         // another leader may have granted the same, and that may still arrive.
         p.now += 300;
         p.wardrobe.begin(p.now, &p.stage);
-        let least = p.wardrobe.hold_end(call.holding.fence);
+        let least = p.wardrobe.hold_end(call.holding.fencing_token);
         drain(&mut p, "w0");
         p.now += 50;
         p.wardrobe.granted(p.now, &call, late);
-        assert!(p.wardrobe.hold_end(call.holding.fence) >= least, "{late:?}");
+        assert!(
+            p.wardrobe.hold_end(call.holding.fencing_token) >= least,
+            "{late:?}"
+        );
         assert_eq!(p.wardrobe.unknown_answers(), 1);
         for _ in 0..20 {
             p.now += 100;
@@ -491,7 +507,7 @@
     p.now += 100;
     p.wardrobe.begin(p.now, &p.stage);
     let again = until(&mut p, |act| match act {
-        Act::Grant(g) if g.holding.fence == call.holding.fence => Some(g.clone()),
+        Act::Grant(g) if g.holding.fencing_token == call.holding.fencing_token => Some(g.clone()),
         _ => None,
     });
     assert_eq!(again.holding, call.holding);
@@ -517,16 +533,16 @@
     };
     let first = grant(&mut p);
     p.wardrobe.granted(p.now, &first, Granted::Unclear);
-    let least = p.wardrobe.hold_end(first.holding.fence);
+    let least = p.wardrobe.hold_end(first.holding.fencing_token);
     let second = grant(&mut p);
     p.wardrobe.granted(p.now, &second, Granted::Yes);
-    assert!(p.wardrobe.hold_end(first.holding.fence) >= least);
+    assert!(p.wardrobe.hold_end(first.holding.fencing_token) >= least);
     // A second answer to it changes nothing.
     let third = grant(&mut p);
-    let least = p.wardrobe.hold_end(first.holding.fence);
+    let least = p.wardrobe.hold_end(first.holding.fencing_token);
     p.wardrobe.granted(p.now, &second, Granted::Yes);
-    assert_eq!(p.wardrobe.hold_end(first.holding.fence), least);
+    assert_eq!(p.wardrobe.hold_end(first.holding.fencing_token), least);
     assert_eq!(p.wardrobe.unknown_answers(), 1);
     p.wardrobe.granted(p.now, &third, Granted::NotSent);
-    assert!(p.wardrobe.hold_end(first.holding.fence) < least);
+    assert!(p.wardrobe.hold_end(first.holding.fencing_token) < least);
 }
