--- a/crates/understudy/tests/asked.rs
+++ b/crates/anti-entropy/tests/asked.rs
@@ -1,9 +1,9 @@
 //! A mend says of the ranges that it leaves out only that they were equal to what
 //! was asked about. On a copy that has changed since it makes a state that never was.
 
+use anti_entropy::{digests, mend_for, mended, mended_since};
 use control_state::ControlState;
 use protocol::{Change, ChangeKind, EvacuationChange};
-use understudy::{digests, mend_for, mended, mended_since};
 
 fn evacuate(stage: &ControlState, begin: bool) -> ControlState {
     let zone = "z".to_string();
--- a/crates/understudy/tests/repair.rs
+++ b/crates/anti-entropy/tests/repair.rs
@@ -1,8 +1,8 @@
 //! What differs between two copies is sent, and only the newer one gives.
 
+use anti_entropy::{digests, mend_for, mended};
 use control_state::ControlState;
 use protocol::{Change, ChangeKind, EvacuationChange, Worker, WorkersChange};
-use understudy::{digests, mend_for, mended};
 
 fn add(stage: &mut ControlState, index: u64, id: &str) {
     let put = vec![Worker {
--- a/crates/usher/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -11,5 +11,5 @@
 pub use attempt::{Attempt, Echo, Head, Outcome, Phase, Taken, Tries, PROMISES};
 pub use budget::Budget;
 pub use pool::{Place, Pool};
-pub use seats::{Choice, Found, Neighbours, Observed, Request, Usher};
+pub use seats::{Choice, Found, LoadBalancer, Neighbours, Observed, Request};
 pub use trial::Ticket;
--- a/crates/usher/src/seats.rs
+++ b/crates/balancer/src/seats.rs
@@ -3,10 +3,10 @@
 use crate::trial::{Ledger, Ticket, Trials};
 use config::{constants as c, settings::Bounds, warmup_limit, Route, WeightedService};
 use control_state::ControlState;
-use preview::{Side, Trial};
 use protocol::{name_hash, Worker};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
+use rollout::{Side, Trial};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -158,7 +158,7 @@
     }
 }
 
-pub struct Usher {
+pub struct LoadBalancer {
     zone: String,
     region: String,
     zones: BTreeMap<String, String>,
@@ -180,9 +180,9 @@
     born: Option<u64>,
 }
 
-impl Usher {
-    pub fn new(zone: &str, zones: BTreeMap<String, String>, bounds: Bounds, seed: u64) -> Usher {
-        Usher {
+impl LoadBalancer {
+    pub fn new(zone: &str, zones: BTreeMap<String, String>, bounds: Bounds, seed: u64) -> LoadBalancer {
+        LoadBalancer {
             region: zones.get(zone).cloned().unwrap_or_default(),
             zone: zone.to_string(),
             zones,
@@ -427,7 +427,7 @@
         if !request.tried.is_empty() {
             return Side::Old;
         }
-        let lost = self.contact.is_some_and(|at| now > at + preview::FALLBACK_MS);
+        let lost = self.contact.is_some_and(|at| now > at + rollout::FALLBACK_MS);
         let share = if lost { 0.0 } else { p.share() };
         let drawn = share > 0.0 && (share >= 1.0 || self.rng.gen::<f64>() < share);
         let most = self.bounds.exposure_share;
@@ -634,7 +634,7 @@
 
     /// Takes note of how a try ended that counts for a rollout.
     pub fn observe_trial(&mut self, ticket: &Ticket, observed: Observed) {
-        let going = |p: &Arc<preview::Preview>| p.is_active() && p.ordered == ticket.ordered;
+        let going = |p: &Arc<rollout::Preview>| p.is_active() && p.ordered == ticket.ordered;
         if self.stage.rollouts.values().any(going) {
             self.trials.note(ticket, observed);
         }
@@ -761,7 +761,7 @@
         stage
     }
 
-    fn usher(stage: &ControlState) -> Usher {
+    fn balancer(stage: &ControlState) -> LoadBalancer {
         let zones = [("z1", "near"), ("z2", "near"), ("z3", "far")];
         let zones = zones
             .iter()
@@ -773,9 +773,9 @@
             cold_slack: 5.0,
             ..Default::default()
         };
-        let mut usher = Usher::new("z1", zones, bounds, 1);
-        usher.set_stage(0, Arc::new(stage.clone()));
-        usher.set_neighbours(Neighbours {
+        let mut balancer = LoadBalancer::new("z1", zones, bounds, 1);
+        balancer.set_stage(0, Arc::new(stage.clone()));
+        balancer.set_neighbours(Neighbours {
             place: Place {
                 edges: 3,
                 in_zone: 3,
@@ -784,13 +784,19 @@
             me: 7,
             rtt: BTreeMap::new(),
         });
-        usher
+        balancer
     }
 
-    fn pick(usher: &mut Usher, stage: &ControlState, path: &str, now: u64, tried: &[String]) -> Found {
+    fn pick(
+        balancer: &mut LoadBalancer,
+        stage: &ControlState,
+        path: &str,
+        now: u64,
+        tried: &[String],
+    ) -> Found {
         let config = stage.configuration.clone().expect("config");
         let route = config.route("h", path).expect("route");
-        usher.choose(
+        balancer.choose(
             now,
             &Request {
                 route,
@@ -813,7 +819,7 @@
     #[test]
     fn the_own_zone_first_then_the_region_and_homes_bind() {
         let stage = stage(&[("own", "z1", 0), ("next", "z2", 0), ("far", "z3", 0)]);
-        let mut u = usher(&stage);
+        let mut u = balancer(&stage);
         assert_eq!(id(&pick(&mut u, &stage, "/a/", 0, &[])), "own");
         assert_eq!(id(&pick(&mut u, &stage, "/b/", 0, &[])), "far");
         for _ in 0..3 {
@@ -829,7 +835,7 @@
     #[test]
     fn evacuated_draining_and_failing_workers_get_nothing() {
         let mut stage = stage(&[("own", "z1", 0), ("next", "z2", 0)]);
-        let mut u = usher(&stage);
+        let mut u = balancer(&stage);
         assert_eq!(id(&pick(&mut u, &stage, "/a/", 0, &[])), "own");
         u.observe(10, "own", Observed::Failed);
         assert_eq!(id(&pick(&mut u, &stage, "/a/", 20, &[])), "next");
@@ -863,7 +869,7 @@
     #[test]
     fn all_nodes_of_a_zone_together_keep_a_cold_worker_within_its_rate() {
         let stage = stage(&[("cold", "z1", 60_000)]);
-        let mut nodes: Vec<Usher> = (0..5).map(|_| usher(&stage)).collect();
+        let mut nodes: Vec<LoadBalancer> = (0..5).map(|_| balancer(&stage)).collect();
         for (me, u) in (6..).zip(&mut nodes) {
             u.neighbours.me = me;
         }
@@ -889,7 +895,7 @@
     #[test]
     fn a_request_without_prospect_is_refused_at_once() {
         let stage = stage(&[("own", "z1", 0)]);
-        let mut u = usher(&stage);
+        let mut u = balancer(&stage);
         let config = stage.configuration.clone().expect("config");
         let route = config.route("h", "/a/").expect("route");
         let mut ask = |left_ms| {
@@ -927,7 +933,7 @@
                 index,
                 &Change::encode(ChangeKind::KeyLeases(KeyLeaseChange { put })),
             );
-            let mut u = usher(&stage);
+            let mut u = balancer(&stage);
             let config = stage.configuration.clone().expect("config");
             let route = config.route("h", "/a/").expect("route");
             let ask = Request {
@@ -955,7 +961,7 @@
     #[test]
     fn a_worker_whose_address_went_to_another_draws_nothing_more() {
         let stage = stage(&[("own", "z1", 0), ("next", "z1", 0)]);
-        let mut u = usher(&stage);
+        let mut u = balancer(&stage);
         for t in 0..100 {
             // It answers at once that it is not the one: never the quickest.
             let found = pick(&mut u, &stage, "/a/", t, &[]);
@@ -971,7 +977,7 @@
     #[test]
     fn a_returned_zone_is_taken_for_cold() {
         let mut stage = stage(&[("own", "z1", 0), ("next", "z2", 0)]);
-        let mut u = usher(&stage);
+        let mut u = balancer(&stage);
         for (i, begin) in [(3, true), (4, false)] {
             stage.apply(
                 i,
--- a/crates/usher/src/trial.rs
+++ b/crates/balancer/src/trial.rs
@@ -1,7 +1,7 @@
 //! What this node counts of services that are being rolled out.
 
 use crate::seats::Observed;
-use preview::{bucket_of, Trial};
+use rollout::{bucket_of, Trial};
 use std::collections::BTreeMap;
 
 /// What a try counts for.
--- a/crates/usher/tests/attempt.rs
+++ b/crates/balancer/tests/attempt.rs
@@ -3,8 +3,8 @@
 //! No request that must not run twice runs twice, none that is promised not to
 //! run has run or ever will, and nobody gets another's answer.
 
+use balancer::{Attempt, Echo, Head, Outcome, Phase, Taken, Tries};
 use std::collections::{HashSet, VecDeque};
-use usher::{Attempt, Echo, Head, Outcome, Phase, Taken, Tries};
 
 /// What may be wrong in the rules, planted to see that the search finds it.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use config::Settings;
 
-const ALL: &str = include_str!("../../playhouse/tests/data/settings.toml");
+const ALL: &str = include_str!("../../pebblepond/tests/data/settings.toml");
 
 /// The values in the order of the fields, without the names that the program gives them.
 fn values(settings: &Settings) -> Vec<String> {
--- a/crates/control-state/src/apply.rs
+++ b/crates/control-state/src/apply.rs
@@ -3,11 +3,11 @@
 use crate::command_history::CommandStatus;
 use crate::error::InvalidChange;
 use crate::state::ControlState;
-use preview::Refusal;
 use prost::Message as _;
 use protocol::{
     Change, ChangeKind, EvacuationChange, KeyLease, RetryAllowanceChange, WarmupGroup, WorkersChange,
 };
+use rollout::Refusal;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -75,7 +75,7 @@
             ChangeKind::ReplaceDelta(delta) => return self.replace_by_delta(delta),
             ChangeKind::Evacuate(change) => return self.evacuate(index, change),
             ChangeKind::Rollout(change) => {
-                return match preview::apply(Arc::make_mut(&mut self.rollouts), index, &change) {
+                return match rollout::apply(Arc::make_mut(&mut self.rollouts), index, &change) {
                     Ok(true) => Outcome::Applied,
                     Ok(false) => Outcome::AlreadyApplied,
                     Err(refusal) => Outcome::RolloutRejected(refusal),
--- a/crates/control-state/src/state.rs
+++ b/crates/control-state/src/state.rs
@@ -2,8 +2,8 @@
 
 use crate::command_history::CommandHistory;
 use config::{constants as c, Configuration, Service};
-use preview::{Side, Table};
 use protocol::{KeyLease, KillSwitch, SiteFraction, Worker};
+use rollout::{Side, Table};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -139,7 +139,7 @@
         let used = if share >= 1.0 {
             ranked.len()
         } else {
-            (old.len() as f64 * share * preview::USE_PART).ceil().max(1.0) as usize
+            (old.len() as f64 * share * rollout::USE_PART).ceil().max(1.0) as usize
         };
         ranked.into_iter().take(used).map(|(_, worker)| worker).collect()
     }
--- a/crates/understage/examples/pace.rs
+++ b/crates/fleet-test/examples/pace.rs
@@ -2,16 +2,16 @@
 //! disk dead, and with one frozen. Several programs are measured by turns in one run, so
 //! that what else the machine does strikes them alike.
 //!
-//!     cargo run --release -p understage --example pace -- --orders 100 OLD NEW
+//!     cargo run --release -p pebblepond-fleet-test --example pace -- --orders 100 OLD NEW
 
 use clap::Parser;
+use fleet_test::checker::Asked;
+use fleet_test::fleet::{Fleet, Plan};
+use fleet_test::operator::{Operator, Record};
+use fleet_test::orders::configuration;
+use fleet_test::NotPlayed;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
-use understage::checker::Asked;
-use understage::fleet::{Fleet, Plan};
-use understage::operator::{Operator, Record};
-use understage::orders::configuration;
-use understage::NotPlayed;
 
 /// Longest that one order is waited for.
 const WITHIN: Duration = Duration::from_secs(20);
@@ -99,7 +99,7 @@
             let answer = operator
                 .settle(Asked::Replace(n), &[fleet.place(leader)], WITHIN)
                 .await;
-            if !matches!(answer, understage::checker::Answer::Good(_)) {
+            if !matches!(answer, fleet_test::checker::Answer::Good(_)) {
                 return Err(format!("order {n}: {answer:?}"));
             }
             times.push(begun.elapsed().as_secs_f64() * 1000.0);
--- a/crates/understage/src/guard.rs
+++ b/crates/fleet-test/src/guard.rs
@@ -36,7 +36,7 @@
 impl Guard {
     /// Makes the fleet's folder and watches over it.
     pub fn set() -> Result<Guard, NotPlayed> {
-        let name = format!("understage-{:x}", rand::thread_rng().gen::<u64>());
+        let name = format!("fleet-test-{:x}", rand::thread_rng().gen::<u64>());
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         let quiet = |command: &mut Command| -> std::io::Result<Child> {
@@ -51,7 +51,7 @@
         let group = holder.id().to_string();
         let watch = quiet(
             Command::new("/bin/sh")
-                .args(["-c", SCRIPT, "understage-guard"])
+                .args(["-c", SCRIPT, "fleet-test-guard"])
                 .arg(&folder)
                 .arg(&group)
                 .stdin(Stdio::piped()),
--- a/crates/understage/src/lib.rs
+++ b/crates/fleet-test/src/lib.rs
@@ -1,4 +1,4 @@
-//! A small fleet of real `playhouse` processes on loopback addresses, with a
+//! A small fleet of real `pebblepond` processes on loopback addresses, with a
 //! stand-in for the platform, driven over the published HTTP and put to faults.
 //!
 //! Not used by the program itself. Each node has its own address in 127.0.0.0/8; all
--- a/crates/understage/src/main.rs
+++ b/crates/fleet-test/src/main.rs
@@ -1,13 +1,13 @@
 //! Plays faults with a fleet of real processes, or starts one to look at.
 
 use clap::{Parser, Subcommand};
+use fleet_test::fleet::{Fleet, Plan};
+use fleet_test::program;
+use fleet_test::scenarios::{by_name, Options, Pace, Scenario, Verdict, ALL, STORM};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Instant;
 use tokio::signal::unix::{signal, SignalKind};
-use understage::fleet::{Fleet, Plan};
-use understage::program;
-use understage::scenarios::{by_name, Options, Pace, Scenario, Verdict, ALL, STORM};
 
 /// Exit codes.
 mod exit {
@@ -18,9 +18,9 @@
 
 #[derive(Parser)]
 #[command(
-    name = "understage",
+    name = "fleet-test",
     version,
-    about = "Plays faults with a small fleet of real playhouse processes on loopback addresses",
+    about = "Plays faults with a small fleet of real pebblepond processes on loopback addresses",
     after_help = "Exit codes: 0 all rules held; 1 a rule was broken; 2 wrong usage; 3 a scenario could not be played; 130 interrupted."
 )]
 struct Cli {
@@ -28,7 +28,7 @@
     command: Command,
     /// The program to start; the one beside this program if left out.
     #[arg(long, global = true, value_name = "PATH")]
-    playhouse: Option<PathBuf>,
+    program: Option<PathBuf>,
     /// Shorter freezes and fewer changes.
     #[arg(long, global = true)]
     short: bool,
@@ -81,7 +81,7 @@
         Command::Play { names } => {
             let found: Option<Vec<&Scenario>> = names.iter().map(|n| by_name(n)).collect();
             let Some(found) = found else {
-                eprintln!("understage: no such scenario; `list` names them");
+                eprintln!("fleet-test: no such scenario; `list` names them");
                 return ExitCode::from(2);
             };
             found
@@ -89,10 +89,10 @@
         Command::Storm { .. } => vec![&STORM],
         Command::Up { .. } => Vec::new(),
     };
-    let program = match cli.playhouse.clone().map_or_else(program::find, Ok) {
+    let program = match cli.program.clone().map_or_else(program::find, Ok) {
         Ok(program) => program,
         Err(e) => {
-            eprintln!("understage: {e}");
+            eprintln!("fleet-test: {e}");
             return ExitCode::from(exit::NOT_PLAYED);
         }
     };
@@ -100,7 +100,7 @@
         tokio::select! {
             // What was started ends with the future that owns it.
             () = interrupted() => {
-                eprintln!("understage: interrupted; the fleet is ended");
+                eprintln!("fleet-test: interrupted; the fleet is ended");
                 ExitCode::from(exit::INTERRUPTED)
             }
             code = work(&cli, &chosen, &program) => code,
@@ -189,7 +189,7 @@
     let mut fleet = match Fleet::start(program, plan) {
         Ok(fleet) => fleet,
         Err(e) => {
-            eprintln!("understage: {e}");
+            eprintln!("fleet-test: {e}");
             return ExitCode::from(exit::NOT_PLAYED);
         }
     };
--- a/crates/understage/src/node.rs
+++ b/crates/fleet-test/src/node.rs
@@ -1,4 +1,4 @@
-//! One `playhouse` process, and what may befall it.
+//! One `pebblepond` process, and what may befall it.
 
 use crate::settings;
 use crate::NotPlayed;
--- a/crates/understage/src/settings.rs
+++ b/crates/fleet-test/src/settings.rs
@@ -44,7 +44,7 @@
         r#"Grants = "invocation"
 [OwnEntity]
 NodeName = "{name}"
-Role = "playhouse"
+Role = "pebblepond"
 MachineClass = "edge"
 Serves = ["edge", "control", "directory"]
 IpAddress = "{ip}"
--- a/crates/understage/tests/checker.rs
+++ b/crates/fleet-test/tests/checker.rs
@@ -1,6 +1,6 @@
 //! The checker finds each kind of breach, and nothing in a history without one.
 
-use understage::checker::{faults, Answer, Asked, Call, History, Order};
+use fleet_test::checker::{faults, Answer, Asked, Call, History, Order};
 
 /// A history of orders (base, version) and of calls, each from one millisecond
 /// to another.
--- a/crates/understage/tests/parts.rs
+++ b/crates/fleet-test/tests/parts.rs
@@ -1,11 +1,11 @@
 //! What a fleet is made of, without starting one.
 
 use config::{Configuration, Settings};
+use fleet_test::net::Net;
+use fleet_test::node::leads_in;
+use fleet_test::orders;
+use fleet_test::settings::{self, Machine};
 use std::path::Path;
-use understage::net::Net;
-use understage::node::leads_in;
-use understage::orders;
-use understage::settings::{self, Machine};
 
 #[test]
 fn settings_files_are_valid_and_ports_are_alike() {
--- a/crates/wardrobe/src/lib.rs
+++ b/crates/key-ownership/src/lib.rs
@@ -36,7 +36,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Act {
-    /// To be put into the log; [`Wardrobe::logged`] says how that went.
+    /// To be put into the log; [`OwnershipManager::logged`] says how that went.
     Log(Vec<KeyLease>),
     Grant(GrantCall),
     Release(ReleaseCall),
@@ -97,7 +97,7 @@
 }
 
 #[derive(Clone)]
-pub struct Wardrobe {
+pub struct OwnershipManager {
     hold_ms: u64,
     thaw_ms: u64,
     tracks: BTreeMap<(String, u32, u64), Track>,
@@ -126,9 +126,9 @@
     counted: bool,
 }
 
-impl Wardrobe {
-    pub fn new(hold_limit_ms: u64, thaw_ms: u64) -> Wardrobe {
-        Wardrobe {
+impl OwnershipManager {
+    pub fn new(hold_limit_ms: u64, thaw_ms: u64) -> OwnershipManager {
+        OwnershipManager {
             hold_ms: c::KEY_LEASE_MS.min(hold_limit_ms),
             thaw_ms,
             tracks: BTreeMap::new(),
@@ -174,7 +174,7 @@
     pub fn begin(&mut self, now: u64, stage: &ControlState) {
         let settled = now + LATE_MS;
         let loads = std::mem::take(&mut self.loads);
-        *self = Wardrobe {
+        *self = OwnershipManager {
             loads,
             calls: self.calls,
             unknown_answers: self.unknown_answers,
@@ -190,7 +190,7 @@
                 .filter(|h| h.revoking)
                 .map(|h| (h.fencing_token, h.from))
                 .collect(),
-            ..Wardrobe::new(self.hold_limit_ms, self.thaw_ms)
+            ..OwnershipManager::new(self.hold_limit_ms, self.thaw_ms)
         };
     }
 
@@ -479,7 +479,7 @@
         track
     }
 
-    /// Takes note of a release; the next [`Wardrobe::tick`] goes on from there.
+    /// Takes note of a release; the next [`OwnershipManager::tick`] goes on from there.
     pub fn released(&mut self, now: u64, call: &ReleaseCall, released: Released) {
         let Some(track) = self.waiting(&call.holding, call.number) else {
             return;
--- a/crates/wardrobe/src/tests.rs
+++ b/crates/key-ownership/src/tests.rs
@@ -7,7 +7,7 @@
 
 struct Play {
     stage: ControlState,
-    wardrobe: Wardrobe,
+    ownership: OwnershipManager,
     now: u64,
     /// Calls made since the last look.
     calls: Vec<Act>,
@@ -17,7 +17,7 @@
     fn new(workers: usize) -> Play {
         let mut play = Play {
             stage: ControlState::default(),
-            wardrobe: Wardrobe::new(10_000, 300),
+            ownership: OwnershipManager::new(10_000, 300),
             now: 0,
             calls: vec![],
         };
@@ -40,14 +40,14 @@
 
     fn log(&mut self, put: Vec<KeyLease>) {
         self.change(ChangeKind::KeyLeases(KeyLeaseChange { put }));
-        self.wardrobe.logged();
+        self.ownership.logged();
     }
 
     /// Runs for a time; grants to `dead` end unclear, others succeed.
     fn run(&mut self, ms: u64, dead: &str) {
         for _ in 0..ms / 100 {
             self.now += 100;
-            for act in self.wardrobe.tick(self.now, &self.stage) {
+            for act in self.ownership.tick(self.now, &self.stage) {
                 self.calls.push(act.clone());
                 match act {
                     Act::Log(put) => self.log(put),
@@ -57,7 +57,7 @@
                         } else {
                             Granted::Yes
                         };
-                        self.wardrobe.granted(self.now, &g, end);
+                        self.ownership.granted(self.now, &g, end);
                     }
                     Act::Release(r) => {
                         let end = if r.holding.worker == dead {
@@ -65,7 +65,7 @@
                         } else {
                             Released::Yes("token".into())
                         };
-                        self.wardrobe.released(self.now, &r, end);
+                        self.ownership.released(self.now, &r, end);
                     }
                 }
             }
@@ -177,7 +177,7 @@
 fn an_ended_life_frees_its_keys_at_once_and_a_new_leader_waits_for_the_rest() {
     let mut p = Play::new(3);
     p.run(1000, "");
-    p.wardrobe.begin(p.now, &p.stage);
+    p.ownership.begin(p.now, &p.stage);
     p.change(ChangeKind::Workers(WorkersChange {
         put: vec![],
         removed: vec!["w0".into()],
@@ -237,7 +237,7 @@
             .iter()
             .map(|b| if *b == hot { 96_000 } else { 1 })
             .collect();
-        p.wardrobe.take_loads(
+        p.ownership.take_loads(
             &[KeyCounts {
                 service: name_hash("s"),
                 buckets,
@@ -259,7 +259,7 @@
     // The grants of this round stay under way.
     let grants = loop {
         p.now += 100;
-        let acts = p.wardrobe.tick(p.now, &p.stage);
+        let acts = p.ownership.tick(p.now, &p.stage);
         if acts.len() == 2 {
             break acts;
         }
@@ -274,18 +274,18 @@
     p.change(ChangeKind::KeyLeases(KeyLeaseChange { put: vec![piece] }));
     p.now += 100;
     assert!(!p
-        .wardrobe
+        .ownership
         .tick(p.now, &p.stage)
         .iter()
         .any(|a| matches!(a, Act::Release(_))));
     for g in grants {
         if let Act::Grant(g) = g {
-            p.wardrobe.granted(p.now, &g, Granted::Yes);
+            p.ownership.granted(p.now, &g, Granted::Yes);
         }
     }
     // First a last grant that outlasts what runs, then the release.
     p.now += 100;
-    let acts = p.wardrobe.tick(p.now, &p.stage);
+    let acts = p.ownership.tick(p.now, &p.stage);
     let last = acts.iter().find_map(|a| match a {
         Act::Grant(g) if g.hold_ms > c::KEY_LEASE_MS => Some(g.clone()),
         _ => None,
@@ -293,10 +293,10 @@
     let last = last.expect("a last grant");
     assert_eq!((last.holding.from, last.holding.to), (0, 99));
     assert!(!acts.iter().any(|a| matches!(a, Act::Release(_))));
-    p.wardrobe.granted(p.now, &last, Granted::Yes);
+    p.ownership.granted(p.now, &last, Granted::Yes);
     p.now += 100;
     assert!(p
-        .wardrobe
+        .ownership
         .tick(p.now, &p.stage)
         .iter()
         .any(|a| matches!(a, Act::Release(_))));
@@ -312,7 +312,7 @@
         _ => None,
     });
     let h = call.holding.clone();
-    p.wardrobe.granted(p.now, &call, Granted::Outrun);
+    p.ownership.granted(p.now, &call, Granted::Outrun);
     p.calls.clear();
     p.run(1500, "");
     let again = p.stage.key_lease("s", 0).expect("covered");
@@ -362,7 +362,7 @@
 
 #[test]
 fn keys_follow_the_stages_of_a_rollout_and_come_back() {
-    use preview::{Action, Create, PreviewChange};
+    use rollout::{Action, Create, PreviewChange};
     let mut p = Play::new(8);
     let old = (0..8).map(|i| Worker {
         version: "v1".into(),
@@ -388,7 +388,7 @@
             action: action as i32,
             expected,
             create,
-            showings: preview::showings(60_000, 0.1),
+            showings: rollout::showings(60_000, 0.1),
             before: vec!["v1".into()],
             ..Default::default()
         }));
@@ -427,15 +427,15 @@
     for _ in 0..100 {
         p.now += 100;
         let mut found = None;
-        for act in p.wardrobe.tick(p.now, &p.stage) {
+        for act in p.ownership.tick(p.now, &p.stage) {
             if let (None, Some(got)) = (&found, wanted(&act)) {
                 found = Some(got);
                 continue;
             }
             match act {
                 Act::Log(put) => p.log(put),
-                Act::Grant(g) => p.wardrobe.granted(p.now, &g, Granted::Yes),
-                Act::Release(r) => p.wardrobe.released(p.now, &r, Released::Yes("t".into())),
+                Act::Grant(g) => p.ownership.granted(p.now, &g, Granted::Yes),
+                Act::Release(r) => p.ownership.released(p.now, &r, Released::Yes("t".into())),
             }
         }
         if let Some(found) = found {
@@ -468,19 +468,19 @@
         // The duty is lost and found again before the answer comes. Meanwhile
         // another leader may have granted the same, and that may still arrive.
         p.now += 300;
-        p.wardrobe.begin(p.now, &p.stage);
-        let least = p.wardrobe.hold_end(call.holding.fencing_token);
+        p.ownership.begin(p.now, &p.stage);
+        let least = p.ownership.hold_end(call.holding.fencing_token);
         drain(&mut p, "w0");
         p.now += 50;
-        p.wardrobe.granted(p.now, &call, late);
+        p.ownership.granted(p.now, &call, late);
         assert!(
-            p.wardrobe.hold_end(call.holding.fencing_token) >= least,
+            p.ownership.hold_end(call.holding.fencing_token) >= least,
             "{late:?}"
         );
-        assert_eq!(p.wardrobe.unknown_answers(), 1);
+        assert_eq!(p.ownership.unknown_answers(), 1);
         for _ in 0..20 {
             p.now += 100;
-            for act in p.wardrobe.tick(p.now, &p.stage) {
+            for act in p.ownership.tick(p.now, &p.stage) {
                 if let Act::Log(put) = act {
                     let freed = put
                         .iter()
@@ -505,16 +505,16 @@
     // In its next duty it has granted the keys once more, as another leader may
     // have, when the answer comes.
     p.now += 100;
-    p.wardrobe.begin(p.now, &p.stage);
+    p.ownership.begin(p.now, &p.stage);
     let again = until(&mut p, |act| match act {
         Act::Grant(g) if g.holding.fencing_token == call.holding.fencing_token => Some(g.clone()),
         _ => None,
     });
     assert_eq!(again.holding, call.holding);
-    p.wardrobe.released(p.now, &call, Released::Yes("late".into()));
+    p.ownership.released(p.now, &call, Released::Yes("late".into()));
     for _ in 0..10 {
         p.now += 100;
-        for act in p.wardrobe.tick(p.now, &p.stage) {
+        for act in p.ownership.tick(p.now, &p.stage) {
             assert!(!matches!(act, Act::Log(_)), "freed at {}: {act:?}", p.now);
         }
     }
@@ -532,17 +532,17 @@
         })
     };
     let first = grant(&mut p);
-    p.wardrobe.granted(p.now, &first, Granted::Unclear);
-    let least = p.wardrobe.hold_end(first.holding.fencing_token);
+    p.ownership.granted(p.now, &first, Granted::Unclear);
+    let least = p.ownership.hold_end(first.holding.fencing_token);
     let second = grant(&mut p);
-    p.wardrobe.granted(p.now, &second, Granted::Yes);
-    assert!(p.wardrobe.hold_end(first.holding.fencing_token) >= least);
+    p.ownership.granted(p.now, &second, Granted::Yes);
+    assert!(p.ownership.hold_end(first.holding.fencing_token) >= least);
     // A second answer to it changes nothing.
     let third = grant(&mut p);
-    let least = p.wardrobe.hold_end(first.holding.fencing_token);
-    p.wardrobe.granted(p.now, &second, Granted::Yes);
-    assert_eq!(p.wardrobe.hold_end(first.holding.fencing_token), least);
-    assert_eq!(p.wardrobe.unknown_answers(), 1);
-    p.wardrobe.granted(p.now, &third, Granted::NotSent);
-    assert!(p.wardrobe.hold_end(first.holding.fencing_token) < least);
+    let least = p.ownership.hold_end(first.holding.fencing_token);
+    p.ownership.granted(p.now, &second, Granted::Yes);
+    assert_eq!(p.ownership.hold_end(first.holding.fencing_token), least);
+    assert_eq!(p.ownership.unknown_answers(), 1);
+    p.ownership.granted(p.now, &third, Granted::NotSent);
+    assert!(p.ownership.hold_end(first.holding.fencing_token) < least);
 }
--- a/crates/playhouse/src/cli/mod.rs
+++ b/crates/pebblepond/src/cli/mod.rs
@@ -34,7 +34,7 @@
 
 #[derive(Parser)]
 #[command(
-    name = "playhouse",
+    name = "pebblepond",
     version,
     about = "A global load balancer: edge, control and directory in one program",
     after_help = "Exit codes: 0 done; 1 refused, or a difference found; 2 wrong usage; 3 invalid file; 4 no control address answered; 5 another version is current."
@@ -189,7 +189,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(Failure(code, text)) => {
             if !text.is_empty() {
-                eprintln!("playhouse: {text}");
+                eprintln!("pebblepond: {text}");
             }
             ExitCode::from(code)
         }
--- a/crates/playhouse/src/conductor/mod.rs
+++ b/crates/pebblepond/src/conductor/mod.rs
@@ -601,7 +601,7 @@
                 }
             }
             Some(Payload::Digests(theirs)) if self.house.standing.get().current => {
-                if let Some(mend) = understudy::mend_for(&self.stage, &theirs) {
+                if let Some(mend) = anti_entropy::mend_for(&self.stage, &theirs) {
                     self.post(letter.reply_to, Payload::Repair(Box::new(mend)));
                 }
             }
@@ -617,7 +617,7 @@
                 if self.house.standing.get().current && !self.mended {
                     return;
                 }
-                if let Some(stage) = understudy::mended_since(&self.stage, &asked, &mend) {
+                if let Some(stage) = anti_entropy::mended_since(&self.stage, &asked, &mend) {
                     log::info!("event=mended index={} ranges={}", mend.index, mend.ranges.len());
                     self.house.counters.add("mended_from_peers");
                     self.stage = stage;
--- a/crates/playhouse/src/conductor/rollouts.rs
+++ b/crates/pebblepond/src/conductor/rollouts.rs
@@ -6,8 +6,8 @@
 use actix::prelude::*;
 use config::constants as c;
 use control_state::ControlState;
-use preview::{Action, Preview, PreviewChange, Refusal, Side};
 use protocol::*;
+use rollout::{Action, Preview, PreviewChange, Refusal, Side};
 use std::collections::BTreeSet;
 
 /// The answer to a change of a rollout that does not take place.
@@ -123,7 +123,7 @@
         action: Action::Create as i32,
         who: order.who,
         why: order.why,
-        showings: preview::showings(create.duration_ms, exposure),
+        showings: rollout::showings(create.duration_ms, exposure),
         create: Some(create),
         before: before.into_iter().collect(),
         ..Default::default()
--- a/crates/playhouse/src/conductor/tending.rs
+++ b/crates/pebblepond/src/conductor/tending.rs
@@ -2,8 +2,8 @@
 //! roll, looking for copies among peers, and watching the disk.
 
 use super::Conductor;
-use callboard::Member;
 use config::constants as c;
+use gossip::Member;
 use protocol::{Payload, RangeDigests};
 use raft::{
     next_membership, FaultTolerance, PeerObservation, SilenceTimeouts, UpstreamCandidate, UpstreamTimeouts,
@@ -246,7 +246,7 @@
         // After a loss all ask at the same time: not all the same peers.
         let mut rng = rand::thread_rng();
         let asked = near.choose(&mut rng).into_iter().chain(far.choose(&mut rng));
-        let digests = understudy::digests(&self.stage);
+        let digests = anti_entropy::digests(&self.stage);
         for m in asked {
             let call = self.mends.begin(m.id, now, digests.clone());
             let digests = RangeDigests {
--- a/crates/playhouse/src/desk.rs
+++ b/crates/pebblepond/src/desk.rs
@@ -5,6 +5,7 @@
 use crate::post::{Post, Send};
 use crate::upstream::Upstream;
 use actix::prelude::*;
+use balancer::{Found, LoadBalancer, Neighbours, Observed, Place, Request, Ticket};
 use config::{constants as c, Route};
 use control_state::ControlState;
 use protocol::{name_hash, Demand, KeyCounts, Payload, Report, RoundTrip, WorkerStats};
@@ -14,13 +15,12 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use usher::{Found, Neighbours, Observed, Place, Request, Ticket, Usher};
 
 inventory::submit! { Plugin { name: "desk", order: 70, start } }
 
 fn start(house: &Rc<House>) -> Result<(), String> {
     let settings = house.settings.get();
-    let usher = Usher::new(
+    let balancer = LoadBalancer::new(
         &settings.own_entity.zone,
         settings.network.zones.clone(),
         settings.terms.bounds.clone(),
@@ -31,7 +31,7 @@
     let desk = Desk {
         house: house.clone(),
         upstream,
-        usher,
+        balancer,
         stage: Arc::default(),
         demand: BTreeMap::new(),
         keys: BTreeMap::new(),
@@ -88,7 +88,7 @@
 pub struct Desk {
     house: Rc<House>,
     upstream: Rc<Upstream>,
-    usher: Usher,
+    balancer: LoadBalancer,
     stage: Arc<ControlState>,
     demand: BTreeMap<(Arc<str>, String), u64>,
     /// Requests by service and key.
@@ -107,7 +107,7 @@
         ctx.run_interval(Duration::from_millis(c::IDLE_SWEEP_INTERVAL_MS), |me, _| {
             me.upstream.sweep();
             me.refresh();
-            me.usher.sweep(me.house.now());
+            me.balancer.sweep(me.house.now());
             me.neighbours();
         });
         ctx.run_interval(Duration::from_millis(c::REPORT_INTERVAL_MS), |me, _| me.report());
@@ -118,11 +118,11 @@
     /// Looks at the newest control state before anything is decided.
     fn refresh(&mut self) {
         let stage = self.house.stage.get();
-        self.usher.set_contact(self.house.contact.get());
+        self.balancer.set_contact(self.house.contact.get());
         if Arc::ptr_eq(&stage, &self.stage) {
             return;
         }
-        for id in self.usher.set_stage(self.house.now(), stage.clone()) {
+        for id in self.balancer.set_stage(self.house.now(), stage.clone()) {
             if let Some(w) = self.stage.workers.get(&id) {
                 self.upstream.forget(&w.address);
             }
@@ -141,7 +141,7 @@
             in_zone: here().count().max(1),
             number_in_zone: here().filter(|m| m.name < own.node_name).count(),
         };
-        self.usher.set_neighbours(Neighbours {
+        self.balancer.set_neighbours(Neighbours {
             place,
             me: self.house.standing.get().id,
             rtt: (*self.house.rtt.get()).clone(),
@@ -157,7 +157,7 @@
         }
         let chance = rand::thread_rng().gen();
         let group = &settings.own_entity.zone;
-        boxoffice::draw(&self.stage.fractions, service, group, chance, |_| true).map(str::to_string)
+        placement::draw(&self.stage.fractions, service, group, chance, |_| true).map(str::to_string)
     }
 
     fn report(&mut self) {
@@ -205,7 +205,7 @@
                 })
                 .collect(),
             workers: self
-                .usher
+                .balancer
                 .take_observed()
                 .into_iter()
                 .map(|(worker, answer_ms, served, failed)| WorkerStats {
@@ -227,7 +227,7 @@
                 .collect(),
             forwarding_rate: settings.own_entity.limits.cpu_fraction * 1000.0 / c::FORWARDING_CPU_MS,
             keys,
-            rollout_samples: self.usher.take_trials(),
+            rollout_samples: self.balancer.take_trials(),
         };
         let mut reports = std::mem::take(&mut self.passed_on);
         if let Some(others) = reports.remove(&report.site) {
@@ -247,7 +247,7 @@
 impl Handler<DrawService> for Desk {
     type Result = String;
     fn handle(&mut self, DrawService(route): DrawService, _: &mut Self::Context) -> String {
-        self.usher.draw_service(&route).to_string()
+        self.balancer.draw_service(&route).to_string()
     }
 }
 
@@ -274,7 +274,7 @@
             left_ms: msg.left_ms,
             zone: zone.as_deref(),
         };
-        MessageResult(self.usher.choose(self.house.now(), &request))
+        MessageResult(self.balancer.choose(self.house.now(), &request))
     }
 }
 
@@ -282,9 +282,9 @@
     type Result = ();
     fn handle(&mut self, msg: Observe, _: &mut Self::Context) {
         if let Some(ticket) = &msg.ticket {
-            self.usher.observe_trial(ticket, msg.observed);
+            self.balancer.observe_trial(ticket, msg.observed);
         }
-        self.usher.observe(self.house.now(), &msg.id, msg.observed);
+        self.balancer.observe(self.house.now(), &msg.id, msg.observed);
     }
 }
 
--- a/crates/playhouse/src/desks.rs
+++ b/crates/pebblepond/src/desks.rs
@@ -13,8 +13,8 @@
 use actix_web::dev::AppConfig;
 use actix_web::http::{header, StatusCode};
 use actix_web::{web, App, HttpRequest, HttpResponse};
-use callboard::Member;
 use config::constants as c;
+use gossip::Member;
 use protocol::{Command, CommandResponse, ConfigurationCommand, EvacuationChange};
 use rand::seq::SliceRandom;
 use rand::Rng;
@@ -297,5 +297,5 @@
         .collect();
     let service = services.choose(rng)?;
     let usable = |site: &str| up.iter().any(|m| m.region == site);
-    boxoffice::draw(&stage.fractions, service, &asked.zone, rng.gen(), usable).map(str::to_string)
+    placement::draw(&stage.fractions, service, &asked.zone, rng.gen(), usable).map(str::to_string)
 }
--- a/crates/playhouse/src/desks/rollouts.rs
+++ b/crates/pebblepond/src/desks/rollouts.rs
@@ -4,8 +4,8 @@
 use actix_web::http::StatusCode;
 use actix_web::{web, HttpRequest, HttpResponse};
 use config::DurationText;
-use preview::{Action, Create, PreviewChange};
 use protocol::{BeginRollout, Command, KillSwitch};
+use rollout::{Action, Create, PreviewChange};
 use serde::Deserialize;
 use validator::Validate;
 
--- a/crates/playhouse/src/front.rs
+++ b/crates/pebblepond/src/front.rs
@@ -14,6 +14,7 @@
     ConnectionType, HttpMessage, HttpService, Method, Request, RequestHead, Response, StatusCode, Uri,
 };
 use actix_service::{boxed, fn_service, Service, ServiceFactory};
+use balancer::{Choice, Found, Observed, Outcome, Ticket, Tries};
 use bytes::{Bytes, BytesMut};
 use config::{constants as c, ClientLimits, Configuration, Route, RouteKind};
 use futures_util::StreamExt;
@@ -23,7 +24,6 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
-use usher::{Choice, Found, Observed, Outcome, Ticket, Tries};
 
 inventory::submit! { Plugin { name: "front", order: 80, start } }
 
--- a/crates/playhouse/src/kernel.rs
+++ b/crates/pebblepond/src/kernel.rs
@@ -43,7 +43,7 @@
     /// Pause between two lines of counters in the log, in seconds.
     pub counters_every_s: u64,
     pub stage: Published<ControlState>,
-    pub members: Published<Vec<callboard::Member>>,
+    pub members: Published<Vec<gossip::Member>>,
     /// Round trips to sites, in ms.
     pub rtt: Published<BTreeMap<String, f64>>,
     pub standing: Published<Standing>,
--- a/crates/playhouse/src/keys.rs
+++ b/crates/pebblepond/src/keys.rs
@@ -6,10 +6,10 @@
 use actix::prelude::*;
 use bytes::Bytes;
 use config::constants as c;
+use key_ownership::{Act, GrantCall, Granted, OwnershipManager, ReleaseCall, Released};
 use protocol::{ChangeKind, KeyCounts, KeyLease, KeyLeaseChange, WorkerStats};
 use std::rc::Rc;
 use std::time::Duration;
-use wardrobe::{Act, GrantCall, Granted, ReleaseCall, Released, Wardrobe};
 
 inventory::submit! { Plugin { name: "keys", order: 60, start } }
 
@@ -18,11 +18,11 @@
         return Ok(());
     }
     let bounds = &house.settings.get().terms.bounds;
-    let wardrobe = Wardrobe::new(bounds.hold_limit.ms, bounds.thaw.ms);
+    let ownership = OwnershipManager::new(bounds.hold_limit.ms, bounds.thaw.ms);
     let dresser = Dresser {
         house: house.clone(),
         upstream: Upstream::new(),
-        wardrobe,
+        ownership,
         since: None,
     };
     house.put(dresser.start());
@@ -40,7 +40,7 @@
 impl Handler<Counted> for Dresser {
     type Result = ();
     fn handle(&mut self, msg: Counted, _: &mut Self::Context) {
-        self.wardrobe.take_loads(&msg.keys, &msg.capacity);
+        self.ownership.take_loads(&msg.keys, &msg.capacity);
     }
 }
 
@@ -53,7 +53,7 @@
 pub struct Dresser {
     house: Rc<House>,
     upstream: Rc<Upstream>,
-    wardrobe: Wardrobe,
+    ownership: OwnershipManager,
     /// Since when this node leads, as far as the grants go.
     since: Option<u64>,
 }
@@ -85,9 +85,9 @@
             let stage = me.house.stage.get();
             if me.since != Some(since) {
                 me.since = Some(since);
-                me.wardrobe.begin(now, &stage);
+                me.ownership.begin(now, &stage);
             }
-            for act in me.wardrobe.tick(now, &stage) {
+            for act in me.ownership.tick(now, &stage) {
                 me.act(act, ctx);
             }
         }));
@@ -126,7 +126,7 @@
                     // Word of a change that was made in an earlier duty says nothing
                     // of one that this duty waits for.
                     if me.since == duty {
-                        me.wardrobe.logged();
+                        me.ownership.logged();
                         me.round(ctx);
                     }
                 }),
@@ -190,8 +190,8 @@
                 Ok(_) | Err(Fault::Unclear) => Granted::Unclear,
                 Err(Fault::NotSent) => Granted::NotSent,
             };
-            let unknown = me.wardrobe.unknown_answers();
-            me.wardrobe.granted(now, &call, granted);
+            let unknown = me.ownership.unknown_answers();
+            me.ownership.granted(now, &call, granted);
             me.count_unknown(unknown);
             if granted != Granted::Yes {
                 me.house.counters.add("grants_failed");
@@ -201,7 +201,7 @@
 
     /// Counts an answer that came to nobody.
     fn count_unknown(&self, before: u64) {
-        if self.wardrobe.unknown_answers() != before {
+        if self.ownership.unknown_answers() != before {
             self.house.counters.add("unknown_key_answers");
         }
     }
@@ -230,8 +230,8 @@
                     Released::Failed
                 }
             };
-            let unknown = me.wardrobe.unknown_answers();
-            me.wardrobe.released(me.house.now(), &call, released);
+            let unknown = me.ownership.unknown_answers();
+            me.ownership.released(me.house.now(), &call, released);
             me.count_unknown(unknown);
             me.round(ctx);
         }));
--- a/crates/playhouse/src/lobby.rs
+++ b/crates/pebblepond/src/lobby.rs
@@ -2,8 +2,8 @@
 
 use crate::kernel::{House, Plugin};
 use actix::prelude::*;
-use callboard::{Board, Member, Notice, Timing};
 use config::constants as c;
+use gossip::{Board, Member, Notice, Timing};
 use prost::Message as _;
 use rand::Rng;
 use std::collections::BTreeMap;
--- a/crates/playhouse/src/main.rs
+++ b/crates/pebblepond/src/main.rs
@@ -40,7 +40,7 @@
 
 impl log::Log for Log {
     fn enabled(&self, metadata: &log::Metadata<'_>) -> bool {
-        metadata.level() <= log::max_level() && metadata.target().starts_with("playhouse")
+        metadata.level() <= log::max_level() && metadata.target().starts_with("pebblepond")
     }
     fn log(&self, record: &log::Record<'_>) {
         if self.enabled(record.metadata()) {
--- a/crates/playhouse/src/placement.rs
+++ b/crates/pebblepond/src/placement.rs
@@ -3,8 +3,8 @@
 use crate::conductor::{Conductor, Lease, Propose};
 use crate::kernel::{House, Plugin};
 use actix::prelude::*;
-use boxoffice::{Bench, Ledger, Options, Placement};
 use config::constants as c;
+use placement::{Bench, Ledger, Options, Placement};
 use protocol::{ChangeKind, EjectionChange, PlacementChange, Report, RetryAllowanceChange, SiteFraction};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -150,8 +150,8 @@
             deletion_threshold: c::DELETION_THRESHOLD,
             hysteresis: c::HYSTERESIS,
         };
-        let placement = boxoffice::place(&inputs, &before, &options);
-        if !boxoffice::differs(&placement, &before) {
+        let placement = placement::place(&inputs, &before, &options);
+        if !placement::differs(&placement, &before) {
             return None;
         }
         self.house.counters.add("placements");
--- a/crates/playhouse/src/producer.rs
+++ b/crates/pebblepond/src/producer.rs
@@ -5,8 +5,8 @@
 use actix::prelude::*;
 use config::constants as c;
 use control_state::ControlState;
-use preview::{Action, Critic, Facts, Level, Levels, Preview, Side, Trial, Verdict};
 use protocol::{name_hash, ChangeKind, WorkerStats};
+use rollout::{Action, Critic, Facts, Level, Levels, Preview, Side, Trial, Verdict};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -233,7 +233,7 @@
                     Verdict::Unproven(why) => format!("not proven: {why}"),
                     Verdict::Bad(why) => format!("bad: {why}"),
                 };
-                let side = |s: &preview::Sums| {
+                let side = |s: &rollout::Sums| {
                     serde_json::json!({"answered": s.answered(), "errors": s.bad, "lost": s.lost,
                         "mean_ms": if s.served > 0.0 { s.ms / s.served } else { 0.0 }})
                 };
--- a/crates/playhouse/src/upstream.rs
+++ b/crates/pebblepond/src/upstream.rs
@@ -8,6 +8,7 @@
 use actix_http::h1::{ClientCodec, ClientPayloadCodec, Message, MessageType};
 use actix_http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use actix_http::{Method, RequestHead, RequestHeadType, ResponseHead, ServiceConfig, StatusCode};
+use balancer::{Attempt, Echo, Head, Outcome, Phase, Taken};
 use bytes::{Bytes, BytesMut};
 use config::constants as c;
 use futures_util::future::{select, Either};
@@ -19,7 +20,6 @@
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::TcpStream;
-use usher::{Attempt, Echo, Head, Outcome, Phase, Taken};
 
 /// A stream of body parts.
 pub type Parts = Pin<Box<dyn Stream<Item = std::io::Result<Bytes>>>>;
--- a/crates/playhouse/src/vault_tests.rs
+++ b/crates/pebblepond/src/vault_tests.rs
@@ -4,7 +4,6 @@
 use raft::{Entry, HardState, Snapshot, StorageWrite};
 use rand::{Rng, SeedableRng};
 use std::path::PathBuf;
-use std::time::Duration;
 
 /// A folder that is removed at the end of a test.
 struct Folder(PathBuf);
@@ -241,7 +240,7 @@
     let folder = std::env::temp_dir().join(format!("vault-{}", rand::thread_rng().gen::<u64>()));
     let folder = folder.to_str().expect("utf-8").to_string();
     let (words, mut inbox) = tokio::sync::mpsc::unbounded_channel();
-    let first = Vault::open(&folder, words.clone()).expect("opens");
+    let first = Vault::open(&folder, words).expect("opens");
     assert!(first.empty);
     first.vault.set_cluster(9);
     first.vault.write(
@@ -269,7 +268,9 @@
     );
     while !matches!(inbox.blocking_recv(), Some(Word::Done(2))) {}
     drop(first.vault);
-    std::thread::sleep(Duration::from_millis(50));
+    // The disk's thread drops its sender when it has ended.
+    while inbox.blocking_recv().is_some() {}
+    let (words, _) = tokio::sync::mpsc::unbounded_channel();
     let again = Vault::open(&folder, words).expect("opens");
     assert!(!again.empty);
     assert_eq!(
--- a/crates/playhouse/tests/command_line.rs
+++ b/crates/pebblepond/tests/command_line.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_playhouse");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_pebblepond");
 
 fn run(arguments: &[&str]) -> Output {
     Command::new(PROGRAM)
--- a/crates/playhouse/tests/processes.rs
+++ b/crates/pebblepond/tests/processes.rs
@@ -1,11 +1,11 @@
-//! Faults on real processes of this build: a part of what `understage` plays.
+//! Faults on real processes of this build: a part of what `fleet-test` plays.
 
+use fleet_test::scenarios::{by_name, Options, Pace, Verdict};
 use std::path::Path;
-use understage::scenarios::{by_name, Options, Pace, Verdict};
 
 fn holds(name: &str) {
     let scenario = by_name(name).expect("a scenario of this name");
-    let program = Path::new(env!("CARGO_BIN_EXE_playhouse"));
+    let program = Path::new(env!("CARGO_BIN_EXE_pebblepond"));
     let played = scenario.play(program, Options::of(Pace::Short));
     let verdict = actix_rt::System::new().block_on(played);
     assert!(matches!(verdict, Verdict::Held), "{name}: {verdict:#?}");
--- a/crates/boxoffice/src/bench.rs
+++ b/crates/placement/src/bench.rs
@@ -4,8 +4,8 @@
 
 use config::constants as c;
 use control_state::ControlState;
-use preview::Side;
 use protocol::{name_hash, Worker, WorkerStats};
+use rollout::Side;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Outcomes that fade.
--- a/crates/protocol/src/change.rs
+++ b/crates/protocol/src/change.rs
@@ -2,8 +2,8 @@
 
 use crate::command::{CommandTag, ConfigurationCommand, KillSwitch};
 use crate::image::ConfigurationKey;
-use preview::PreviewChange;
 use prost::{Message, Oneof};
+use rollout::PreviewChange;
 
 /// One change to the control state.
 #[derive(Clone, PartialEq, Message)]
--- a/crates/protocol/src/command.rs
+++ b/crates/protocol/src/command.rs
@@ -1,8 +1,8 @@
 //! Commands of the operator, on their way to the leader and back.
 
 use crate::change::EvacuationChange;
-use preview::{Create, PreviewChange};
 use prost::{Message, Oneof};
+use rollout::{Create, PreviewChange};
 
 /// A command, passed on to the leader.
 #[derive(Clone, PartialEq, Message)]
--- a/crates/protocol/src/image.rs
+++ b/crates/protocol/src/image.rs
@@ -2,8 +2,8 @@
 
 use crate::change::{KeyLease, SiteFraction, WarmupGroup, Worker};
 use crate::command::{CommandTag, KillSwitch};
-use preview::Preview;
 use prost::Message;
+use rollout::Preview;
 
 /// The whole control state.
 #[derive(Clone, PartialEq, Message)]
--- a/crates/protocol/src/report.rs
+++ b/crates/protocol/src/report.rs
@@ -1,7 +1,7 @@
 //! What a node tells the leader twice a second: rates, capacities and distances.
 
-use preview::Trial;
 use prost::Message;
+use rollout::Trial;
 use std::collections::BTreeMap;
 
 /// A name in four bytes (FNV-1a), for reports: they go between regions twice a second, and
--- a/crates/rehearsal/examples/capacity.rs
+++ b/crates/simulation/examples/capacity.rs
@@ -2,7 +2,7 @@
 //! transport, all in this one process:
 //!
 //! ```text
-//! cargo run --release -p rehearsal --example capacity
+//! cargo run --release -p pebblepond-simulation --example capacity
 //! ```
 //!
 //! Each row is measured at several sizes; `power` is the exponent of a power law
@@ -10,17 +10,17 @@
 //! target size. Processor time is that of this thread. Ends by itself in about two
 //! minutes and a few hundred megabytes.
 
-use boxoffice::{Bench, Caller, Casting, Scene};
-use callboard::{Board, Member, Notice, Timing};
+use balancer::{LoadBalancer, Neighbours, Observed, Place, Request};
 use config::{constants as c, settings::Bounds, Configuration, RouteKind};
 use control_state::{ControlState, KEY_SPACE};
+use gossip::{Board, Member, Notice, Timing};
+use key_ownership::{Act, Granted, OwnershipManager};
+use placement::{Bench, Caller, Casting, Scene};
 use prost::Message as _;
 use protocol::*;
-use rehearsal::world::World;
+use simulation::world::World;
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use usher::{Neighbours, Observed, Place, Request, Usher};
-use wardrobe::{Act, Granted, Wardrobe};
 
 const NODES: f64 = 6900.0;
 const WORKERS: f64 = 51_000.0;
@@ -292,9 +292,9 @@
         let zones = (0..37)
             .map(|z| (format!("zone-{z}"), format!("region-{}", z % 16)))
             .collect();
-        let mut usher = Usher::new("zone-1", zones, Bounds::default(), 1);
-        usher.set_stage(1, held.clone());
-        usher.set_neighbours(Neighbours {
+        let mut balancer = LoadBalancer::new("zone-1", zones, Bounds::default(), 1);
+        balancer.set_stage(1, held.clone());
+        balancer.set_neighbours(Neighbours {
             place: Place {
                 edges: 6900,
                 number: 3,
@@ -321,8 +321,8 @@
                     left_ms: 2000,
                     zone: None,
                 };
-                if let usher::Found::Worker(w) = usher.choose(now, &ask) {
-                    usher.observe(now, &w.id, Observed::Answered(90.0));
+                if let balancer::Found::Worker(w) = balancer.choose(now, &ask) {
+                    balancer.observe(now, &w.id, Observed::Answered(90.0));
                 }
             }),
         );
@@ -331,7 +331,7 @@
             "us a node",
             micros(|| {
                 word_of_one(&mut held);
-                usher.set_stage(now, held.clone());
+                balancer.set_stage(now, held.clone());
             }),
         );
         // The leader's duties.
@@ -382,17 +382,17 @@
                 bench.decide(20_000, &stage);
             }),
         );
-        let mut wardrobe = Wardrobe::new(10_000, 300);
-        wardrobe.begin(now, &stage);
+        let mut ownership = OwnershipManager::new(10_000, 300);
+        ownership.begin(now, &stage);
         note(
             "leader: renewals of keys",
             "us a look",
             micros(|| {
                 now += c::KEY_CHECK_INTERVAL_MS;
-                for act in wardrobe.tick(now, &stage) {
+                for act in ownership.tick(now, &stage) {
                     match act {
-                        Act::Grant(g) => wardrobe.granted(now, &g, Granted::Yes),
-                        Act::Log(_) => wardrobe.logged(),
+                        Act::Grant(g) => ownership.granted(now, &g, Granted::Yes),
+                        Act::Log(_) => ownership.logged(),
                         Act::Release(_) => {}
                     }
                 }
@@ -401,7 +401,7 @@
         note(
             "repair: digests of a copy",
             "us",
-            micros(|| drop(understudy::digests(&stage))),
+            micros(|| drop(anti_entropy::digests(&stage))),
         );
     }
     for (name, (unit, points)) in rows {
@@ -426,7 +426,7 @@
         world.run(6000);
         let mut version = 0;
         let mut order = |world: &mut World| {
-            let body = rehearsal::script::configuration(version + 1);
+            let body = simulation::script::configuration(version + 1);
             let order = ConfigurationCommand {
                 base: version,
                 body,
--- a/crates/rehearsal/examples/catch_up.rs
+++ b/crates/simulation/examples/catch_up.rs
@@ -2,13 +2,13 @@
 //! size, on simulated time:
 //!
 //! ```text
-//! cargo run --release -p rehearsal --example catch_up
+//! cargo run --release -p pebblepond-simulation --example catch_up
 //! ```
 
 use control_state::Outcome;
 use protocol::ConfigurationCommand;
-use rehearsal::script::large_configuration;
-use rehearsal::world::World;
+use simulation::script::large_configuration;
+use simulation::world::World;
 
 const NARROW: u64 = 250_000;
 
--- a/crates/rehearsal/examples/explore.rs
+++ b/crates/simulation/examples/explore.rs
@@ -1,14 +1,14 @@
 //! Searches random worlds for what breaks a promise.
 //!
 //! ```text
-//! cargo run --release -p rehearsal --example explore -- --worlds 10000 --seed 1
-//! cargo run --release -p rehearsal --example explore -- --replay 4711
+//! cargo run --release -p pebblepond-simulation --example explore -- --worlds 10000 --seed 1
+//! cargo run --release -p pebblepond-simulation --example explore -- --replay 4711
 //! ```
 
 use clap::Parser;
-use rehearsal::faults::Tree;
-use rehearsal::front::Mutant;
-use rehearsal::run::{verdict, Reached};
+use simulation::faults::Tree;
+use simulation::front::Mutant;
+use simulation::run::{verdict, Reached};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -49,7 +49,9 @@
 const SMALLER: usize = 1500;
 
 fn replay_line(seed: u64, steps: usize) -> String {
-    format!("cargo run --release -p rehearsal --example explore -- --steps {steps} --replay {seed}")
+    format!(
+        "cargo run --release -p pebblepond-simulation --example explore -- --steps {steps} --replay {seed}"
+    )
 }
 
 fn main() {
--- a/crates/rehearsal/src/front.rs
+++ b/crates/simulation/src/front.rs
@@ -1,5 +1,5 @@
 //! How a node deals with orders that reach it: carries them out if it leads, or passes
-//! them to whom it believes leads, as `playhouse` does. The log judges them, or a copy
+//! them to whom it believes leads, as `pebblepond` does. The log judges them, or a copy
 //! that a majority has confirmed since they came.
 
 use crate::history::{digest, Reply, Request};
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,4 +1,4 @@
-//! Rehearsals: the protocol logic of pebblepond on simulated time, network and
+//! The protocol logic of pebblepond on simulated time, network and
 //! disks, told what to do by scenarios in small text files. Whatever a scenario
 //! does, a few things must hold at every moment; see [`world::World::check`]. What
 //! everybody saw of a run is judged by [`checker`].
--- a/crates/rehearsal/src/node.rs
+++ b/crates/simulation/src/node.rs
@@ -1,12 +1,12 @@
-//! One node: the agreement, its copy of the control state, and the wardrobe.
+//! One node: the agreement, its copy of the control state, and the ownership of keys.
 
 use crate::disk::Disk;
 use config::constants as c;
 use control_state::{ControlState, Outcome};
+use key_ownership::OwnershipManager;
 use protocol::ConfigurationCommand;
 use raft::{Config, EntryType, LogPosition, RaftNode, ReadState, UpstreamSelector};
 use std::collections::VecDeque;
-use wardrobe::Wardrobe;
 
 pub const TIMING: Config = Config {
     heartbeat_ms: c::HEARTBEAT_MS,
@@ -28,8 +28,8 @@
 pub struct Life {
     pub raft: RaftNode,
     pub stage: ControlState,
-    pub wardrobe: Wardrobe,
-    pub wardrobe_since: Option<u64>,
+    pub ownership: OwnershipManager,
+    pub ownership_since: Option<u64>,
     pub next_poll: u64,
     pub current: bool,
     /// The newest version acknowledged before this life began.
@@ -100,8 +100,8 @@
         self.life = Some(Life {
             raft,
             stage,
-            wardrobe: Wardrobe::new(10_000, 300),
-            wardrobe_since: None,
+            ownership: OwnershipManager::new(10_000, 300),
+            ownership_since: None,
             next_poll: 0,
             current: false,
             acked_before: acked,
--- a/crates/rehearsal/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -1,7 +1,7 @@
 //! Stand-in workers that hold keys, as the protocol lays it down.
 
+use key_ownership::{Granted, Released};
 use protocol::{KeyLease, Worker};
-use wardrobe::{Granted, Released};
 
 #[derive(Clone, Debug)]
 struct Held {
--- a/crates/rehearsal/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -5,6 +5,7 @@
 use crate::workers::StandIn;
 use config::constants as c;
 use control_state::Outcome;
+use key_ownership::{Act, GrantCall, Granted, ReleaseCall, Released};
 use protocol::*;
 use raft::{
     next_membership, tolerates_faults, FaultTolerance, LogPosition, PeerObservation, SilenceTimeouts,
@@ -13,7 +14,6 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
-use wardrobe::{Act, GrantCall, Granted, ReleaseCall, Released};
 
 pub const LOSSES: FaultTolerance = FaultTolerance {
     machines: 1,
@@ -376,7 +376,7 @@
                     end,
                 } => {
                     if let Some(l) = self.life_of(&leader, life) {
-                        l.wardrobe.granted(now, &call, end);
+                        l.ownership.granted(now, &call, end);
                     }
                 }
                 Flight::Release { leader, life, call } => {
@@ -406,7 +406,7 @@
                     end,
                 } => {
                     if let Some(l) = self.life_of(&leader, life) {
-                        l.wardrobe.released(now, &call, end);
+                        l.ownership.released(now, &call, end);
                     }
                 }
             }
@@ -476,7 +476,7 @@
                 continue;
             }
             if !life.raft.is_leader() {
-                life.wardrobe_since = None;
+                life.ownership_since = None;
                 continue;
             }
             let me = life.raft.id();
@@ -521,16 +521,16 @@
                     life.raft.propose(Change::encode(change));
                 }
             }
-            if life.wardrobe_since != Some(life.raft.leader_since()) {
-                life.wardrobe_since = Some(life.raft.leader_since());
-                life.wardrobe.begin(now, &life.stage);
+            if life.ownership_since != Some(life.raft.leader_since()) {
+                life.ownership_since = Some(life.raft.leader_since());
+                life.ownership.begin(now, &life.stage);
             }
             // A change of keys is logged when it is applied; one at a time.
             let pending = life.raft.last_index() > life.stage.index;
             if !pending {
-                life.wardrobe.logged();
+                life.ownership.logged();
             }
-            for act in life.wardrobe.tick(now, &life.stage) {
+            for act in life.ownership.tick(now, &life.stage) {
                 match act {
                     Act::Log(put) => {
                         life.raft
@@ -637,7 +637,7 @@
             }
             if life.stage.index > *applied {
                 *applied = life.stage.index;
-                let digest = understudy::digests(&life.stage).ranges;
+                let digest = anti_entropy::digests(&life.stage).ranges;
                 let known = self
                     .digests
                     .entry(life.stage.index)
--- a/crates/rehearsal/tests/catch_up.rs
+++ b/crates/simulation/tests/catch_up.rs
@@ -4,8 +4,8 @@
 use config::Configuration;
 use control_state::Outcome;
 use protocol::ConfigurationCommand;
-use rehearsal::script::large_configuration;
-use rehearsal::world::World;
+use simulation::script::large_configuration;
+use simulation::world::World;
 
 /// 2 Mbit/s, in bytes.
 const NARROW: u64 = 250_000;
--- a/crates/rehearsal/tests/checker.rs
+++ b/crates/simulation/tests/checker.rs
@@ -13,8 +13,8 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use rehearsal::checker::{judge, Check, Promise};
-use rehearsal::history::{digest, Content, History, Replica, Reply, Request, Saw};
+use simulation::checker::{judge, Check, Promise};
+use simulation::history::{digest, Content, History, Replica, Reply, Request, Saw};
 use std::collections::BTreeMap;
 
 fn number(word: &str) -> u64 {
@@ -661,7 +661,7 @@
         prop_assert!(!judge(&changed, Promise::default()).is_empty(), "another's reply");
         // The last read hears what was true at the beginning, when more is known.
         let mut changed = history.clone();
-        let acknowledged = |e: &rehearsal::history::Event| matches!(&e.saw, Saw::Heard { reply, .. } if reply.status == 200 && reply.read.is_none());
+        let acknowledged = |e: &simulation::history::Event| matches!(&e.saw, Saw::Heard { reply, .. } if reply.status == 200 && reply.read.is_none());
         if let Some(first) = history.events.iter().find(|e| acknowledged(e)) {
             let (at, attempt) = (first.at + 1000, 900);
             let (order, request) = (900, Request::Read);
--- a/crates/rehearsal/tests/cold.rs
+++ b/crates/simulation/tests/cold.rs
@@ -1,9 +1,10 @@
 //! Whatever comes at a cold worker, all nodes together stay within its bound:
 //! arbitrary arrivals, joins, restarts, leaders and views that lag behind.
 
-use boxoffice::{Caller, Casting, Listed, Scene};
+use balancer::{Found, LoadBalancer, Neighbours, Observed, Place, Request};
 use config::{constants as c, settings::Bounds};
 use control_state::{ControlState, KEY_SPACE};
+use placement::{Caller, Casting, Listed, Scene};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use protocol::*;
@@ -11,7 +12,6 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use usher::{Found, Neighbours, Observed, Place, Request, Usher};
 
 const CONFIG: &str = r#"{"Version":1,"Limits":{"HeaderMaxBytes":1,"BodyMaxBytes":1,"HeaderTimeout":"1s","IdleTimeout":"1s"},
     "AccessPoints":[{"Host":"h","Rules":[
@@ -61,7 +61,7 @@
 struct Node {
     id: u64,
     zone: u64,
-    usher: Usher,
+    balancer: LoadBalancer,
     seen: usize,
     /// How far its copy lags behind.
     lag_ms: u64,
@@ -138,7 +138,7 @@
         Node {
             id: self.next_id,
             zone,
-            usher: Usher::new(&format!("z{zone}"), zones, self.bounds.clone(), seed),
+            balancer: LoadBalancer::new(&format!("z{zone}"), zones, self.bounds.clone(), seed),
             seen: 0,
             lag_ms: self.rng.gen_range(0..1200),
             up_at: self.now,
@@ -254,7 +254,7 @@
             lag_ms: LAG_MS,
         };
         let change = self.casting.compare(now, &listed, &scene);
-        if !boxoffice::is_nothing(&change) {
+        if !placement::is_nothing(&change) {
             self.change(ChangeKind::Workers(change));
         }
     }
@@ -289,7 +289,7 @@
         for (_, node, id, worker) in due.drain(..) {
             if self.nodes[node].id == id {
                 self.nodes[node]
-                    .usher
+                    .balancer
                     .observe(now, &worker, Observed::Answered(60.0));
             }
         }
@@ -309,7 +309,7 @@
         let newest = log.partition_point(|(at, _)| at + node.lag_ms <= now).max(1) - 1;
         if node.seen < newest {
             node.seen = newest;
-            node.usher.set_stage(now, log[newest].1.clone());
+            node.balancer.set_stage(now, log[newest].1.clone());
         }
         // Who has just begun knows nobody.
         let alone = now < node.up_at + 1000;
@@ -318,7 +318,7 @@
         } else {
             (edges, edges / ZONES as usize)
         };
-        node.usher.set_neighbours(Neighbours {
+        node.balancer.set_neighbours(Neighbours {
             place: Place {
                 edges,
                 number: 0,
@@ -348,7 +348,7 @@
                     left_ms: 8000,
                     zone: None,
                 };
-                if let Found::Worker(found) = node.usher.choose(now, &ask) {
+                if let Found::Worker(found) = node.balancer.choose(now, &ask) {
                     let answer = (now + 60, i, node.id, found.id.clone());
                     self.answers.push(answer);
                     if let Some(w) = self.workers.get_mut(&found.id) {
--- a/crates/rehearsal/tests/explore.rs
+++ b/crates/simulation/tests/explore.rs
@@ -1,12 +1,12 @@
 //! Random worlds under fixed seeds: the system breaks no promise, and real faults that
 //! are planted into how nodes deal with orders are found by the checker. Longer searches:
-//! `cargo run --release -p rehearsal --example explore -- --worlds 100000`.
+//! `cargo run --release -p pebblepond-simulation --example explore -- --worlds 100000`.
 
 use proptest::strategy::Strategy;
 use proptest::test_runner::{Config, RngSeed, TestCaseError, TestRunner};
-use rehearsal::faults::{plans, Ask, Fault, Plan, Step, Tree, Way, What};
-use rehearsal::front::Mutant;
-use rehearsal::run::{verdict, Reached};
+use simulation::faults::{plans, Ask, Fault, Plan, Step, Tree, Way, What};
+use simulation::front::Mutant;
+use simulation::run::{verdict, Reached};
 use std::time::{Duration, Instant};
 
 /// Most steps of a world.
--- a/crates/rehearsal/tests/histories.rs
+++ b/crates/simulation/tests/histories.rs
@@ -3,10 +3,10 @@
 //! winner, and the split from before comes back exactly.
 
 use control_state::{ControlState, Outcome};
-use preview::{Action, Create, PreviewChange, Refusal, Side, State};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use protocol::{Change, ChangeKind};
+use rollout::{Action, Create, PreviewChange, Refusal, Side, State};
 use std::collections::BTreeMap;
 
 const ACTIONS: [Action; 7] = [
@@ -80,7 +80,7 @@
                     target: format!("v{}", m.target),
                     duration_ms: 9000,
                 }),
-                showings: preview::showings(9000, 0.1),
+                showings: rollout::showings(9000, 0.1),
                 before: vec!["v1".into()],
                 ..Default::default()
             };
--- a/crates/rehearsal/tests/model.rs
+++ b/crates/simulation/tests/model.rs
@@ -5,9 +5,9 @@
 
 use config::constants as c;
 use control_state::ControlState;
+use key_ownership::{Act, GrantCall, Granted, OwnershipManager, ReleaseCall, Released};
 use protocol::*;
-use rehearsal::workers::StandIn;
-use wardrobe::{Act, GrantCall, Granted, ReleaseCall, Released, Wardrobe};
+use simulation::workers::StandIn;
 
 const TICK_MS: u64 = 100;
 /// A call that has not arrived by then never does: its connection has ended.
@@ -75,7 +75,7 @@
 struct Model {
     now: u64,
     stage: ControlState,
-    leaders: [Wardrobe; 2],
+    leaders: [OwnershipManager; 2],
     leading: usize,
     flights: Vec<Flight>,
     workers: Vec<StandIn>,
@@ -91,7 +91,7 @@
             stage.apply(index, &Change::encode(kind));
         };
         change(ChangeKind::Replace(ConfigurationCommand {
-            body: rehearsal::script::configuration(1),
+            body: simulation::script::configuration(1),
             ..Default::default()
         }));
         let rows: Vec<Worker> = (0..3)
@@ -107,7 +107,7 @@
             put: rows.clone(),
             ..Default::default()
         }));
-        let new = || Wardrobe::new(10_000, 300);
+        let new = || OwnershipManager::new(10_000, 300);
         Model {
             now: 10_000,
             stage,
@@ -128,7 +128,7 @@
     fn lead(&mut self) {
         self.leading = 1 - self.leading;
         if self.forgets {
-            self.leaders[self.leading] = Wardrobe::new(10_000, 300);
+            self.leaders[self.leading] = OwnershipManager::new(10_000, 300);
         } else {
             let (now, stage) = (self.now, self.stage.clone());
             self.leaders[self.leading].begin(now, &stage);
--- a/crates/rehearsal/tests/owners.rs
+++ b/crates/simulation/tests/owners.rs
@@ -49,7 +49,7 @@
         steps in prop::collection::vec(step(), 1..12),
     ) {
         let text = format!("{BEGIN}{}{CALM}", steps.concat());
-        let played = std::panic::catch_unwind(|| rehearsal::script::play(&text, seed));
+        let played = std::panic::catch_unwind(|| simulation::script::play(&text, seed));
         let told = played.map_err(|e| {
             let text = e.downcast_ref::<String>().cloned();
             text.or_else(|| e.downcast_ref::<&str>().map(|t| t.to_string())).unwrap_or_default()
--- a/crates/rehearsal/tests/repeat.rs
+++ b/crates/simulation/tests/repeat.rs
@@ -1,9 +1,9 @@
 //! Random worlds repeat exactly: what a change of names or shape leaves alone must give the
 //! same counts to the last digit. A change of behaviour may move them, and says why.
 
-use rehearsal::faults::Tree;
-use rehearsal::front::Mutant;
-use rehearsal::run::{verdict, Reached};
+use simulation::faults::Tree;
+use simulation::front::Mutant;
+use simulation::run::{verdict, Reached};
 
 /// The first seed, and how many worlds follow one by one.
 const FIRST: u64 = 90_210;
--- a/crates/rehearsal/tests/rollouts.rs
+++ b/crates/simulation/tests/rollouts.rs
@@ -19,15 +19,15 @@
 //! At the end of each: a bad version had no more than it may have, lost its traffic
 //! in time, and what was said to have ended has ended everywhere.
 
+use balancer::{Found, LoadBalancer, Neighbours, Observed, Place, Request, Ticket};
 use config::settings::Bounds;
 use control_state::{ControlState, Outcome};
-use preview::{Action, Create, Critic, Facts, Level, Levels, PreviewChange, Side, State, Trial};
 use protocol::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
+use rollout::{Action, Create, Critic, Facts, Level, Levels, PreviewChange, Side, State, Trial};
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use usher::{Found, Neighbours, Observed, Place, Request, Ticket, Usher};
 
 const CONFIG: &str = r#"{"Version":VERSION,"Limits":{"HeaderMaxBytes":1,"BodyMaxBytes":1,"HeaderTimeout":"1s","IdleTimeout":"1s"},
     "AccessPoints":[{"Host":"h","Rules":[
@@ -53,7 +53,7 @@
 struct Node {
     id: u64,
     zone: u64,
-    usher: Usher,
+    balancer: LoadBalancer,
     seen: usize,
     lag_ms: u64,
     up_at: u64,
@@ -203,7 +203,7 @@
         Node {
             id: self.next_id,
             zone,
-            usher: Usher::new(&format!("z{zone}"), zones, Self::bounds(), seed),
+            balancer: LoadBalancer::new(&format!("z{zone}"), zones, Self::bounds(), seed),
             seen: 0,
             lag_ms: self.rng.gen_range(0..250),
             up_at: self.now,
@@ -250,7 +250,7 @@
                 target: target.into(),
                 duration_ms,
             }),
-            showings: preview::showings(duration_ms, SHARE),
+            showings: rollout::showings(duration_ms, SHARE),
             before: vec!["v1".into()],
             ..Default::default()
         };
@@ -339,7 +339,7 @@
                 self.change(ChangeKind::Rollout(change));
             }
         }
-        let ended = |p: &Arc<preview::Preview>| p.state_now() == State::Completed;
+        let ended = |p: &Arc<rollout::Preview>| p.state_now() == State::Completed;
         if self.ended_at == 0 && self.stage().rollouts.values().any(ended) {
             self.ended_at = now;
         }
@@ -368,9 +368,9 @@
             let node = &mut self.nodes[f.node];
             if node.id == f.life {
                 if let Some(ticket) = &f.ticket {
-                    node.usher.observe_trial(ticket, f.end);
+                    node.balancer.observe_trial(ticket, f.end);
                 }
-                node.usher.observe(now, &f.worker, f.end);
+                node.balancer.observe(now, &f.worker, f.end);
             }
         }
         for i in 0..self.nodes.len() {
@@ -380,9 +380,9 @@
             for i in 0..self.nodes.len() {
                 let delay = self.rng.gen_range(100..700);
                 let node = &mut self.nodes[i];
-                let trials = node.usher.take_trials();
+                let trials = node.balancer.take_trials();
                 let sums = node
-                    .usher
+                    .balancer
                     .take_observed()
                     .iter()
                     .filter(|(id, ..)| id.starts_with("v1"))
@@ -406,15 +406,15 @@
         }
         let hears = node.cut_until <= now && now >= self.core_cut_until;
         if hears {
-            node.usher.set_contact(now);
+            node.balancer.set_contact(now);
             node.heard_at = now;
             let newest = self.log.partition_point(|(at, _)| at + node.lag_ms <= now).max(1) - 1;
             if node.seen < newest {
                 node.seen = newest;
-                node.usher.set_stage(now, self.log[newest].1.clone());
+                node.balancer.set_stage(now, self.log[newest].1.clone());
             }
         }
-        node.usher.set_neighbours(Neighbours {
+        node.balancer.set_neighbours(Neighbours {
             place: Place {
                 edges: count,
                 number: i,
@@ -446,7 +446,7 @@
                 zone: None,
             };
             let node = &mut self.nodes[i];
-            let Found::Worker(found) = node.usher.choose(now, &ask) else {
+            let Found::Worker(found) = node.balancer.choose(now, &ask) else {
                 return;
             };
             let in_term = now >= self.ordered_at && now < self.term && self.ordered_at > 0;
@@ -461,7 +461,7 @@
                 self.late_sends += u64::from(over && in_touch);
                 let node = &self.nodes[i];
                 let active = self.log[node.seen].1.rollouts.values().any(|p| p.is_active());
-                let lost = now > node.heard_at + preview::FALLBACK_MS;
+                let lost = now > node.heard_at + rollout::FALLBACK_MS;
                 self.lost_sends += u64::from(active && lost);
             } else if self.ended_at > 0 && hears && now > self.ended_at + 300 {
                 self.old_after_end += 1;
@@ -644,5 +644,5 @@
 
 #[test]
 fn every_rollout() {
-    rehearsal::script::play_folder("previews", 10, 3, play);
+    simulation::script::play_folder("previews", 10, 3, play);
 }
--- a/crates/rehearsal/tests/scenarios.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -1,6 +1,6 @@
 //! Plays every scenario under a few seeds.
 
-use rehearsal::script::{play, play_folder};
+use simulation::script::{play, play_folder};
 
 #[test]
 fn every_scenario() {
--- a/crates/rehearsal/tests/uneven.rs
+++ b/crates/simulation/tests/uneven.rs
@@ -1,6 +1,6 @@
 //! Live voters that stand unevenly over the regions.
 
-use rehearsal::script::play;
+use simulation::script::play;
 
 /// Three voters of one region and one of each other: no loss of the first is borne, and
 /// no single step mends that. Those too many step back and are not let in again.
--- a/crates/rehearsal/tests/wire.rs
+++ b/crates/simulation/tests/wire.rs
@@ -3,11 +3,11 @@
 //! message (of each variant of a `oneof`), a line each: name and bytes. The names are those
 //! of the version that wrote them.
 
-use callboard::{Member, Notice};
-use preview::{Audit, Create, Preview, PreviewChange, Review, Showing, Trial};
+use gossip::{Member, Notice};
 use prost::Message;
 use protocol::*;
 use raft::{Entry, Membership, Snapshot, Voter};
+use rollout::{Audit, Create, Preview, PreviewChange, Review, Showing, Trial};
 
 /// Messages in `wire.hex`.
 const MESSAGES: usize = 67;
