--- a/crates/anti-entropy/src/lib.rs
+++ b/crates/anti-entropy/src/lib.rs
@@ -1,5 +1,5 @@
 //! Repair: a data-plane copy is compared with another by digests over ranges
-//! of its rows, and ranges that differ are mended from the newer copy.
+//! of its rows, and ranges that differ are repaired from the newer copy.
 
 use control_state::ControlState;
 use prost::Message;
@@ -91,7 +91,7 @@
 
 /// What a peer that sent its digests lacks of this copy; `None` if this copy is
 /// not the newer one or nothing differs.
-pub fn mend_for(stage: &ControlState, theirs: &RangeDigests) -> Option<Repair> {
+pub fn repair_for(stage: &ControlState, theirs: &RangeDigests) -> Option<Repair> {
     if stage.index < theirs.index {
         return None;
     }
@@ -115,7 +115,7 @@
 
 /// The copy with the ranges of a mend put in place of its own; `None` if the
 /// mend is not newer or cannot be read.
-pub fn mended(stage: &ControlState, mend: &Repair) -> Option<ControlState> {
+pub fn repaired(stage: &ControlState, mend: &Repair) -> Option<ControlState> {
     let newer = mend.image.as_ref()?;
     if mend.index < stage.index {
         return None;
@@ -151,7 +151,7 @@
 /// The same, of a mend that answers digests which this node has sent: `None` also
 /// if the copy has changed since. What a mend leaves out is equal to the copy
 /// that was asked about, and to no other.
-pub fn mended_since(stage: &ControlState, asked: &RangeDigests, mend: &Repair) -> Option<ControlState> {
+pub fn repaired_since(stage: &ControlState, asked: &RangeDigests, mend: &Repair) -> Option<ControlState> {
     let unchanged = digests(stage) == *asked;
-    unchanged.then(|| mended(stage, mend))?
+    unchanged.then(|| repaired(stage, mend))?
 }
--- a/crates/anti-entropy/tests/asked.rs
+++ b/crates/anti-entropy/tests/asked.rs
@@ -1,7 +1,7 @@
 //! A mend says of the ranges that it leaves out only that they were equal to what
 //! was asked about. On a copy that has changed since it makes a state that never was.
 
-use anti_entropy::{digests, mend_for, mended, mended_since};
+use anti_entropy::{digests, repair_for, repaired, repaired_since};
 use control_state::ControlState;
 use protocol::{Change, ChangeKind, EvacuationChange};
 
@@ -24,15 +24,15 @@
     let after = evacuate(&during, false);
     // Two peers are asked at once; one answers late, from a newer copy.
     let asked = digests(&before);
-    let first = mend_for(&during, &asked).expect("it is newer");
-    let second = mend_for(&after, &asked).expect("it is newer");
-    let mine = mended_since(&before, &asked, &first).expect("just as asked");
+    let first = repair_for(&during, &asked).expect("it is newer");
+    let second = repair_for(&after, &asked).expect("it is newer");
+    let mine = repaired_since(&before, &asked, &first).expect("just as asked");
     assert_eq!(mine.image(), during.image());
-    let wrong = mended(&mine, &second).expect("it is taken");
+    let wrong = repaired(&mine, &second).expect("it is taken");
     assert_ne!(wrong.image(), after.image(), "a state that never was");
-    assert!(mended_since(&mine, &asked, &second).is_none());
+    assert!(repaired_since(&mine, &asked, &second).is_none());
     let asked = digests(&mine);
-    let third = mend_for(&after, &asked).expect("it is newer");
-    let mine = mended_since(&mine, &asked, &third).expect("just as asked");
+    let third = repair_for(&after, &asked).expect("it is newer");
+    let mine = repaired_since(&mine, &asked, &third).expect("just as asked");
     assert_eq!(mine.image(), after.image());
 }
--- a/crates/anti-entropy/tests/repair.rs
+++ b/crates/anti-entropy/tests/repair.rs
@@ -1,6 +1,6 @@
 //! What differs between two copies is sent, and only the newer one gives.
 
-use anti_entropy::{digests, mend_for, mended};
+use anti_entropy::{digests, repair_for, repaired};
 use control_state::ControlState;
 use protocol::{Change, ChangeKind, EvacuationChange, Worker, WorkersChange};
 
@@ -41,11 +41,11 @@
             begin: true,
         })),
     );
-    let mend = mend_for(&newer, &digests(&older)).expect("they differ");
+    let mend = repair_for(&newer, &digests(&older)).expect("they differ");
     assert!(mend.ranges.len() <= 3, "{:?}", mend.ranges);
-    older = mended(&older, &mend).expect("readable");
+    older = repaired(&older, &mend).expect("readable");
     assert_eq!(older.image(), newer.image());
-    assert!(mend_for(&newer, &digests(&older)).is_none());
+    assert!(repair_for(&newer, &digests(&older)).is_none());
 }
 
 #[test]
@@ -54,7 +54,7 @@
     add(&mut old, 1, "a");
     let mut new = old.clone();
     add(&mut new, 2, "b");
-    assert!(mend_for(&old, &digests(&new)).is_none());
-    let stale = mend_for(&old, &digests(&ControlState::default())).expect("differs");
-    assert!(mended(&new, &stale).is_none());
+    assert!(repair_for(&old, &digests(&new)).is_none());
+    let stale = repair_for(&old, &digests(&ControlState::default())).expect("differs");
+    assert!(repaired(&new, &stale).is_none());
 }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,14 +1,12 @@
-//! Membership: every node probes a few others in turn, asks third parties for
-//! a second opinion, suspects before it removes, and a suspect refutes by a
-//! higher incarnation.
+//! SWIM (A. Das, I. Gupta, A. Motivala, "SWIM: Scalable Weakly-consistent Infection-style
+//! Process Group Membership Protocol"): every node probes a few others in turn, asks third
+//! parties for an indirect probe, suspects before it removes, and a suspect refutes by a higher
+//! incarnation. What nodes learn travels on the probes.
 //!
-//! A pure state machine: datagrams and time in, datagrams out.
+//! [`MembershipProtocol`] is a pure state machine: messages and time in, messages out.
 
-mod board;
-mod notice;
+mod message;
+mod protocol;
 
-pub use board::{Board, Timing};
-pub use notice::{Member, Notice, NoticeKind, Standing};
-
-#[cfg(test)]
-mod tests;
+pub use message::{Member, MemberState, Message, MessageType};
+pub use protocol::{Config, Envelope, MembershipProtocol};
--- a/crates/pebblepond/src/desks.rs
+++ b/crates/pebblepond/src/admin_http.rs
@@ -3,9 +3,9 @@
 
 mod rollouts;
 
-use crate::conductor::{Conductor, Take};
-use crate::desk::{ClientSeen, Desk};
-use crate::kernel::{House, Plugin};
+use crate::balancer_actor::{BalancerActor, ClientZone};
+use crate::control::{ExecuteCommand, RaftDriver};
+use crate::kernel::{Component, NodeContext, StartError};
 use crate::sockets;
 use actix::prelude::*;
 use actix_http::HttpService;
@@ -23,29 +23,29 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-inventory::submit! { Plugin { name: "interfaces", order: 90, start } }
+inventory::submit! { Component { name: "admin_http", order: 90, start } }
 
 /// Largest body that control takes, bytes: a configuration of many thousand routes.
 const CONTROL_BODY: usize = 8 * 1024 * 1024;
 
-fn start(house: &Rc<House>) -> Result<(), String> {
-    let points = house.settings.get().network.listen_points.clone();
+fn start(context: &Rc<NodeContext>) -> Result<(), StartError> {
+    let points = context.settings.get().network.listen_points.clone();
     let mut seen = BTreeSet::new();
     for address in [points.readiness, points.control, points.directory]
         .into_iter()
         .flatten()
     {
         if seen.insert(address) {
-            serve(house.clone(), address)?;
+            serve(context.clone(), address)?;
         }
     }
     Ok(())
 }
 
 /// Serves all interfaces at one address; what is asked for tells them apart.
-fn serve(house: Rc<House>, address: SocketAddrV4) -> Result<(), String> {
-    let listener = sockets::listen(address).map_err(|e| format!("cannot listen on {address}: {e}"))?;
-    let data = web::Data::new(Shared(house));
+fn serve(context: Rc<NodeContext>, address: SocketAddrV4) -> Result<(), StartError> {
+    let listener = sockets::listen(address).map_err(|source| StartError::Listen { address, source })?;
+    let data = web::Data::new(Shared(context));
     let app = App::new()
         .app_data(data)
         .app_data(web::PayloadConfig::new(CONTROL_BODY))
@@ -77,7 +77,7 @@
                 actix_rt::time::sleep(Duration::from_millis(10)).await;
                 continue;
             };
-            if sockets::dress(&stream).is_ok() {
+            if sockets::set_options(&stream).is_ok() {
                 let service = service.clone();
                 actix_rt::spawn(async move {
                     let _ = service.call(stream).await;
@@ -89,24 +89,27 @@
 }
 
 /// The house, for handlers; everything runs on one thread.
-struct Shared(Rc<House>);
+struct Shared(Rc<NodeContext>);
 
-async fn readiness(house: web::Data<Shared>) -> HttpResponse {
-    if house.0.is_open() {
+async fn readiness(context: web::Data<Shared>) -> HttpResponse {
+    if context.0.is_ready() {
         HttpResponse::Ok().finish()
     } else {
         HttpResponse::ServiceUnavailable().finish()
     }
 }
 
-async fn order(house: &House, request: &HttpRequest, order: Command) -> HttpResponse {
-    let Some(conductor) = house.get::<Addr<Conductor>>() else {
+async fn order(context: &NodeContext, request: &HttpRequest, order: Command) -> HttpResponse {
+    let Some(driver) = context.get::<Addr<RaftDriver>>() else {
         return HttpResponse::ServiceUnavailable().finish();
     };
-    let answer = conductor.send(Take(order)).await.unwrap_or(CommandResponse {
-        status: 503,
-        ..Default::default()
-    });
+    let answer = driver
+        .send(ExecuteCommand(order))
+        .await
+        .unwrap_or(CommandResponse {
+            status: 503,
+            ..Default::default()
+        });
     let status = StatusCode::from_u16(answer.status as u16).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     let mut response = HttpResponse::build(status);
     if status == StatusCode::SERVICE_UNAVAILABLE {
@@ -130,17 +133,17 @@
 /// A body, or why it could not be read.
 type Bytes = Result<web::Bytes, actix_web::Error>;
 
-async fn replace(house: web::Data<Shared>, request: HttpRequest, body: Bytes) -> HttpResponse {
-    change(&house.0, &request, body, Command::Replace).await
+async fn replace(context: web::Data<Shared>, request: HttpRequest, body: Bytes) -> HttpResponse {
+    change(&context.0, &request, body, Command::Replace).await
 }
 
-async fn modify(house: web::Data<Shared>, request: HttpRequest, body: Bytes) -> HttpResponse {
-    change(&house.0, &request, body, Command::Modify).await
+async fn modify(context: web::Data<Shared>, request: HttpRequest, body: Bytes) -> HttpResponse {
+    change(&context.0, &request, body, Command::Modify).await
 }
 
 /// A change to the configuration, on top of the version that it names.
 async fn change(
-    house: &House,
+    context: &NodeContext,
     request: &HttpRequest,
     body: Bytes,
     kind: fn(ConfigurationCommand) -> Command,
@@ -162,7 +165,7 @@
         body: body.to_vec(),
         ..Default::default()
     };
-    order(house, request, kind(change)).await
+    order(context, request, kind(change)).await
 }
 
 /// Digits of the largest number of a version.
@@ -187,16 +190,16 @@
     text.parse().map_err(|_| "is too large")
 }
 
-async fn read(house: web::Data<Shared>, request: HttpRequest) -> HttpResponse {
-    order(&house.0, &request, Command::ReadConfiguration(true)).await
+async fn read(context: web::Data<Shared>, request: HttpRequest) -> HttpResponse {
+    order(&context.0, &request, Command::ReadConfiguration(true)).await
 }
 
-async fn status(house: web::Data<Shared>, request: HttpRequest) -> HttpResponse {
-    order(&house.0, &request, Command::Status(true)).await
+async fn status(context: web::Data<Shared>, request: HttpRequest) -> HttpResponse {
+    order(&context.0, &request, Command::Status(true)).await
 }
 
 async fn evacuate(
-    house: web::Data<Shared>,
+    context: web::Data<Shared>,
     request: HttpRequest,
     path: web::Path<(String, String)>,
 ) -> HttpResponse {
@@ -206,11 +209,11 @@
         "finish" => false,
         _ => return fault(StatusCode::NOT_FOUND, "an evacuation can begin and finish"),
     };
-    if !house.0.settings.get().network.zones.contains_key(&zone) {
+    if !context.0.settings.get().network.zones.contains_key(&zone) {
         return fault(StatusCode::NOT_FOUND, "no such zone");
     }
     let change = EvacuationChange { zone, begin };
-    order(&house.0, &request, Command::Evacuate(change)).await
+    order(&context.0, &request, Command::Evacuate(change)).await
 }
 
 #[derive(serde::Deserialize)]
@@ -228,37 +231,40 @@
 /// ready edges are the answer. Those of the client's own zone alone would leave
 /// it with nothing when the zone loses power and the directory with it.
 async fn resolution(
-    house: web::Data<Shared>,
+    context: web::Data<Shared>,
     request: HttpRequest,
     asked: web::Query<Asked>,
 ) -> HttpResponse {
-    let house = &house.0;
-    if let (Some(ip), Some(desk)) = (request.peer_addr().map(|a| a.ip()), house.get::<Addr<Desk>>()) {
-        desk.do_send(ClientSeen {
+    let context = &context.0;
+    if let (Some(ip), Some(balancer_actor)) = (
+        request.peer_addr().map(|a| a.ip()),
+        context.get::<Addr<BalancerActor>>(),
+    ) {
+        balancer_actor.do_send(ClientZone {
             client: ip,
             zone: asked.zone.clone(),
         });
     }
-    let members = house.members.get();
+    let members = context.members.get();
     let up: Vec<&Member> = members
         .iter()
-        .filter(|m| m.is_alive() && m.ready && !m.front.is_empty())
+        .filter(|m| m.is_alive() && m.is_ready && !m.client_address.is_empty())
         .collect();
-    let addresses = choose_edges(house, &asked, &up);
+    let addresses = choose_edges(context, &asked, &up);
     if addresses.is_empty() {
         return HttpResponse::ServiceUnavailable()
             .insert_header((header::RETRY_AFTER, "0.2"))
             .finish();
     }
-    let validity = c::DIRECTORY_TTL_MS.min(house.settings.get().terms.bounds.ttl_max.ms);
+    let validity = c::DIRECTORY_TTL_MS.min(context.settings.get().terms.bounds.ttl_max.ms);
     HttpResponse::Ok()
         .json(serde_json::json!({ "Addresses": addresses, "Validity": format!("{validity}ms") }))
 }
 
-fn choose_edges(house: &House, asked: &Asked, up: &[&Member]) -> Vec<String> {
-    let stage = house.stage.get();
+fn choose_edges(context: &NodeContext, asked: &Asked, up: &[&Member]) -> Vec<String> {
+    let state = context.state.get();
     let mut rng = rand::thread_rng();
-    let site = draw_site(&stage, asked, up, &mut rng);
+    let site = draw_site(&state, asked, up, &mut rng);
     let known = up.iter().any(|m| m.region == asked.region);
     let site = site.unwrap_or_else(|| {
         // No figures: the client's own region, or anywhere if none is up there.
@@ -271,10 +277,10 @@
     let mut addresses: Vec<String> = up
         .iter()
         .filter(|m| site.is_empty() || m.region == site)
-        .map(|m| m.front.clone())
+        .map(|m| m.client_address.clone())
         .collect();
     if addresses.is_empty() {
-        addresses = up.iter().map(|m| m.front.clone()).collect();
+        addresses = up.iter().map(|m| m.client_address.clone()).collect();
     }
     addresses.shuffle(&mut rng);
     addresses.truncate(c::DIRECTORY_MAX_ADDRESSES);
@@ -282,12 +288,12 @@
 }
 
 fn draw_site(
-    stage: &control_state::ControlState,
+    state: &control_state::ControlState,
     asked: &Asked,
     up: &[&Member],
     rng: &mut impl Rng,
 ) -> Option<String> {
-    let config = stage.configuration.as_ref()?;
+    let config = state.configuration.as_ref()?;
     let routes = config.hosts.get(&asked.name.to_ascii_lowercase())?;
     let services: Vec<&str> = routes
         .iter()
@@ -297,5 +303,5 @@
         .collect();
     let service = services.choose(rng)?;
     let usable = |site: &str| up.iter().any(|m| m.region == site);
-    placement::draw(&stage.fractions, service, &asked.zone, rng.gen(), usable).map(str::to_string)
+    placement::draw(&state.fractions, service, &asked.zone, rng.gen(), usable).map(str::to_string)
 }
--- a/crates/pebblepond/src/desks/rollouts.rs
+++ b/crates/pebblepond/src/admin_http/rollouts.rs
@@ -59,7 +59,7 @@
     })
 }
 
-pub async fn begin(house: web::Data<Shared>, request: HttpRequest, body: web::Bytes) -> HttpResponse {
+pub async fn begin(context: web::Data<Shared>, request: HttpRequest, body: web::Bytes) -> HttpResponse {
     let begin: Begin = match serde_json::from_slice(&body) {
         Ok(begin) => begin,
         Err(e) => return fault(StatusCode::BAD_REQUEST, &format!("the body cannot be read: {e}")),
@@ -80,23 +80,23 @@
         },
         why: begin.why,
     };
-    order(&house.0, &request, Command::BeginRollout(begin)).await
+    order(&context.0, &request, Command::BeginRollout(begin)).await
 }
 
 pub async fn read(
-    house: web::Data<Shared>,
+    context: web::Data<Shared>,
     request: HttpRequest,
     service: web::Path<String>,
 ) -> HttpResponse {
-    order(&house.0, &request, Command::ReadRollout(service.into_inner())).await
+    order(&context.0, &request, Command::ReadRollout(service.into_inner())).await
 }
 
-pub async fn list(house: web::Data<Shared>, request: HttpRequest) -> HttpResponse {
-    order(&house.0, &request, Command::ReadRollouts(true)).await
+pub async fn list(context: web::Data<Shared>, request: HttpRequest) -> HttpResponse {
+    order(&context.0, &request, Command::ReadRollouts(true)).await
 }
 
 pub async fn steer(
-    house: web::Data<Shared>,
+    context: web::Data<Shared>,
     request: HttpRequest,
     path: web::Path<(String, String)>,
     body: web::Bytes,
@@ -127,10 +127,10 @@
         bypass: steer.bypass,
         ..Default::default()
     };
-    order(&house.0, &request, Command::ChangeRollout(change)).await
+    order(&context.0, &request, Command::ChangeRollout(change)).await
 }
 
-pub async fn kill_switch(house: web::Data<Shared>, request: HttpRequest, body: web::Bytes) -> HttpResponse {
+pub async fn kill_switch(context: web::Data<Shared>, request: HttpRequest, body: web::Bytes) -> HttpResponse {
     let switch: Switch = match serde_json::from_slice(&body) {
         Ok(switch) => switch,
         Err(e) => return fault(StatusCode::BAD_REQUEST, &format!("the body cannot be read: {e}")),
@@ -140,5 +140,5 @@
         who: switch.who,
         why: switch.why,
     };
-    order(&house.0, &request, Command::KillSwitch(switch)).await
+    order(&context.0, &request, Command::KillSwitch(switch)).await
 }
--- a/crates/pebblepond/src/answers_tests.rs
+++ b/crates/pebblepond/src/answers_tests.rs
@@ -1,7 +1,7 @@
 //! Whose answer is whose, over real sockets: answers that are doubled, early,
 //! interim, nameless, late or cut, on fresh and on used connections.
 
-use crate::forwarding_tests::{front, get, house, post, raw, status, CONFIG};
+use crate::forwarding_tests::{get, node, post, proxy, raw, status, CONFIG};
 use crate::upstream::{simple, Simple, Upstream};
 use protocol::{Change, ChangeKind, ConfigurationCommand};
 use socket2::SockRef;
@@ -112,23 +112,23 @@
 
 /// A front that takes bodies of a megabyte.
 async fn large_bodies(workers: &[String]) -> SocketAddrV4 {
-    let (house, front) = house(workers).await;
+    let (node, proxy) = node(workers).await;
     let body = CONFIG.replace("\"Version\":1,", "\"Version\":2,");
     let order = ConfigurationCommand {
         base: 1,
         body: body.replace(":1000,", ":1000000,").into(),
         ..Default::default()
     };
-    let mut stage = (*house.stage.get()).clone();
-    stage.apply(3, &Change::encode(ChangeKind::Replace(order)));
-    assert_eq!(stage.version(), 2);
-    house.stage.set(stage);
-    front
+    let mut state = (*node.state.get()).clone();
+    state.apply(3, &Change::encode(ChangeKind::Replace(order)));
+    assert_eq!(state.version(), 2);
+    node.state.set(state);
+    proxy
 }
 
 /// Sends bytes on one connection, reads until the front closes it.
-async fn lines_of(front: SocketAddrV4, text: &str) -> Vec<String> {
-    let answer = raw(front, text).await;
+async fn lines_of(proxy: SocketAddrV4, text: &str) -> Vec<String> {
+    let answer = raw(proxy, text).await;
     let lines = answer.lines().filter(|l| l.contains("HTTP/1.1"));
     lines
         .map(|l| l[l.find("HTTP/1.1").unwrap_or(0)..].to_string())
@@ -144,9 +144,9 @@
         _ => say(shed("") + &ok("run")),
     })
     .await;
-    let front = front(&[address]).await;
+    let proxy = proxy(&[address]).await;
     for _ in 0..2 {
-        assert_eq!(status(&raw(front, &post("/once/a", "x")).await), "503");
+        assert_eq!(status(&raw(proxy, &post("/once/a", "x")).await), "503");
     }
     let connections: Vec<usize> = seen.borrow().iter().map(|(at, _)| *at).collect();
     assert_eq!(connections, [0, 1], "not on the connection that cannot tell");
@@ -202,8 +202,8 @@
             ..say(told.clone())
         })
         .await;
-        let front = front(&[address]).await;
-        let answer = raw(front, &post("/once/a", "x")).await;
+        let proxy = proxy(&[address]).await;
+        let answer = raw(proxy, &post("/once/a", "x")).await;
         if status(&answer) != wanted || seen.borrow().len() != 1 {
             wrong.push((text, wanted, answer));
         }
@@ -218,12 +218,12 @@
         _ => say(with_id("200 OK", "", "Server-Seal: s\r\n", "stray") + &ok("second")),
     })
     .await;
-    let front = front(&[address]).await;
-    assert!(raw(front, &get("/again/a")).await.ends_with("first"));
+    let proxy = proxy(&[address]).await;
+    assert!(raw(proxy, &get("/again/a")).await.ends_with("first"));
     let nameless = get("/again/a").replace("Attempt-Id: 7\r\n", "");
-    assert!(raw(front, &nameless).await.ends_with("first"));
+    assert!(raw(proxy, &nameless).await.ends_with("first"));
     assert_eq!(seen.borrow()[1].0, 1, "not on a connection that others used");
-    assert!(raw(front, &get("/again/a")).await.ends_with("second"));
+    assert!(raw(proxy, &get("/again/a")).await.ends_with("second"));
     assert_eq!(seen.borrow()[2].0, 0, "nor does anybody use it after");
 }
 
@@ -241,8 +241,8 @@
             _ => say(ok("next")),
         })
         .await;
-        let front = large_bodies(&[address]).await;
-        let mut io = TcpStream::connect(front).await.expect("connects");
+        let proxy = large_bodies(&[address]).await;
+        let mut io = TcpStream::connect(proxy).await.expect("connects");
         io.write_all(head.as_bytes()).await.expect("sends");
         let part = format!("{:x}\r\n{chunk}\r\n", chunk.len());
         io.write_all(part.as_bytes()).await.expect("sends");
@@ -250,7 +250,7 @@
         let mut got = vec![0u8; 12];
         io.read_exact(&mut got).await.expect("an answer");
         assert_eq!(status(&String::from_utf8_lossy(&got)), wanted);
-        assert!(raw(front, &get("/again/a")).await.ends_with("next"));
+        assert!(raw(proxy, &get("/again/a")).await.ends_with("next"));
         assert_eq!(seen.borrow()[1].0, 1, "on another connection");
     }
 }
@@ -264,8 +264,8 @@
         _ => say(shed("7") + &ok("run")),
     })
     .await;
-    let front = front(&[address.clone(), address]).await;
-    assert_eq!(status(&raw(front, &post("/once/a", "x")).await), "503");
+    let proxy = proxy(&[address.clone(), address]).await;
+    assert_eq!(status(&raw(proxy, &post("/once/a", "x")).await), "503");
     let connections: Vec<usize> = seen.borrow().iter().map(|(at, _)| *at).collect();
     assert_eq!(connections, [0, 1]);
 }
@@ -277,9 +277,9 @@
         _ => say(ok("next")),
     })
     .await;
-    let front = front(&[address]).await;
-    assert_eq!(status(&raw(front, &get("/short/a")).await), "504");
-    assert!(raw(front, &get("/again/a")).await.ends_with("next"));
+    let proxy = proxy(&[address]).await;
+    assert_eq!(status(&raw(proxy, &get("/short/a")).await), "504");
+    assert!(raw(proxy, &get("/again/a")).await.ends_with("next"));
     assert_eq!(seen.borrow()[1].0, 1);
 }
 
@@ -290,10 +290,10 @@
         say(ok(&path))
     })
     .await;
-    let front = front(&[address]).await;
+    let proxy = proxy(&[address]).await;
     let stay = |path: &str| get(path).replace("Connection: close, X-Hop\r\n", "");
     let all = stay("/again/a") + &stay("/none/") + &stay("/again/b") + &get("/again/c");
-    let answer = raw(front, &(all + &get("/again/d"))).await;
+    let answer = raw(proxy, &(all + &get("/again/d"))).await;
     let at = |what: &str| answer.find(what);
     assert!(
         at("/again/a") < at(" 404 ") && at(" 404 ") < at("/again/b") && at("/again/b") < at("/again/c"),
@@ -310,7 +310,7 @@
 #[actix_rt::test]
 async fn what_stands_in_a_body_that_nobody_read_is_no_request() {
     let (seen, address) = worker(|_, _, _| say(ok("run"))).await;
-    let front = front(&[address]).await;
+    let proxy = proxy(&[address]).await;
     let inner = get("/again/smuggled");
     let length = inner.len();
     let stay = "Host: a.example\r\nAttempt-Id: 7\r\n";
@@ -323,7 +323,7 @@
         format!("POST /once/a HTTP/1.1\r\n{stay}Content-Length : {length}\r\n\r\n"),
         format!("POST /once/a HTTP/1.1\r\n{stay}Transfer-Encoding: xchunked\r\n\r\n"),
     ] {
-        let mut io = TcpStream::connect(front).await.expect("connects");
+        let mut io = TcpStream::connect(proxy).await.expect("connects");
         io.write_all(head.as_bytes()).await.expect("sends");
         actix_rt::task::yield_now().await;
         let _ = io.write_all(inner.as_bytes()).await;
@@ -334,7 +334,7 @@
         assert!(answer.matches("HTTP/1.1").count() <= 1, "{head}{answer}");
         assert_eq!(seen.borrow().len(), 0, "{head}{answer}");
     }
-    assert_eq!(lines_of(front, &get("/again/a")).await, ["HTTP/1.1 200 OK"]);
+    assert_eq!(lines_of(proxy, &get("/again/a")).await, ["HTTP/1.1 200 OK"]);
 }
 
 #[actix_rt::test]
@@ -357,11 +357,11 @@
                     false => act.clone(),
                 };
                 let (seen, address) = worker(plan).await;
-                let front = front(&[address]).await;
+                let proxy = proxy(&[address]).await;
                 for _ in 0..used {
-                    assert_eq!(status(&raw(front, &post("/once/a", "x")).await), "200");
+                    assert_eq!(status(&raw(proxy, &post("/once/a", "x")).await), "200");
                 }
-                let answer = raw(front, &post("/once/a", "x")).await;
+                let answer = raw(proxy, &post("/once/a", "x")).await;
                 let what = format!("cut at {cut}, early {early}, reset {reset}, used {used}: {answer}");
                 assert_eq!(status(&answer), "502", "{what}");
                 let connections: Vec<usize> = seen.borrow().iter().map(|(at, _)| *at).collect();
@@ -417,8 +417,8 @@
     let body = "x".repeat(70_000);
     for framing in ["Transfer-Encoding: chunked", "Content-Length: 90000"] {
         let chunked = framing.starts_with("Transfer");
-        let front = large_bodies(std::slice::from_ref(&address)).await;
-        let mut io = TcpStream::connect(front).await.expect("connects");
+        let proxy = large_bodies(std::slice::from_ref(&address)).await;
+        let mut io = TcpStream::connect(proxy).await.expect("connects");
         let head = format!("POST /once/a HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: 7\r\n{framing}\r\n\r\n");
         let part = match chunked {
             true => format!("{:x}\r\n{body}\r\n", body.len()),
@@ -467,8 +467,8 @@
             ..Act::default()
         };
         let (_, address) = worker(move |_, _, _| act.clone()).await;
-        let front = front(&[address]).await;
-        let answer = raw(front, &get("/again/a")).await;
+        let proxy = proxy(&[address]).await;
+        let answer = raw(proxy, &get("/again/a")).await;
         if status(&answer) == "200" {
             let whole = answer.ends_with("0\r\n\r\n") || answer.matches('x').count() >= 90_000;
             assert!(!whole, "{}", &answer[..200]);
@@ -487,10 +487,10 @@
         say(ok("fine"))
     })
     .await;
-    let front = front(&[address]).await;
+    let proxy = proxy(&[address]).await;
     let request = post("/once/a", "body").replace("Host:", "Expect: 100-continue\r\nHost:");
     let (head, body) = request.split_at(request.len() - 4);
-    let mut io = TcpStream::connect(front).await.expect("connects");
+    let mut io = TcpStream::connect(proxy).await.expect("connects");
     io.write_all(head.as_bytes()).await.expect("sends");
     let mut got = vec![0u8; 25];
     io.read_exact(&mut got).await.expect("an interim answer");
--- a/crates/pebblepond/src/desk.rs
+++ b/crates/pebblepond/src/balancer_actor.rs
@@ -1,8 +1,9 @@
 //! The owner of this node's view of the workers: hands out choices, takes
 //! note of outcomes, and reports to the leader.
 
-use crate::kernel::{House, Plugin};
-use crate::post::{Post, Send};
+use crate::kernel::{Component, NodeContext, StartError};
+use crate::peer_transport::{PeerTransport, SendToPeer};
+use crate::reports::RelayedReport;
 use crate::upstream::Upstream;
 use actix::prelude::*;
 use balancer::{Found, LoadBalancer, Neighbours, Observed, Place, Request, Ticket};
@@ -16,10 +17,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-inventory::submit! { Plugin { name: "desk", order: 70, start } }
+inventory::submit! { Component { name: "balancer", order: 70, start } }
 
-fn start(house: &Rc<House>) -> Result<(), String> {
-    let settings = house.settings.get();
+fn start(context: &Rc<NodeContext>) -> Result<(), StartError> {
+    let settings = context.settings.get();
     let balancer = LoadBalancer::new(
         &settings.own_entity.zone,
         settings.network.zones.clone(),
@@ -27,26 +28,28 @@
         rand::thread_rng().gen(),
     );
     let upstream = Upstream::new();
-    house.put(upstream.clone());
-    let desk = Desk {
-        house: house.clone(),
+    context.put(upstream.clone());
+    let balancer_actor = BalancerActor {
+        context: context.clone(),
         upstream,
         balancer,
-        stage: Arc::default(),
+        state: Arc::default(),
         demand: BTreeMap::new(),
         keys: BTreeMap::new(),
         groups: HashMap::new(),
-        reported: house.now(),
+        reported: context.now(),
         passed_on: BTreeMap::new(),
     };
-    house.put(desk.start());
+    let balancer_actor = balancer_actor.start();
+    *context.report_handlers.relayed.borrow_mut() = Some(balancer_actor.clone().recipient());
+    context.put(balancer_actor);
     Ok(())
 }
 
 /// Asks for a worker.
 #[derive(Message)]
 #[rtype(result = "Found")]
-pub struct Choose {
+pub struct ChooseWorker {
     pub route: Arc<Route>,
     pub service: Arc<str>,
     pub key: Option<u32>,
@@ -63,7 +66,7 @@
 /// Says how a try ended.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Observe {
+pub struct ObserveAttempt {
     pub id: String,
     pub observed: Observed,
     pub ticket: Option<Ticket>,
@@ -72,24 +75,19 @@
 /// A client of a zone has asked the directory here.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct ClientSeen {
+pub struct ClientZone {
     pub client: IpAddr,
     pub zone: String,
 }
 
-/// A report of a node that follows this one, to be passed on to the leader.
-#[derive(Message)]
-#[rtype(result = "()")]
-pub struct PassOn(pub Report);
-
 /// Client addresses remembered with their zone, addresses.
 const GROUPS_KEPT: usize = 4096;
 
-pub struct Desk {
-    house: Rc<House>,
+pub struct BalancerActor {
+    context: Rc<NodeContext>,
     upstream: Rc<Upstream>,
     balancer: LoadBalancer,
-    stage: Arc<ControlState>,
+    state: Arc<ControlState>,
     demand: BTreeMap<(Arc<str>, String), u64>,
     /// Requests by service and key.
     keys: BTreeMap<(Arc<str>, u32), u32>,
@@ -100,40 +98,40 @@
     passed_on: BTreeMap<String, Report>,
 }
 
-impl Actor for Desk {
+impl Actor for BalancerActor {
     type Context = Context<Self>;
     fn started(&mut self, ctx: &mut Self::Context) {
         ctx.set_mailbox_capacity(1024);
         ctx.run_interval(Duration::from_millis(c::IDLE_SWEEP_INTERVAL_MS), |me, _| {
             me.upstream.sweep();
             me.refresh();
-            me.balancer.sweep(me.house.now());
+            me.balancer.sweep(me.context.now());
             me.neighbours();
         });
         ctx.run_interval(Duration::from_millis(c::REPORT_INTERVAL_MS), |me, _| me.report());
     }
 }
 
-impl Desk {
+impl BalancerActor {
     /// Looks at the newest control state before anything is decided.
     fn refresh(&mut self) {
-        let stage = self.house.stage.get();
-        self.balancer.set_contact(self.house.contact.get());
-        if Arc::ptr_eq(&stage, &self.stage) {
+        let state = self.context.state.get();
+        self.balancer.set_contact(self.context.last_contact.get());
+        if Arc::ptr_eq(&state, &self.state) {
             return;
         }
-        for id in self.balancer.set_stage(self.house.now(), stage.clone()) {
-            if let Some(w) = self.stage.workers.get(&id) {
+        for id in self.balancer.set_stage(self.context.now(), state.clone()) {
+            if let Some(w) = self.state.workers.get(&id) {
                 self.upstream.forget(&w.address);
             }
         }
-        self.stage = stage;
+        self.state = state;
     }
 
     fn neighbours(&mut self) {
-        let members = self.house.members.get();
-        let own = &self.house.settings.get().own_entity;
-        let edges = || members.iter().filter(|m| !m.front.is_empty());
+        let members = self.context.members.get();
+        let own = &self.context.settings.get().own_entity;
+        let edges = || members.iter().filter(|m| !m.client_address.is_empty());
         let here = || edges().filter(|m| m.zone == own.zone);
         let place = Place {
             edges: edges().count().max(1),
@@ -143,36 +141,36 @@
         };
         self.balancer.set_neighbours(Neighbours {
             place,
-            me: self.house.standing.get().id,
-            rtt: (*self.house.rtt.get()).clone(),
+            me: self.context.status.get().id,
+            rtt: (*self.context.round_trips.get()).clone(),
         });
     }
 
     /// Where zones are the sites there is no directory to point clients at one:
     /// each request is pointed at a zone of workers instead.
     fn draw_zone(&self, service: &str, key: Option<u32>) -> Option<String> {
-        let settings = self.house.settings.get();
+        let settings = self.context.settings.get();
         if key.is_some() || !settings.zones_are_sites() {
             return None;
         }
         let chance = rand::thread_rng().gen();
         let group = &settings.own_entity.zone;
-        placement::draw(&self.stage.fractions, service, group, chance, |_| true).map(str::to_string)
+        placement::draw(&self.state.fractions, service, group, chance, |_| true).map(str::to_string)
     }
 
     fn report(&mut self) {
-        let now = self.house.now();
+        let now = self.context.now();
         let span_ms = now - self.reported;
         self.reported = now;
-        let standing = self.house.standing.get();
-        let members = self.house.members.get();
+        let status = self.context.status.get();
+        let members = self.context.members.get();
         // A node that follows a voter reports to it.
-        let source = (*self.house.source.get()).clone();
-        let leader = members.iter().find(|m| m.id == standing.leader && m.id != 0);
+        let source = (*self.context.upstream.get()).clone();
+        let leader = members.iter().find(|m| m.id == status.leader_id && m.id != 0);
         let Some(to) = source.or_else(|| leader.map(|m| m.address.clone())) else {
             return;
         };
-        let settings = self.house.settings.get();
+        let settings = self.context.settings.get();
         let mut keys: Vec<KeyCounts> = Vec::new();
         for ((service, bucket), count) in std::mem::take(&mut self.keys) {
             if keys.last().is_none_or(|k| k.service != name_hash(&service)) {
@@ -216,8 +214,8 @@
                 })
                 .collect(),
             round_trips: self
-                .house
-                .rtt
+                .context
+                .round_trips
                 .get()
                 .iter()
                 .map(|(region, rtt_ms)| RoundTrip {
@@ -233,33 +231,33 @@
         if let Some(others) = reports.remove(&report.site) {
             report.merge(others);
         }
-        if let Some(post) = self.house.get::<Addr<Post>>() {
+        if let Some(transport) = self.context.get::<Addr<PeerTransport>>() {
             for report in std::iter::once(report).chain(reports.into_values()) {
-                post.do_send(Send {
+                transport.do_send(SendToPeer {
                     to: to.clone(),
-                    matter: Payload::Report(report),
+                    payload: Payload::Report(report),
                 });
             }
         }
     }
 }
 
-impl Handler<DrawService> for Desk {
+impl Handler<DrawService> for BalancerActor {
     type Result = String;
     fn handle(&mut self, DrawService(route): DrawService, _: &mut Self::Context) -> String {
         self.balancer.draw_service(&route).to_string()
     }
 }
 
-impl Handler<Choose> for Desk {
-    type Result = MessageResult<Choose>;
-    fn handle(&mut self, msg: Choose, _: &mut Self::Context) -> Self::Result {
+impl Handler<ChooseWorker> for BalancerActor {
+    type Result = MessageResult<ChooseWorker>;
+    fn handle(&mut self, msg: ChooseWorker, _: &mut Self::Context) -> Self::Result {
         self.refresh();
         if msg.tried.is_empty() {
             let group = msg
                 .client
                 .and_then(|ip| self.groups.get(&ip).cloned())
-                .unwrap_or_else(|| self.house.settings.get().own_entity.zone.clone());
+                .unwrap_or_else(|| self.context.settings.get().own_entity.zone.clone());
             *self.demand.entry((msg.service.clone(), group)).or_default() += 1;
             if let Some(key) = msg.key {
                 *self.keys.entry((msg.service.clone(), key)).or_default() += 1;
@@ -274,23 +272,23 @@
             left_ms: msg.left_ms,
             zone: zone.as_deref(),
         };
-        MessageResult(self.balancer.choose(self.house.now(), &request))
+        MessageResult(self.balancer.choose(self.context.now(), &request))
     }
 }
 
-impl Handler<Observe> for Desk {
+impl Handler<ObserveAttempt> for BalancerActor {
     type Result = ();
-    fn handle(&mut self, msg: Observe, _: &mut Self::Context) {
+    fn handle(&mut self, msg: ObserveAttempt, _: &mut Self::Context) {
         if let Some(ticket) = &msg.ticket {
             self.balancer.observe_trial(ticket, msg.observed);
         }
-        self.balancer.observe(self.house.now(), &msg.id, msg.observed);
+        self.balancer.observe(self.context.now(), &msg.id, msg.observed);
     }
 }
 
-impl Handler<PassOn> for Desk {
+impl Handler<RelayedReport> for BalancerActor {
     type Result = ();
-    fn handle(&mut self, PassOn(report): PassOn, _: &mut Self::Context) {
+    fn handle(&mut self, RelayedReport(report): RelayedReport, _: &mut Self::Context) {
         match self.passed_on.get_mut(&report.site) {
             Some(sum) => sum.merge(report),
             None => {
@@ -300,9 +298,9 @@
     }
 }
 
-impl Handler<ClientSeen> for Desk {
+impl Handler<ClientZone> for BalancerActor {
     type Result = ();
-    fn handle(&mut self, msg: ClientSeen, _: &mut Self::Context) {
+    fn handle(&mut self, msg: ClientZone, _: &mut Self::Context) {
         if self.groups.len() >= GROUPS_KEPT {
             self.groups.clear();
         }
--- a/crates/pebblepond/src/cli/mod.rs
+++ b/crates/pebblepond/src/cli/mod.rs
@@ -150,7 +150,7 @@
 }
 
 /// Runs a command.
-pub fn run(serve: fn(&ServeArgs) -> Result<(), String>) -> ExitCode {
+pub fn run<E: std::fmt::Display>(serve: fn(&ServeArgs) -> Result<(), E>) -> ExitCode {
     let cli = match Cli::try_parse() {
         Ok(cli) => cli,
         Err(e) => {
@@ -161,7 +161,7 @@
         }
     };
     let done = match cli.command {
-        Command::Serve(args) => serve(&args).map_err(|text| Failure(exit::INVALID, text)),
+        Command::Serve(args) => serve(&args).map_err(|e| Failure(exit::INVALID, e.to_string())),
         Command::Check(args) => check::check(
             args.settings.as_deref(),
             args.config.as_deref(),
--- /dev/null
+++ b/crates/pebblepond/src/control/driver.rs
@@ -0,0 +1,484 @@
+//! The owner of Raft, the store and the control state.
+
+use super::peers::{FromPeer, Introduced};
+use super::proposals::{Proposal, Settled};
+use crate::gossip_driver::UpdateOwnMember;
+use crate::kernel::{Component, NodeContext, NodeStatus, StartError};
+use crate::peer_transport::PayloadKind;
+use crate::storage::{Identity, Opened, Storage, StorageEvent};
+use actix::prelude::*;
+use config::constants as c;
+use control_state::{ControlState, Outcome};
+use protocol::{ChangeKind, CommandResponse, Incarnation, PendingCalls, RangeDigests};
+use raft::{
+    Config, EntryType, LogPosition, PersistentState, RaftNode, Role, Snapshot, StorageWrite, UpstreamSelector,
+};
+use rand::Rng;
+use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot};
+
+inventory::submit! { Component { name: "control", order: 40, start } }
+
+/// Messages that wait for the driver, messages.
+const MAILBOX: usize = 1024;
+/// Pause between two rounds of maintenance, ms.
+const MAINTENANCE_INTERVAL_MS: u64 = 300;
+/// Shortest and longest pause between two ticks of Raft, ms.
+const TICK_MS: (u64, u64) = (10, 200);
+
+const CONFIG: Config = Config {
+    heartbeat_ms: c::HEARTBEAT_MS,
+    learner_heartbeat_ms: c::LEARNER_HEARTBEAT_MS,
+    election_timeout_ms: c::ELECTION_TIMEOUT_MS,
+    election_jitter_ms: c::ELECTION_JITTER_MS,
+    lease_ms: c::LEASE_MS,
+    resend_ms: c::APPEND_RESEND_MS,
+    snapshot_resend_ms: c::SNAPSHOT_RESEND_MS,
+    peer_timeout_ms: c::PEER_TIMEOUT_MS,
+    append_bytes: c::APPEND_BYTES,
+    retained_bytes: c::LOG_RETAINED_BYTES,
+};
+
+fn start(context: &Rc<NodeContext>) -> Result<(), StartError> {
+    let settings = context.settings.get();
+    let (events, storage_events) = mpsc::unbounded_channel();
+    let loaded = match &settings.own_entity.data_directory {
+        Some(folder) => Loaded::from_disk(folder, events)?,
+        None => Loaded::without_disk(),
+    };
+    let is_new_system = loaded.is_empty && loaded.storage.is_some() && settings.own_entity.initial_start;
+    log::info!(
+        "event=identity id={:x} cluster={:x} disk={} empty={}",
+        loaded.identity.id,
+        loaded.identity.cluster,
+        loaded.storage.is_some(),
+        loaded.is_empty
+    );
+    let driver = RaftDriver::new(context.clone(), loaded, is_new_system);
+    context.status.set(NodeStatus {
+        id: driver.raft.id(),
+        cluster: driver.joined_cluster,
+        term: driver.raft.term(),
+        ..Default::default()
+    });
+    context.state.set(driver.state.clone());
+    let driver = driver.start();
+    context.put(driver.clone());
+    let kinds = [
+        PayloadKind::Raft,
+        PayloadKind::Request,
+        PayloadKind::Response,
+        PayloadKind::Digests,
+        PayloadKind::Repair,
+    ];
+    let handler = driver.clone();
+    context
+        .payload_handlers
+        .register(&kinds, move |message| handler.do_send(FromPeer(message)));
+    actix_rt::spawn(forward_events(storage_events, driver));
+    Ok(())
+}
+
+async fn forward_events(mut events: mpsc::UnboundedReceiver<StorageEvent>, driver: Addr<RaftDriver>) {
+    while let Some(event) = events.recv().await {
+        driver.do_send(FromStorage(event));
+    }
+}
+
+/// What a node starts with.
+struct Loaded {
+    identity: Identity,
+    saved: PersistentState,
+    state: ControlState,
+    is_empty: bool,
+    storage: Option<Storage>,
+}
+
+impl Loaded {
+    fn from_disk(folder: &str, events: mpsc::UnboundedSender<StorageEvent>) -> Result<Loaded, StartError> {
+        let opened = Storage::open(folder, events)?;
+        if let Some(why) = &opened.damage {
+            log::error!(
+                "event=store_damaged folder={folder} why=\"{why}\": set aside as prompter.redb.damaged, joining as a new node"
+            );
+        }
+        let Opened {
+            identity,
+            saved,
+            state,
+            is_empty,
+            storage,
+            ..
+        } = opened;
+        Ok(Loaded {
+            identity,
+            saved,
+            state,
+            is_empty,
+            storage: Some(storage),
+        })
+    }
+
+    fn without_disk() -> Loaded {
+        let id = rand::thread_rng().gen_range(1..u64::MAX);
+        Loaded {
+            identity: Identity { id, cluster: 0 },
+            saved: PersistentState::default(),
+            state: ControlState::default(),
+            is_empty: true,
+            storage: None,
+        }
+    }
+}
+
+#[derive(Message)]
+#[rtype(result = "()")]
+struct FromStorage(StorageEvent);
+
+/// Puts a change into the log; the outcome once it is applied, or `None` if that failed or is
+/// not known.
+#[derive(Message)]
+#[rtype(result = "Option<Outcome>")]
+pub struct Propose(pub ChangeKind);
+
+/// Whether the duties of the leader may be done now, and since when it leads, ms.
+#[derive(Message)]
+#[rtype(result = "Option<u64>")]
+pub struct LeaderLease;
+
+/// This node is about to end: leadership is transferred, and the others are told. The answer
+/// says whether they go on with all that this node holds; asked until they do.
+#[derive(Message)]
+#[rtype(result = "bool")]
+pub struct AnnounceShutdown;
+
+/// A write that is not on disk yet, and what waits for it.
+struct PendingWrite {
+    number: u64,
+    messages: Vec<raft::Message>,
+    last: LogPosition,
+}
+
+/// The writes to the store.
+#[derive(Default)]
+struct Writes {
+    queued: u64,
+    persisted: u64,
+    pending: VecDeque<PendingWrite>,
+    /// Since when the oldest one waits, ms.
+    pending_since: u64,
+}
+
+impl Writes {
+    fn is_idle(&self) -> bool {
+        self.queued == self.persisted
+    }
+}
+
+/// The owner of Raft, the store and the control state.
+pub struct RaftDriver {
+    pub(super) context: Rc<NodeContext>,
+    pub(super) raft: RaftNode,
+    pub(super) state: ControlState,
+    pub(super) storage: Option<Storage>,
+    pub(super) joined_cluster: u64,
+    /// The disk was empty at the first start of the whole system.
+    pub(super) is_new_system: bool,
+    writes: Writes,
+    pub(super) proposals: HashMap<u64, Proposal>,
+    /// Reads that wait for a round of heartbeats, by token.
+    pub(super) reads: HashMap<u64, oneshot::Sender<bool>>,
+    pub(super) last_read_token: u64,
+    /// Commands that were passed on, by the node that was asked.
+    pub(super) calls: PendingCalls<u64, oneshot::Sender<CommandResponse>>,
+    /// Peers asked for what this copy lacks, and the digests that they were sent.
+    pub(super) repairs: PendingCalls<u64, RangeDigests>,
+    /// The last number given to a command that reached this process.
+    pub(super) last_command: u64,
+    /// When each tagged command of the history was first seen here, ms, by index.
+    pub(super) commands_seen: BTreeMap<u64, u64>,
+    /// Whom this node has chosen to bootstrap the cluster; 0 for nobody.
+    pub(super) appointed: u64,
+    /// What others were last told of this node.
+    pub(super) told: Option<UpdateOwnMember>,
+    pub(super) started_at: u64,
+    pub(super) asked_peers_at: u64,
+    /// The state was taken from a peer, without Raft.
+    pub(super) is_repaired: bool,
+    pub(super) storage_failing: bool,
+    /// Whether a majority was heard of lately, as the log was last told.
+    pub(super) in_contact: bool,
+    /// A change of the membership is not committed yet.
+    pub(super) membership_pending: bool,
+    role: Role,
+    /// Which voter this node takes the log from, if it has no disk.
+    pub(super) upstream_selector: UpstreamSelector,
+    pub(super) introduced: Introduced,
+}
+
+impl RaftDriver {
+    fn new(context: Rc<NodeContext>, loaded: Loaded, is_new_system: bool) -> RaftDriver {
+        let now = context.now();
+        let seed = rand::thread_rng().gen();
+        let mut raft = RaftNode::new(loaded.identity.id, loaded.saved, CONFIG, now, seed);
+        raft.set_snapshot_check(ControlState::is_snapshot_readable);
+        let incarnation = Incarnation(rand::thread_rng().gen());
+        RaftDriver {
+            context,
+            raft,
+            state: loaded.state,
+            storage: loaded.storage,
+            joined_cluster: loaded.identity.cluster,
+            is_new_system,
+            writes: Writes::default(),
+            proposals: HashMap::new(),
+            reads: HashMap::new(),
+            last_read_token: 0,
+            calls: PendingCalls::new(incarnation, c::COMMAND_TIMEOUT_MS),
+            repairs: PendingCalls::new(incarnation, c::CONTACT_TIMEOUT_MS),
+            last_command: 0,
+            commands_seen: BTreeMap::new(),
+            appointed: 0,
+            told: None,
+            started_at: now,
+            asked_peers_at: 0,
+            is_repaired: false,
+            storage_failing: false,
+            in_contact: true,
+            membership_pending: false,
+            role: Role::Follower,
+            upstream_selector: UpstreamSelector::default(),
+            introduced: Introduced::default(),
+        }
+    }
+
+    fn schedule_tick(&self, actor: &mut Context<Self>) {
+        // Who cannot vote and knows where it stands has nothing to wait for here.
+        let is_idle = self.storage.is_none() && self.context.status.get().is_current;
+        let wait = if is_idle {
+            c::CONTACT_TIMEOUT_MS
+        } else {
+            let due = self.raft.next_tick_at().saturating_sub(self.context.now());
+            due.clamp(TICK_MS.0, TICK_MS.1)
+        };
+        actor.run_later(Duration::from_millis(wait), |driver, actor| {
+            let now = driver.context.now();
+            driver.watch_storage(now);
+            if !driver.context.status.get().is_current {
+                driver.select_upstream(now);
+            }
+            driver.raft.tick(now);
+            driver.flush();
+            driver.schedule_tick(actor);
+        });
+    }
+
+    /// Carries out whatever Raft wants done.
+    pub(super) fn flush(&mut self) {
+        if self.raft.role() != self.role {
+            self.role = self.raft.role();
+            log::debug!("event=role role={:?} term={}", self.role, self.raft.term());
+        }
+        if self.raft.is_leader() && !self.context.status.get().is_leader {
+            // Whoever waits for a leader hears of it at once.
+            self.raft.set_learners(&self.learners());
+        }
+        while self.flush_once() || self.continue_membership_change() {}
+        self.compact_log();
+        self.publish();
+    }
+
+    /// Carries out what is ready now; whether more may have become so.
+    fn flush_once(&mut self) -> bool {
+        let ready = self.raft.take_ready();
+        self.send_raft(ready.messages);
+        let last = self.raft.last_position();
+        let persisted = self.write(ready.write, ready.persisted_messages, last);
+        if let Some(snapshot) = ready.snapshot {
+            self.install(&snapshot);
+        }
+        let is_idle = ready.committed_entries.is_empty() && ready.read_states.is_empty();
+        for entry in ready.committed_entries {
+            self.apply(&entry);
+        }
+        for read in ready.read_states {
+            if let Some(reader) = self.reads.remove(&read.token) {
+                let _ = reader.send(read.confirmed);
+            }
+        }
+        self.send_persisted(persisted);
+        !is_idle
+    }
+
+    /// Hands a write to the disk; the messages that need not wait for one.
+    fn write(
+        &mut self,
+        write: StorageWrite,
+        messages: Vec<raft::Message>,
+        last: LogPosition,
+    ) -> Vec<raft::Message> {
+        let Some(storage) = &self.storage else {
+            self.raft.on_persisted(last);
+            return messages;
+        };
+        let writes = &mut self.writes;
+        if !write.is_empty() {
+            if writes.is_idle() {
+                writes.pending_since = self.context.now();
+            }
+            writes.queued += 1;
+            storage.write(writes.queued, write);
+        } else if writes.is_idle() {
+            return messages;
+        } else if messages.is_empty() {
+            return Vec::new();
+        }
+        writes.pending.push_back(PendingWrite {
+            number: writes.queued,
+            messages,
+            last,
+        });
+        Vec::new()
+    }
+
+    fn on_persisted(&mut self, number: u64) {
+        let now = self.context.now();
+        self.writes.persisted = number;
+        self.writes.pending_since = now;
+        while self.writes.pending.front().is_some_and(|w| w.number <= number) {
+            if let Some(write) = self.writes.pending.pop_front() {
+                self.send_persisted(write.messages);
+                self.raft.on_persisted(write.last);
+            }
+        }
+        self.watch_storage(now);
+    }
+
+    /// Sends messages that waited for a write, with what has been applied by now: the leader
+    /// need not wait for the next one to learn that a change is in force here.
+    fn send_persisted(&self, mut messages: Vec<raft::Message>) {
+        self.raft.stamp_applied(&mut messages);
+        self.send_raft(messages);
+    }
+
+    fn install(&mut self, snapshot: &Snapshot) {
+        // Raft installs none that cannot be read.
+        if let Ok(state) = ControlState::from_snapshot(snapshot.index, &snapshot.data) {
+            if state.index > self.state.index {
+                self.state = state;
+                self.context.state.set(self.state.clone());
+            }
+        }
+        self.raft.on_applied(self.state.index);
+    }
+
+    fn apply(&mut self, entry: &raft::Entry) {
+        let mut outcome = None;
+        if entry.entry_type == EntryType::Command as i32 {
+            let before = self.state.version();
+            outcome = Some(self.state.apply(entry.index, &entry.data));
+            let version = self.state.version();
+            if version != before {
+                log::info!("event=configuration version={version} index={}", entry.index);
+            }
+        } else {
+            self.state.index = self.state.index.max(entry.index);
+        }
+        self.context.state.set(self.state.clone());
+        self.raft.on_applied(entry.index);
+        if let Some(proposal) = self.proposals.remove(&entry.index) {
+            // Another leader's entry may have taken the place.
+            let outcome = outcome.filter(|_| proposal.term == entry.term);
+            proposal.settle(&outcome.map(|outcome| Settled {
+                outcome,
+                index: entry.index,
+            }));
+        }
+    }
+
+    fn compact_log(&mut self) {
+        let most_bytes = c::LOG_MAX_BYTES.max(self.raft.snapshot_bytes());
+        if self.raft.log_len() > c::LOG_MAX_ENTRIES || self.raft.log_bytes() > most_bytes {
+            // Only voters pass the state on; for all others its image would cost memory and
+            // time for nobody.
+            let is_voter = self.storage.is_some();
+            let image = is_voter.then(|| self.state.to_snapshot());
+            self.raft.compact(image.unwrap_or_default());
+        }
+    }
+
+    /// A disk whose oldest write takes too long fails.
+    fn watch_storage(&mut self, now: u64) {
+        if self.writes.is_idle() {
+            if self.storage_failing {
+                self.storage_failing = false;
+                log::info!("event=disk_recovered");
+            }
+            self.raft.set_storage_failed(false);
+        } else if now.saturating_sub(self.writes.pending_since) > c::DISK_TIMEOUT_MS && !self.storage_failing
+        {
+            self.on_storage_failure("a write takes too long");
+        }
+    }
+
+    fn on_storage_failure(&mut self, what: &str) {
+        if !self.storage_failing {
+            self.storage_failing = true;
+            log::warn!("event=disk_trouble what={what:?}");
+        }
+        self.raft.set_storage_failed(true);
+    }
+}
+
+impl Actor for RaftDriver {
+    type Context = Context<Self>;
+
+    fn started(&mut self, actor: &mut Self::Context) {
+        actor.set_mailbox_capacity(MAILBOX);
+        let interval = Duration::from_millis(MAINTENANCE_INTERVAL_MS);
+        actor.run_interval(interval, |driver, _| driver.maintain());
+        self.schedule_tick(actor);
+        self.maintain();
+        // Connections to the other voters are there before an election needs them; those that
+        // start at the same moment may not listen yet.
+        for pause in (0..c::ELECTION_TIMEOUT_MS).step_by(c::COMMAND_RETRY_MS as usize) {
+            actor.run_later(Duration::from_millis(pause), |driver, _| driver.greet_voters());
+        }
+    }
+}
+
+impl Handler<Propose> for RaftDriver {
+    type Result = ResponseFuture<Option<Outcome>>;
+    fn handle(&mut self, Propose(kind): Propose, _: &mut Self::Context) -> Self::Result {
+        let settled = self.propose(kind, None);
+        Box::pin(async move { settled.await.ok().flatten().map(|s| s.outcome) })
+    }
+}
+
+impl Handler<LeaderLease> for RaftDriver {
+    type Result = Option<u64>;
+    fn handle(&mut self, _: LeaderLease, _: &mut Self::Context) -> Option<u64> {
+        let holds = self.raft.holds_lease(self.context.now());
+        (holds && !self.context.shutting_down.get()).then(|| self.raft.leader_since())
+    }
+}
+
+impl Handler<AnnounceShutdown> for RaftDriver {
+    type Result = bool;
+    fn handle(&mut self, _: AnnounceShutdown, _: &mut Self::Context) -> bool {
+        self.announce_shutdown()
+    }
+}
+
+impl Handler<FromStorage> for RaftDriver {
+    type Result = ();
+    fn handle(&mut self, FromStorage(event): FromStorage, _: &mut Self::Context) {
+        match event {
+            StorageEvent::Persisted(number) => self.on_persisted(number),
+            StorageEvent::Failed(what) => self.on_storage_failure(&what),
+        }
+        self.flush();
+    }
+}
--- /dev/null
+++ b/crates/pebblepond/src/control/execution.rs
@@ -0,0 +1,302 @@
+//! Commands carried out on the leader.
+
+use super::commands::own_status;
+use super::driver::RaftDriver;
+use super::error::{response, CommandError};
+use super::proposals::Settled;
+use super::rollout_commands;
+use actix::prelude::*;
+use config::constants as c;
+use control_state::{Confirmation, Judgement};
+use protocol::{ChangeKind, Command, CommandResponse, CommandTag, ConfigurationCommand};
+use raft::{is_durable, tolerates_faults};
+use std::time::Duration;
+use tokio::sync::oneshot;
+
+/// Pause between two checks of how durable a command is, ms.
+const DURABILITY_CHECK_MS: u64 = 10;
+
+/// What carrying out a command comes to.
+pub(super) type CommandResult = Result<CommandResponse, CommandError>;
+
+/// Carries a command out on the leader.
+pub(super) async fn execute(
+    driver: Addr<RaftDriver>,
+    command: Command,
+    tag: Option<CommandTag>,
+) -> CommandResponse {
+    let result = match command {
+        Command::Status(_) => own_status(&driver).await,
+        Command::ReadConfiguration(_) => read_configuration(&driver).await,
+        Command::Replace(command) => configure(&driver, command).await,
+        // The log holds what changes; what it comes to is worked out where it is applied.
+        Command::Modify(command) => {
+            let command = ConfigurationCommand {
+                base: command.base,
+                body: Vec::new(),
+                modification: command.body,
+            };
+            configure(&driver, command).await
+        }
+        Command::BeginRollout(command) => rollout_commands::begin(&driver, command, tag).await,
+        Command::ReadRollout(service) => rollout_commands::read_one(&driver, &service).await,
+        Command::ReadRollouts(_) => rollout_commands::read_all(&driver).await,
+        Command::ChangeRollout(change) => rollout_commands::change(&driver, change, tag).await,
+        Command::KillSwitch(switch) => settle(&driver, ChangeKind::KillSwitch(switch), tag).await,
+        Command::Evacuate(change) => settle(&driver, ChangeKind::Evacuate(change), tag).await,
+    };
+    result.unwrap_or_else(|error| error.response())
+}
+
+async fn read_configuration(driver: &Addr<RaftDriver>) -> CommandResult {
+    confirm_leadership(driver).await?;
+    let body = driver
+        .send(ReadConfiguration)
+        .await
+        .map_err(|_| CommandError::Ending)?;
+    if body.is_empty() {
+        return Err(CommandError::NoConfiguration);
+    }
+    Ok(response(200, body))
+}
+
+/// Whether this node leads and its copy holds all that was ever acknowledged, confirmed by a
+/// majority now.
+pub(super) async fn confirm_leadership(driver: &Addr<RaftDriver>) -> Result<(), CommandError> {
+    let Ok(Some(confirmation)) = driver.send(BeginRead).await else {
+        return Err(CommandError::NotLeader);
+    };
+    let timeout = Duration::from_millis(c::COMMAND_TIMEOUT_MS);
+    match tokio::time::timeout(timeout, confirmation).await {
+        Ok(Ok(true)) => Ok(()),
+        _ => Err(CommandError::NotLeader),
+    }
+}
+
+/// Carries out a configuration command. Whatever is rejected or confirmed without a new entry
+/// is said out of a copy that a majority has confirmed since the command came.
+async fn configure(driver: &Addr<RaftDriver>, command: ConfigurationCommand) -> CommandResult {
+    let mut judgement = judge(driver, &command, Confirmation::Unconfirmed).await?;
+    if judgement == Judgement::Confirm {
+        confirm_leadership(driver).await?;
+        judgement = judge(driver, &command, Confirmation::Confirmed).await?;
+    }
+    match judgement {
+        Judgement::Log => settle(driver, ChangeKind::Replace(command), None).await,
+        Judgement::Final(outcome) => match CommandError::of(outcome) {
+            Some(error) => Err(error),
+            // Accepted before: it stands at or below what is committed.
+            None => {
+                let index = driver.send(CommitIndex).await.map_err(|_| CommandError::Ending)?;
+                acknowledge(driver, index).await
+            }
+        },
+        Judgement::Confirm => Err(CommandError::NotLeader),
+    }
+}
+
+async fn judge(
+    driver: &Addr<RaftDriver>,
+    command: &ConfigurationCommand,
+    confirmation: Confirmation,
+) -> Result<Judgement, CommandError> {
+    let message = JudgeCommand {
+        command: command.clone(),
+        confirmation,
+    };
+    driver.send(message).await.unwrap_or(Err(CommandError::NotLeader))
+}
+
+/// Logs a change and waits until it may be acknowledged.
+pub(super) async fn settle(
+    driver: &Addr<RaftDriver>,
+    kind: ChangeKind,
+    tag: Option<CommandTag>,
+) -> CommandResult {
+    let proposed = driver.send(ProposeCommand(kind, tag)).await;
+    let settled = proposed.unwrap_or(Err(CommandError::NotLeader))?;
+    let Settled { outcome, index } = settled.ok_or(CommandError::NotLeader)?;
+    match CommandError::of(outcome) {
+        Some(error) => Err(error),
+        None => acknowledge(driver, index).await,
+    }
+}
+
+/// The acknowledgement of what stands at `index`: once it rests on copies that outlast any
+/// loss inside `Tolerance`, and nodes in contact have applied it or have had their time.
+async fn acknowledge(driver: &Addr<RaftDriver>, index: u64) -> CommandResult {
+    let mut waited = 0;
+    while waited < c::COMMAND_TIMEOUT_MS {
+        let durability = driver.send(CheckDurability(index)).await;
+        match durability.map_err(|_| CommandError::Ending)? {
+            Durability::Applied => return Ok(response(200, "{}")),
+            Durability::Durable if waited >= c::APPLY_WAIT_MS => return Ok(response(200, "{}")),
+            Durability::Durable | Durability::Weak => {}
+            // The next leader has it, and tells whoever asks again.
+            Durability::NotLeader => return Err(CommandError::NotLeader),
+        }
+        actix_rt::time::sleep(Duration::from_millis(DURABILITY_CHECK_MS)).await;
+        waited += DURABILITY_CHECK_MS;
+    }
+    Err(CommandError::NotDurable)
+}
+
+/// How firmly what the log holds up to an index stands.
+enum Durability {
+    /// It outlasts any tolerated loss, and the nodes in contact have applied it.
+    Applied,
+    /// It outlasts any tolerated loss; some have not applied it yet.
+    Durable,
+    /// A tolerated loss may take it, or the majority.
+    Weak,
+    /// This node no longer leads.
+    NotLeader,
+}
+
+#[derive(Message)]
+#[rtype(result = "Durability")]
+struct CheckDurability(u64);
+
+impl Handler<CheckDurability> for RaftDriver {
+    type Result = MessageResult<CheckDurability>;
+    fn handle(&mut self, CheckDurability(index): CheckDurability, _: &mut Self::Context) -> Self::Result {
+        let now = self.context.now();
+        MessageResult(if !self.raft.is_established_leader() {
+            Durability::NotLeader
+        } else if !is_durable(&self.raft, index, now, self.tolerance(), c::CONTACT_TIMEOUT_MS) {
+            Durability::Weak
+        } else if self.is_anyone_behind(index) {
+            Durability::Durable
+        } else {
+            Durability::Applied
+        })
+    }
+}
+
+/// Puts a command into the log, unless none can be taken now.
+#[derive(Message)]
+#[rtype(result = "Result<Option<Settled>, CommandError>")]
+struct ProposeCommand(ChangeKind, Option<CommandTag>);
+
+impl Handler<ProposeCommand> for RaftDriver {
+    type Result = ResponseFuture<Result<Option<Settled>, CommandError>>;
+    fn handle(&mut self, ProposeCommand(kind, tag): ProposeCommand, _: &mut Self::Context) -> Self::Result {
+        if let Err(error) = self.check_voters() {
+            return Box::pin(async { Err(error) });
+        }
+        let settlement = self.propose_command(kind, tag);
+        Box::pin(async move { Ok(settlement.await.ok().flatten()) })
+    }
+}
+
+/// Whether a command is most likely one that was accepted a moment ago.
+#[derive(Message)]
+#[rtype(result = "bool")]
+pub(super) struct IsRepeated(pub(super) Option<CommandTag>);
+
+impl Handler<IsRepeated> for RaftDriver {
+    type Result = bool;
+    fn handle(&mut self, IsRepeated(tag): IsRepeated, _: &mut Self::Context) -> bool {
+        tag.is_some_and(|tag| self.repeated(&tag).is_some())
+    }
+}
+
+/// Reads the configuration of this copy; empty if there is none.
+#[derive(Message)]
+#[rtype(result = "Vec<u8>")]
+struct ReadConfiguration;
+
+impl Handler<ReadConfiguration> for RaftDriver {
+    type Result = Vec<u8>;
+    fn handle(&mut self, _: ReadConfiguration, _: &mut Self::Context) -> Vec<u8> {
+        self.state.configuration_body.to_vec()
+    }
+}
+
+/// Asks a majority whether this node still leads; `None` if it does not as far as it knows.
+#[derive(Message)]
+#[rtype(result = "Option<oneshot::Receiver<bool>>")]
+struct BeginRead;
+
+impl Handler<BeginRead> for RaftDriver {
+    type Result = Option<oneshot::Receiver<bool>>;
+    fn handle(&mut self, _: BeginRead, _: &mut Self::Context) -> Self::Result {
+        self.raft.is_established_leader().then(|| self.begin_read())
+    }
+}
+
+/// Judges a configuration command before it is logged.
+#[derive(Message)]
+#[rtype(result = "Result<Judgement, CommandError>")]
+struct JudgeCommand {
+    command: ConfigurationCommand,
+    confirmation: Confirmation,
+}
+
+impl Handler<JudgeCommand> for RaftDriver {
+    type Result = Result<Judgement, CommandError>;
+    fn handle(&mut self, message: JudgeCommand, _: &mut Self::Context) -> Self::Result {
+        self.check_leadership()?;
+        Ok(self.state.judge(&message.command, message.confirmation))
+    }
+}
+
+#[derive(Message)]
+#[rtype(result = "u64")]
+struct CommitIndex;
+
+impl Handler<CommitIndex> for RaftDriver {
+    type Result = u64;
+    fn handle(&mut self, _: CommitIndex, _: &mut Self::Context) -> u64 {
+        self.raft.commit_index()
+    }
+}
+
+/// Whether nodes in contact have not applied what the log says up to an index.
+#[derive(Message)]
+#[rtype(result = "bool")]
+pub struct IsBehind(pub u64);
+
+impl Handler<IsBehind> for RaftDriver {
+    type Result = bool;
+    fn handle(&mut self, IsBehind(index): IsBehind, _: &mut Self::Context) -> bool {
+        self.is_anyone_behind(index)
+    }
+}
+
+impl RaftDriver {
+    /// Whether this node may carry commands out.
+    pub(super) fn check_leadership(&self) -> Result<(), CommandError> {
+        if !self.raft.is_established_leader() {
+            return Err(CommandError::NotLeader);
+        }
+        self.check_voters()
+    }
+
+    /// Whether the voters tolerate a loss, so that anything may be acknowledged.
+    fn check_voters(&self) -> Result<(), CommandError> {
+        if tolerates_faults(self.raft.membership(), self.tolerance()) {
+            Ok(())
+        } else {
+            Err(CommandError::TooFewVoters)
+        }
+    }
+
+    fn begin_read(&mut self) -> oneshot::Receiver<bool> {
+        let (sender, confirmation) = oneshot::channel();
+        self.last_read_token += 1;
+        self.reads.insert(self.last_read_token, sender);
+        self.raft.request_read(self.last_read_token);
+        self.flush();
+        confirmation
+    }
+
+    /// Whether nodes in contact have not applied up to an index yet.
+    fn is_anyone_behind(&self, index: u64) -> bool {
+        let now = self.context.now();
+        let members = self.context.members.get();
+        let alive = members.iter().filter(|m| m.is_alive());
+        let mut known = alive.filter_map(|m| self.raft.progress(m.id));
+        known.any(|p| now.saturating_sub(p.last_heard) < c::CONTACT_TIMEOUT_MS && p.applied < index)
+    }
+}
--- /dev/null
+++ b/crates/pebblepond/src/control/membership.rs
@@ -0,0 +1,74 @@
+//! The leader's care for learners and voters.
+
+use super::driver::RaftDriver;
+use config::constants as c;
+use gossip::Member;
+use raft::{next_membership, PeerObservation, SilenceTimeouts, Voter};
+use std::collections::BTreeSet;
+
+const TIMEOUTS: SilenceTimeouts = SilenceTimeouts {
+    contact_ms: c::CONTACT_TIMEOUT_MS,
+    removal_ms: c::VOTER_REMOVAL_MS,
+    urgent_removal_ms: c::VOTER_URGENT_REMOVAL_MS,
+};
+
+impl RaftDriver {
+    /// Every other node with a disk that may belong to this cluster.
+    pub(super) fn learners(&self) -> BTreeSet<u64> {
+        let status = self.context.status.get();
+        let members = self.context.members.get();
+        let is_ours = |m: &&Member| m.cluster == 0 || m.cluster == status.cluster;
+        let ours = members.iter().filter(|m| m.has_disk).filter(is_ours);
+        let ids = ours.map(|m| m.id);
+        ids.filter(|id| *id != 0 && *id != status.id).collect()
+    }
+
+    /// Proposes the next membership, if another one is better: one voter at a time.
+    pub(super) fn change_membership(&mut self, now: u64) {
+        self.raft.set_learners(&self.learners());
+        let peers = self.peer_observations();
+        let next = next_membership(&self.raft, now, &peers, self.tolerance(), TIMEOUTS);
+        if let Some(membership) = next {
+            let before = self.raft.membership().voters.len();
+            let voters = membership.voters.len();
+            log::info!("event=membership_change voters={voters} before={before}");
+            self.raft.propose_membership(&membership);
+        }
+    }
+
+    fn peer_observations(&self) -> Vec<PeerObservation> {
+        let status = self.context.status.get();
+        let members = self.context.members.get();
+        // Who has answered the log has joined, whether word of it came or not.
+        let has_joined = |m: &Member| {
+            let answered = self.raft.progress(m.id).is_some_and(|p| p.matched > 0);
+            m.cluster == status.cluster || m.cluster == 0 && answered
+        };
+        let others = members.iter().filter(|m| m.id != 0 && m.id != status.id);
+        others
+            .filter(|m| has_joined(m))
+            .map(|m| PeerObservation {
+                voter: Voter {
+                    id: m.id,
+                    address: m.address.clone(),
+                    zone: m.zone.clone(),
+                    region: m.region.clone(),
+                },
+                has_disk: m.has_disk,
+                is_alive: m.is_alive(),
+            })
+            .collect()
+    }
+
+    /// Once a change of the membership is committed the next one need not wait for its turn.
+    /// `true` if there is one.
+    pub(super) fn continue_membership_change(&mut self) -> bool {
+        let is_pending = self.raft.is_leader() && self.raft.is_membership_pending();
+        let is_done = std::mem::replace(&mut self.membership_pending, is_pending) && !is_pending;
+        if is_done && self.raft.is_established_leader() {
+            self.change_membership(self.context.now());
+            self.membership_pending = self.raft.is_membership_pending();
+        }
+        is_done && self.membership_pending
+    }
+}
--- /dev/null
+++ b/crates/pebblepond/src/control/peers.rs
@@ -0,0 +1,192 @@
+//! Messages to and from other nodes.
+
+use super::driver::RaftDriver;
+use super::error::CommandError;
+use super::execution::execute;
+use crate::peer_transport::{PeerTransport, SendToPeer};
+use actix::prelude::*;
+use config::constants as c;
+use prost::Message as _;
+use protocol::{
+    CallId, CommandRequest, CommandResponse, Incarnation, Payload, PeerMessage, RangeDigests, Repair,
+};
+use std::collections::HashMap;
+
+/// Nodes that are remembered although the membership may not show them yet, nodes.
+const INTRODUCED_REMEMBERED: usize = 256;
+
+/// Where nodes can be answered that the membership may not show yet.
+#[derive(Default)]
+pub(super) struct Introduced(HashMap<u64, String>);
+
+impl Introduced {
+    fn add(&mut self, id: u64, address: String) {
+        if address.is_empty() {
+            return;
+        }
+        if self.0.len() >= INTRODUCED_REMEMBERED {
+            self.0.clear();
+        }
+        self.0.insert(id, address);
+    }
+}
+
+/// A message of another node, from the transport.
+#[derive(Message)]
+#[rtype(result = "()")]
+pub(super) struct FromPeer(pub(super) PeerMessage);
+
+impl RaftDriver {
+    pub(super) fn send_to_peer(&self, to: String, payload: Payload) {
+        if let Some(transport) = self.context.get::<Addr<PeerTransport>>() {
+            transport.do_send(SendToPeer { to, payload });
+        }
+    }
+
+    pub(super) fn send_raft(&self, messages: Vec<raft::Message>) {
+        for message in messages {
+            if let Some(address) = self.address_of(message.to) {
+                self.send_to_peer(address, Payload::Raft(message.encode_to_vec()));
+            }
+        }
+    }
+
+    /// Opens connections to the other voters.
+    pub(super) fn greet_voters(&self) {
+        let own_id = self.raft.id();
+        let voters = self.raft.membership().voters.iter();
+        for voter in voters.filter(|v| v.id != own_id) {
+            self.send_to_peer(voter.address.clone(), Payload::Hello(true));
+        }
+    }
+
+    /// The internal address of a node.
+    pub(super) fn address_of(&self, id: u64) -> Option<String> {
+        let members = self.context.members.get();
+        let member = members.iter().find(|m| m.id == id).map(|m| m.address.clone());
+        let voter = || {
+            let mut voters = self.raft.membership().voters.iter();
+            voters.find(|v| v.id == id).map(|v| v.address.clone())
+        };
+        member
+            .or_else(voter)
+            .or_else(|| self.introduced.0.get(&id).cloned())
+    }
+
+    fn receive_raft(&mut self, from: u64, cluster: u64, reply_to: String, bytes: &[u8]) {
+        let Ok(message) = raft::Message::decode(bytes) else {
+            self.context.counters.add("malformed_frames");
+            return;
+        };
+        self.join_cluster(cluster);
+        self.introduced.add(from, reply_to);
+        let before = self.raft.unreadable_snapshots();
+        self.raft.step(self.context.now(), from, message);
+        if self.raft.unreadable_snapshots() > before {
+            self.context.counters.add("unreadable_snapshots");
+            log::error!("event=snapshot_unreadable from={from:x}");
+        }
+        self.flush();
+    }
+
+    /// A command that another node has passed on to this one as the leader.
+    fn receive_request(&self, request: CommandRequest, reply_to: String, driver: Addr<RaftDriver>) {
+        let CommandRequest {
+            number,
+            incarnation,
+            command,
+            tag,
+        } = request;
+        let Some(command) = command else { return };
+        let leads = self.raft.is_leader() && self.silent_ms() < c::ELECTION_TIMEOUT_MS;
+        let context = self.context.clone();
+        actix_rt::spawn(async move {
+            let response = if leads {
+                execute(driver, command, tag).await
+            } else {
+                CommandError::NotLeader.response()
+            };
+            if let Some(transport) = context.get::<Addr<PeerTransport>>() {
+                let payload = Payload::Response(CommandResponse {
+                    number,
+                    incarnation,
+                    ..response
+                });
+                transport.do_send(SendToPeer {
+                    to: reply_to,
+                    payload,
+                });
+            }
+        });
+    }
+
+    fn receive_response(&mut self, from: u64, response: CommandResponse) {
+        let call = CallId {
+            incarnation: Incarnation(response.incarnation),
+            number: response.number,
+        };
+        match self.calls.finish(&from, call, self.context.now()) {
+            Some(caller) => {
+                let _ = caller.send(response);
+            }
+            None => self.context.counters.add("unmatched_answers"),
+        }
+    }
+
+    /// A peer asks for what its copy of the state lacks.
+    fn receive_digests(&self, reply_to: String, theirs: &RangeDigests) {
+        if !self.context.status.get().is_current {
+            return;
+        }
+        if let Some(repair) = anti_entropy::repair_for(&self.state, theirs) {
+            self.send_to_peer(reply_to, Payload::Repair(Box::new(repair)));
+        }
+    }
+
+    /// A peer's answer to what this copy lacks.
+    fn receive_repair(&mut self, from: u64, repair: &Repair) {
+        let call = CallId {
+            incarnation: Incarnation(repair.incarnation),
+            number: repair.number,
+        };
+        let Some(asked) = self.repairs.finish(&from, call, self.context.now()) else {
+            self.context.counters.add("unmatched_answers");
+            return;
+        };
+        if self.context.status.get().is_current && !self.is_repaired {
+            return;
+        }
+        if let Some(state) = anti_entropy::repaired_since(&self.state, &asked, repair) {
+            log::info!(
+                "event=repaired index={} ranges={}",
+                repair.index,
+                repair.ranges.len()
+            );
+            self.context.counters.add("repaired_from_peers");
+            self.state = state;
+            self.context.state.set(self.state.clone());
+            self.is_repaired = true;
+            self.publish();
+        }
+    }
+}
+
+impl Handler<FromPeer> for RaftDriver {
+    type Result = ();
+    fn handle(&mut self, FromPeer(message): FromPeer, actor: &mut Self::Context) {
+        let PeerMessage {
+            from,
+            cluster,
+            payload,
+            reply_to,
+        } = message;
+        match payload {
+            Some(Payload::Raft(bytes)) => self.receive_raft(from, cluster, reply_to, &bytes),
+            Some(Payload::Request(request)) => self.receive_request(*request, reply_to, actor.address()),
+            Some(Payload::Response(response)) => self.receive_response(from, response),
+            Some(Payload::Digests(theirs)) => self.receive_digests(reply_to, &theirs),
+            Some(Payload::Repair(repair)) => self.receive_repair(from, &repair),
+            Some(Payload::Report(_) | Payload::Hello(_)) | None => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/pebblepond/src/control/proposals.rs
@@ -0,0 +1,102 @@
+//! Changes on their way through the log, and commands that repeat others.
+
+use super::driver::RaftDriver;
+use config::constants as c;
+use control_state::{configuration_key, Outcome};
+use protocol::{Change, ChangeKind, CommandTag, ConfigurationKey};
+use std::collections::BTreeSet;
+use tokio::sync::oneshot;
+
+/// What a change came to, and its index in the log.
+#[derive(Clone, Debug)]
+pub(super) struct Settled {
+    pub(super) outcome: Outcome,
+    pub(super) index: u64,
+}
+
+/// What became of a proposal: `None` if that is not known.
+pub(super) type Settlement = oneshot::Receiver<Option<Settled>>;
+
+/// A change of this leader that waits in the log.
+pub(super) struct Proposal {
+    pub(super) term: u64,
+    /// Of a configuration command, so that the same one sent again joins it.
+    key: Option<ConfigurationKey>,
+    /// Of a command without a base version.
+    tag: Option<CommandTag>,
+    waiters: Vec<oneshot::Sender<Option<Settled>>>,
+}
+
+impl Proposal {
+    /// Tells all that wait.
+    pub(super) fn settle(self, settled: &Option<Settled>) {
+        for waiter in self.waiters {
+            let _ = waiter.send(settled.clone());
+        }
+    }
+}
+
+impl RaftDriver {
+    /// Puts a change into the log. A configuration command that is on its way already is
+    /// joined: its entry comes to the same, whoever asked.
+    pub(super) fn propose(&mut self, kind: ChangeKind, tag: Option<CommandTag>) -> Settlement {
+        let (sender, settlement) = oneshot::channel();
+        let key = match &kind {
+            ChangeKind::Replace(command) => Some(configuration_key(command)),
+            _ => None,
+        };
+        let is_same = |p: &&mut Proposal| key.is_some() && p.key == key;
+        if let Some(pending) = self.proposals.values_mut().find(is_same) {
+            pending.waiters.push(sender);
+            return settlement;
+        }
+        if self.raft.is_established_leader() {
+            let data = Change::encode_tagged(self.state.compact_for_log(kind), tag.clone());
+            if let Some(position) = self.raft.propose(data) {
+                let proposal = Proposal {
+                    term: position.term,
+                    key,
+                    tag,
+                    waiters: vec![sender],
+                };
+                self.proposals.insert(position.index, proposal);
+                self.flush();
+            }
+        }
+        settlement
+    }
+
+    /// Puts a command into the log; one that seems to be sent again says so there.
+    pub(super) fn propose_command(&mut self, kind: ChangeKind, tag: Option<CommandTag>) -> Settlement {
+        let tag = tag.map(|tag| CommandTag {
+            repeats: self.repeated(&tag).unwrap_or(0),
+            ..tag
+        });
+        self.propose(kind, tag)
+    }
+
+    /// The index of the command that this one most likely repeats: the newest on its subject,
+    /// if it was the same and came a moment ago as far as this node has seen. What is byte for
+    /// byte alike cannot be told apart any better; the log has the last word, and holds it for
+    /// all leaders.
+    pub(super) fn repeated(&self, tag: &CommandTag) -> Option<u64> {
+        let now = self.context.now();
+        let pending = self.proposals.iter();
+        let pending = pending.filter_map(|(index, p)| Some((*index, p.tag.as_ref()?)));
+        let is_recent = |index: u64| {
+            let seen = self.commands_seen.get(&index);
+            seen.is_some_and(|at| now.saturating_sub(*at) < c::REPEATED_COMMAND_MS)
+        };
+        self.state.command_history.recent_like(tag, pending, is_recent)
+    }
+
+    /// Notes when the tagged commands of the history were first seen here.
+    pub(super) fn note_commands_seen(&mut self) {
+        let now = self.context.now();
+        let known: BTreeSet<u64> = self.state.command_history.tagged_indexes().collect();
+        self.commands_seen.retain(|index, _| known.contains(index));
+        for index in known {
+            self.commands_seen.entry(index).or_insert(now);
+        }
+    }
+}
--- /dev/null
+++ b/crates/pebblepond/src/control/publication.rs
@@ -0,0 +1,98 @@
+//! What the driver publishes: this node's status, and what others are told of it.
+
+use super::driver::RaftDriver;
+use crate::gossip_driver::{GossipDriver, UpdateOwnMember};
+use crate::kernel::NodeStatus;
+use actix::prelude::*;
+
+impl RaftDriver {
+    /// Publishes what has changed.
+    pub(super) fn publish(&mut self) {
+        self.note_commands_seen();
+        self.publish_contact();
+        let before = self.context.status.get();
+        let status = NodeStatus {
+            id: self.raft.id(),
+            cluster: before.cluster,
+            term: self.raft.term(),
+            leader_id: self.raft.leader_id(),
+            is_leader: self.raft.is_leader(),
+            is_current: before.is_current || self.is_repaired || self.raft.is_current(),
+        };
+        if status.is_leader != before.is_leader {
+            self.on_leadership_change(&status);
+        }
+        if status.is_current && !before.is_current {
+            let (index, version) = (self.state.index, self.state.version());
+            log::info!("event=current index={index} version={version}");
+        }
+        if status.leader_id != before.leader_id
+            || status.is_current != before.is_current
+            || status.term != before.term
+            || status.is_leader != before.is_leader
+        {
+            self.context.status.set(status);
+        }
+        self.tell_members();
+    }
+
+    /// Contact is through an upstream or with the leader itself; asking a voter does not count.
+    fn publish_contact(&self) {
+        let now = self.context.now();
+        let heard = if self.raft.holds_lease(now) {
+            now
+        } else if self.raft.is_leader() {
+            self.context.last_contact.get()
+        } else {
+            self.raft.leader_heard_at()
+        };
+        self.context.last_contact.set(heard);
+    }
+
+    fn on_leadership_change(&mut self, status: &NodeStatus) {
+        let term = status.term;
+        if status.is_leader {
+            log::info!("event=leads term={term}");
+        } else {
+            log::info!("event=leads_no_more term={term}");
+            // Whether they will stand is not known here: no clear answer.
+            self.proposals.clear();
+        }
+    }
+
+    /// Tells the membership what others should know of this node, if that has changed.
+    pub(super) fn tell_members(&mut self) {
+        let status = self.context.status.get();
+        let update = UpdateOwnMember {
+            id: status.id,
+            cluster: status.cluster,
+            is_ready: self.context.is_ready(),
+            appointed: self.appointed,
+            is_new_system: self.is_new_system,
+        };
+        if self.told == Some(update) {
+            return;
+        }
+        if let Some(gossip) = self.context.get::<Addr<GossipDriver>>() {
+            self.told = Some(update);
+            gossip.do_send(update);
+        }
+    }
+
+    /// Belongs to a cluster from now on, unless it does already.
+    pub(super) fn join_cluster(&mut self, cluster: u64) {
+        let status = self.context.status.get();
+        if status.cluster != 0 || cluster == 0 {
+            return;
+        }
+        self.context.status.set(NodeStatus {
+            cluster,
+            ..(*status).clone()
+        });
+        self.is_new_system = false;
+        if let Some(storage) = &self.storage {
+            storage.set_cluster(cluster);
+        }
+        log::info!("event=cluster_joined cluster={cluster:x}");
+    }
+}
--- a/crates/pebblepond/src/control_tests.rs
+++ b/crates/pebblepond/src/control_tests.rs
@@ -2,7 +2,7 @@
 //! request on their connection, and bad input is refused whole with its field named.
 
 use crate::forwarding_tests::{free_port, status, CONFIG};
-use crate::kernel::{start_all_but, House};
+use crate::kernel::{start_all_but, NodeContext};
 use config::Settings;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 }
 
 /// A node that leads alone, and the address of its control.
-pub(crate) async fn control() -> (Rc<House>, SocketAddrV4, Folder) {
+pub(crate) async fn control() -> (Rc<NodeContext>, SocketAddrV4, Folder) {
     let folder = Folder(std::env::temp_dir().join(format!("control-{:x}", rand::random::<u64>())));
     let (internal, port) = (free_port(), free_port());
     let text = format!(
@@ -49,21 +49,21 @@
         folder.0.display()
     );
     let settings = Settings::parse(&text).expect("settings");
-    let house = House::new(settings, String::new(), 0);
+    let node = NodeContext::new(settings, String::new(), 0);
     let out = [
-        "front",
-        "platform",
-        "keys",
+        "proxy",
+        "discovery",
+        "key_ownership",
         "placement",
-        "producer",
-        "leaving",
-        "tally",
+        "rollouts",
+        "shutdown",
+        "counter_log",
     ];
-    start_all_but(&house, &out).expect("starts");
-    while !house.standing.get().is_leader || !house.standing.get().current {
+    start_all_but(&node, &out).expect("starts");
+    while !node.status.get().is_leader || !node.status.get().is_current {
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
-    (house, SocketAddrV4::new([127, 0, 0, 1].into(), port), folder)
+    (node, SocketAddrV4::new([127, 0, 0, 1].into(), port), folder)
 }
 
 fn replace(headers: &str, body: &str) -> String {
@@ -96,7 +96,7 @@
 
 #[actix_rt::test]
 async fn bad_input_is_refused_with_its_field_and_nothing_is_taken() {
-    let (house, control, _folder) = control().await;
+    let (node, control, _folder) = control().await;
     let mut wrong = Vec::new();
     for base in [
         "",
@@ -161,9 +161,9 @@
         }
     }
     assert!(wrong.is_empty(), "{wrong:#?}");
-    let stage = house.stage.get();
+    let state = node.state.get();
     assert_eq!(
-        (stage.version(), stage.evacuated.len()),
+        (state.version(), state.evacuated.len()),
         (0, 0),
         "nothing was taken"
     );
@@ -171,12 +171,12 @@
     for _ in 0..2 {
         assert_eq!(status(&raw(control, &good).await), "200");
     }
-    assert_eq!(house.stage.get().version(), 1);
+    assert_eq!(node.state.get().version(), 1);
 }
 
 #[actix_rt::test]
 async fn an_answer_belongs_to_the_request_on_its_connection() {
-    let (house, control, _folder) = control().await;
+    let (node, control, _folder) = control().await;
     // A caller that gives up gets nothing more, and nobody else gets its answer.
     let mut gone = TcpStream::connect(control).await.expect("connects");
     let order = replace("Base-Version: 0\r\n", CONFIG);
@@ -203,6 +203,6 @@
     let told: Vec<&str> = answer.split("HTTP/1.1 ").skip(1).map(|a| &a[..3]).collect();
     assert_eq!(told, ["200", "412", "404", "200", "200"], "{answer}");
     assert!(answer.ends_with(CONFIG));
-    let stage = house.stage.get();
-    assert_eq!((stage.version(), stage.evacuated.len()), (1, 1));
+    let state = node.state.get();
+    assert_eq!((state.version(), state.evacuated.len()), (1, 1));
 }
--- a/crates/pebblepond/src/platform.rs
+++ b/crates/pebblepond/src/discovery/mod.rs
@@ -1,11 +1,14 @@
-//! The duty of reading the platform's list. One node does it, under the lease.
+//! Service discovery: the leader reads the platform's list of workers, under its lease, and
+//! logs what has changed.
 
-use crate::conductor::{Conductor, Lease, Propose};
-use crate::kernel::{House, Plugin};
-use crate::listing::{Listing, Next};
+mod listing;
+
+use crate::control::{LeaderLease, Propose, RaftDriver};
+use crate::kernel::{Component, NodeContext, StartError};
 use crate::upstream::{simple, Simple, Upstream};
 use actix::prelude::*;
 use config::{constants as c, DurationText};
+use listing::{Listing, Next};
 use placement::{is_nothing, Caller, Casting, Scene};
 use protocol::{ChangeKind, Worker};
 use serde::Deserialize;
@@ -13,22 +16,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-inventory::submit! { Plugin { name: "platform", order: 50, start } }
+inventory::submit! { Component { name: "discovery", order: 50, start } }
 
-fn start(house: &Rc<House>) -> Result<(), String> {
-    if !house.may_lead() {
+fn start(context: &Rc<NodeContext>) -> Result<(), StartError> {
+    if !context.may_lead() {
         return Ok(());
     }
-    let house = house.clone();
+    let context = context.clone();
     actix_rt::spawn(async move {
-        let mut agent = Agent {
-            house,
+        let mut discovery = Discovery {
+            context,
             upstream: Upstream::new(),
             casting: Casting::default(),
             since: None,
         };
         loop {
-            let pause = agent.round().await;
+            let pause = discovery.round().await;
             actix_rt::time::sleep(Duration::from_millis(pause)).await;
         }
     });
@@ -77,65 +80,67 @@
     1
 }
 
-struct Agent {
-    house: Rc<House>,
+struct Discovery {
+    context: Rc<NodeContext>,
     upstream: Rc<Upstream>,
     casting: Casting,
     /// Since when this node leads, as far as the list goes.
     since: Option<u64>,
 }
 
-impl Agent {
+impl Discovery {
     /// One look at the list, if that is this node's duty; the pause after it.
     async fn round(&mut self) -> u64 {
         const IDLE_MS: u64 = 100;
-        let Some(conductor) = self.house.get::<Addr<Conductor>>() else {
+        let Some(driver) = self.context.get::<Addr<RaftDriver>>() else {
             return IDLE_MS;
         };
-        if !self.house.standing.get().is_leader {
+        if !self.context.status.get().is_leader {
             return IDLE_MS;
         }
-        let Ok(Some(since)) = conductor.send(Lease).await else {
+        let Ok(Some(since)) = driver.send(LeaderLease).await else {
             return IDLE_MS;
         };
         if self.since != Some(since) {
             self.since = Some(since);
             self.casting.begin();
         }
-        let begun = self.house.now();
-        let as_of = self.house.stage.get().index;
+        let begun = self.context.now();
+        let as_of = self.context.state.get().index;
         let mut pages = 0;
         if let Some(listing) = self.read_list(since, &mut pages).await {
-            let duty = conductor.send(Lease).await.ok().flatten();
+            let duty = driver.send(LeaderLease).await.ok().flatten();
             let Some(listed) = listing.finish(duty) else {
-                self.house.counters.add("listings_of_another_duty");
+                self.context.counters.add("listings_of_another_duty");
                 return IDLE_MS;
             };
             let listed = listed.into_iter().map(|(id, l)| (id.clone(), l.into_row(id)));
-            let settings = self.house.settings.get();
+            let settings = self.context.settings.get();
             let scene = Scene {
-                stage: &self.house.stage.get(),
+                stage: &self.context.state.get(),
                 as_of,
                 callers: &self.callers(),
                 bounds: &settings.terms.bounds,
                 lag_ms: settings.platform.cloud_api.lag.ms,
             };
-            let change = self.casting.compare(self.house.now(), &listed.collect(), &scene);
+            let change = self
+                .casting
+                .compare(self.context.now(), &listed.collect(), &scene);
             if !is_nothing(&change) {
-                let _ = conductor.send(Propose(ChangeKind::Workers(change))).await;
+                let _ = driver.send(Propose(ChangeKind::Workers(change))).await;
             }
         } else {
-            self.house.counters.add("platform_calls_failed");
+            self.context.counters.add("platform_calls_failed");
         }
         (begun + c::LIST_INTERVAL_MS.max(pages * c::LIST_PAGE_INTERVAL_MS))
-            .saturating_sub(self.house.now())
+            .saturating_sub(self.context.now())
             .max(IDLE_MS)
     }
 
     /// The nodes that take clients.
     fn callers(&self) -> Vec<Caller> {
-        let members = self.house.members.get();
-        let serving = members.iter().filter(|m| m.is_alive() && m.ready && m.id != 0);
+        let members = self.context.members.get();
+        let serving = members.iter().filter(|m| m.is_alive() && m.is_ready && m.id != 0);
         serving
             .map(|m| Caller {
                 id: m.id,
@@ -145,12 +150,12 @@
     }
 
     async fn read_list(&self, duty: u64, pages: &mut u64) -> Option<Listing<Listed>> {
-        let address = self.house.settings.get().platform.cloud_api.address.to_string();
+        let address = self.context.settings.get().platform.cloud_api.address.to_string();
         let mut listing = Listing::begin(duty);
         let mut path = "/instances".to_string();
         loop {
             *pages += 1;
-            self.house.counters.add("platform_calls");
+            self.context.counters.add("platform_calls");
             let call = Simple {
                 method: actix_http::Method::GET,
                 address: &address,
--- a/crates/pebblepond/src/forwarding_tests.rs
+++ b/crates/pebblepond/src/forwarding_tests.rs
@@ -1,7 +1,7 @@
 //! The forwarding path over real sockets: a front, and stand-in workers that
 //! do what a test tells them. Nothing here depends on how long things take.
 
-use crate::kernel::{start_all_but, House, Standing};
+use crate::kernel::{start_all_but, NodeContext, NodeStatus};
 use config::Settings;
 use control_state::ControlState;
 use protocol::*;
@@ -130,12 +130,12 @@
 
 /// A front whose service has these workers; it may send as many further tries
 /// as it likes. The address clients use.
-pub(crate) async fn front(workers: &[String]) -> SocketAddrV4 {
-    house(workers).await.1
+pub(crate) async fn proxy(workers: &[String]) -> SocketAddrV4 {
+    node(workers).await.1
 }
 
 /// The same, with the house that it stands in.
-pub(crate) async fn house(workers: &[String]) -> (Rc<House>, SocketAddrV4) {
+pub(crate) async fn node(workers: &[String]) -> (Rc<NodeContext>, SocketAddrV4) {
     let port = free_port();
     let text = format!(
         r#"
@@ -160,14 +160,14 @@
         "#
     );
     let settings = Settings::parse(&text).expect("settings");
-    let house = House::new(settings, String::new(), 0);
-    let mut stage = ControlState::default();
+    let node = NodeContext::new(settings, String::new(), 0);
+    let mut state = ControlState::default();
     let order = ConfigurationCommand {
         base: 0,
         body: CONFIG.into(),
         ..Default::default()
     };
-    stage.apply(1, &Change::encode(ChangeKind::Replace(order)));
+    state.apply(1, &Change::encode(ChangeKind::Replace(order)));
     let put = workers
         .iter()
         .enumerate()
@@ -180,39 +180,39 @@
             ..Default::default()
         })
         .collect();
-    stage.apply(
+    state.apply(
         2,
         &Change::encode(ChangeKind::Workers(WorkersChange {
             put,
             ..Default::default()
         })),
     );
-    house.stage.set(stage);
-    house.standing.set(Standing {
-        current: true,
+    node.state.set(state);
+    node.status.set(NodeStatus {
+        is_current: true,
         ..Default::default()
     });
     start_all_but(
-        &house,
+        &node,
         &[
-            "post",
-            "lobby",
-            "conductor",
-            "platform",
-            "keys",
+            "peer_transport",
+            "gossip",
+            "control",
+            "discovery",
+            "key_ownership",
             "placement",
-            "interfaces",
-            "leaving",
-            "tally",
+            "admin_http",
+            "shutdown",
+            "counter_log",
         ],
     )
     .expect("starts");
-    (house, SocketAddrV4::new([127, 0, 0, 1].into(), port))
+    (node, SocketAddrV4::new([127, 0, 0, 1].into(), port))
 }
 
 /// Sends bytes and reads until the front closes.
-pub(crate) async fn raw(front: SocketAddrV4, text: &str) -> String {
-    let mut io = TcpStream::connect(front).await.expect("connects");
+pub(crate) async fn raw(proxy: SocketAddrV4, text: &str) -> String {
+    let mut io = TcpStream::connect(proxy).await.expect("connects");
     io.write_all(text.as_bytes()).await.expect("sends");
     let mut got = Vec::new();
     let _ = io.read_to_end(&mut got).await;
@@ -234,8 +234,8 @@
 #[actix_rt::test]
 async fn what_goes_through_is_unchanged_but_for_the_connection() {
     let (script, address) = worker(vec![ok("fine")]).await;
-    let front = front(&[address]).await;
-    let answer = raw(front, &get("/again/x%20y?q=%2F")).await;
+    let proxy = proxy(&[address]).await;
+    let answer = raw(proxy, &get("/again/x%20y?q=%2F")).await;
     assert!(
         answer.starts_with("HTTP/1.1 200") && answer.ends_with("fine") && answer.contains("erver-seal: s"),
         "{answer}"
@@ -250,7 +250,7 @@
         seen.contains("deadline-ms: ") && seen.contains("attempt-id: 7"),
         "{seen}"
     );
-    let answer = raw(front, &post("/once/a", "body")).await;
+    let answer = raw(proxy, &post("/once/a", "body")).await;
     assert_eq!(status(&answer), "200");
     assert!(script.seen.borrow()[1].ends_with("\r\n\r\nbody"));
 }
@@ -284,8 +284,8 @@
         ),
     ] {
         let (script, address) = worker(vec![act]).await;
-        let front = front(&[address]).await;
-        let answer = raw(front, &post("/once/a", "body")).await;
+        let proxy = proxy(&[address]).await;
+        let answer = raw(proxy, &post("/once/a", "body")).await;
         assert_eq!(status(&answer), wanted, "{answer}");
         assert_eq!(script.seen.borrow().len(), 1);
         assert_eq!(answer.contains("etry-after"), wanted == "503", "{answer}");
@@ -297,12 +297,12 @@
     let shed = Act::Say("HTTP/1.1 503 No\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n".into());
     let (_, a) = worker(vec![shed.clone(), ok("a")]).await;
     let (_, b) = worker(vec![shed, ok("b")]).await;
-    let front_address = front(&[a, b]).await;
+    let front_address = proxy(&[a, b]).await;
     // The first worker turns it away, the second too; then both are well.
     assert_eq!(status(&raw(front_address, &post("/once/a", "x")).await), "503");
     let (broken, a) = worker(vec![Act::Close]).await;
     let (also, b) = worker(vec![Act::Close]).await;
-    let front_address = front(&[a, b]).await;
+    let front_address = proxy(&[a, b]).await;
     assert_eq!(status(&raw(front_address, &get("/again/a")).await), "502");
     assert_eq!(
         broken.seen.borrow().len() + also.seen.borrow().len(),
@@ -315,9 +315,9 @@
 async fn stray_bytes_never_reach_the_next_request() {
     let stray = "HTTP/1.1 200 OK\r\nAttempt-Id: 7\r\nServer-Seal: s\r\nContent-Length: 1\r\n\r\n1HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
     let (script, address) = worker(vec![Act::Say(stray.into()), ok("right")]).await;
-    let front = front(&[address]).await;
-    assert!(raw(front, &get("/again/a")).await.ends_with("\r\n\r\n1"));
-    assert!(raw(front, &get("/again/b")).await.ends_with("right"));
+    let proxy = proxy(&[address]).await;
+    assert!(raw(proxy, &get("/again/a")).await.ends_with("\r\n\r\n1"));
+    assert!(raw(proxy, &get("/again/b")).await.ends_with("right"));
     assert_eq!(
         *script.connections.borrow(),
         2,
@@ -330,7 +330,7 @@
     let stale = "HTTP/1.1 200 OK\r\nAttempt-Id: 6\r\nServer-Seal: s\r\nContent-Length: 5\r\n\r\nwrong";
     let Act::Say(right) = ok("right") else { return };
     let (script, address) = worker(vec![Act::Say(format!("{stale}{right}")), ok("next")]).await;
-    let front_address = front(&[address]).await;
+    let front_address = proxy(&[address]).await;
     assert!(raw(front_address, &post("/once/a", "x")).await.ends_with("right"));
     assert!(raw(front_address, &post("/once/a", "x")).await.ends_with("next"));
     assert_eq!(
@@ -342,7 +342,7 @@
     let nameless = stale.replace("Attempt-Id: 6\r\n", "");
     for only in [stale, &nameless] {
         let (_, address) = worker(vec![Act::SayAndClose(only.into())]).await;
-        let front_address = front(&[address]).await;
+        let front_address = proxy(&[address]).await;
         assert_eq!(status(&raw(front_address, &post("/once/a", "x")).await), "502");
     }
 }
@@ -352,7 +352,7 @@
     let other = "HTTP/1.1 421 No\r\nNot-Executed: 1\r\nInstance-Id: x\r\nContent-Length: 0\r\n\r\n";
     let (gone, a) = worker(vec![Act::Say(other.into())]).await;
     let (_, b) = worker(vec![ok("b")]).await;
-    let front_address = front(&[a, b]).await;
+    let front_address = proxy(&[a, b]).await;
     for _ in 0..10 {
         assert_eq!(status(&raw(front_address, &post("/once/a", "x")).await), "200");
     }
@@ -362,10 +362,10 @@
 #[actix_rt::test]
 async fn a_node_about_to_end_refuses_at_once_what_it_could_not_finish() {
     let (script, address) = worker(vec![ok("fine")]).await;
-    let (house, front_address) = house(&[address]).await;
-    house.leaving.set(true);
+    let (node, front_address) = node(&[address]).await;
+    node.shutting_down.set(true);
     assert_eq!(status(&raw(front_address, &post("/once/a", "x")).await), "200");
-    house.closing.set(true);
+    node.refusing_requests.set(true);
     let answer = raw(front_address, &post("/once/a", "x")).await;
     assert!(
         status(&answer) == "503" && answer.contains("etry-after"),
@@ -378,9 +378,9 @@
 async fn a_closing_worker_is_not_called_on_the_same_connection() {
     let closing = "HTTP/1.1 200 OK\r\nAttempt-Id: 7\r\nServer-Seal: s\r\nConnection: close\r\nContent-Length: 1\r\n\r\n1";
     let (script, address) = worker(vec![Act::Say(closing.into()), ok("2"), ok("3")]).await;
-    let front = front(&[address]).await;
+    let proxy = proxy(&[address]).await;
     for end in ["1", "2", "3"] {
-        assert!(raw(front, &get("/again/a")).await.ends_with(end));
+        assert!(raw(proxy, &get("/again/a")).await.ends_with(end));
     }
     assert_eq!(
         *script.connections.borrow(),
@@ -392,7 +392,7 @@
 #[actix_rt::test]
 async fn bad_requests_get_their_status_and_reach_nobody() {
     let (script, address) = worker(vec![ok("fine")]).await;
-    let front = front(&[address]).await;
+    let proxy = proxy(&[address]).await;
     let big = "x".repeat(1001);
     let long = format!(
         "GET /again/a HTTP/1.1\r\nHost: a.example\r\nX: {}\r\n\r\n",
@@ -410,7 +410,7 @@
         ("POST /once/a HTTP/1.1\r\nHost: a.example\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n0\r\n\r\n".into(), "400"),
     ];
     for (request, wanted) in cases {
-        let answer = raw(front, &request).await;
+        let answer = raw(proxy, &request).await;
         assert_eq!(status(&answer), wanted, "{request}\n{answer}");
         assert_eq!(
             answer.matches("HTTP/1.1").count(),
@@ -424,9 +424,9 @@
 #[actix_rt::test]
 async fn out_of_time_is_said_and_a_client_that_leaves_ends_the_try() {
     let (script, address) = worker(vec![Act::Hang]).await;
-    let front = front(&[address]).await;
-    assert_eq!(status(&raw(front, &get("/short/a")).await), "504");
-    let mut io = TcpStream::connect(front).await.expect("connects");
+    let proxy = proxy(&[address]).await;
+    assert_eq!(status(&raw(proxy, &get("/short/a")).await), "504");
+    let mut io = TcpStream::connect(proxy).await.expect("connects");
     io.write_all(get("/again/a").as_bytes()).await.expect("sends");
     while script.seen.borrow().len() < 2 {
         actix_rt::task::yield_now().await;
@@ -453,7 +453,7 @@
 #[actix_rt::test]
 async fn headers_to_workers_and_clients_stay_as_they_were() {
     let (script, address) = worker(vec![ok("fine")]).await;
-    let front = front(&[address]).await;
+    let proxy = proxy(&[address]).await;
     let mut told = Vec::new();
     for request in [
         get("/again/a"),
@@ -463,7 +463,7 @@
         post("/once/a", &"x".repeat(2000)),
         get("/again/a").replace("X-Kept: 2", &format!("X-Kept: {}", "2".repeat(3000))),
     ] {
-        told.push(without_values(&raw(front, &request).await));
+        told.push(without_values(&raw(proxy, &request).await));
     }
     let seen: Vec<String> = script.seen.borrow().iter().map(|s| without_values(s)).collect();
     let now = format!(
--- /dev/null
+++ b/crates/pebblepond/src/gossip_driver.rs
@@ -0,0 +1,220 @@
+//! Drives the membership protocol over UDP and publishes who is there.
+
+use crate::kernel::{Component, NodeContext, StartError};
+use actix::prelude::*;
+use config::constants as c;
+use config::Settings;
+use gossip::{Config, Envelope, Member, MembershipProtocol};
+use prost::Message as _;
+use rand::Rng;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use tokio::net::UdpSocket;
+
+inventory::submit! { Component { name: "gossip", order: 30, start } }
+
+/// Largest datagram that is read, bytes.
+const DATAGRAM_BYTES: usize = 16 * 1024;
+/// Pause after a failed read, ms.
+const READ_RETRY_MS: u64 = 10;
+
+const CONFIG: Config = Config {
+    probe_interval_ms: c::PROBE_INTERVAL_MS,
+    probe_timeout_ms: c::PROBE_TIMEOUT_MS,
+    suspect_after_ms: c::SUSPECT_AFTER_MS,
+    indirect_probes: c::INDIRECT_PROBES,
+    suspicion_timeout_ms: c::SUSPICION_TIMEOUT_MS,
+    dead_retention_ms: c::DEAD_RETENTION_MS,
+    retransmits: c::GOSSIP_RETRANSMITS,
+    message_members: c::GOSSIP_MESSAGE_MEMBERS,
+    join_interval_ms: c::JOIN_INTERVAL_MS,
+    rejoin_interval_ms: c::REJOIN_INTERVAL_MS,
+    exchange_interval_ms: c::EXCHANGE_INTERVAL_MS,
+};
+
+fn start(context: &Rc<NodeContext>) -> Result<(), StartError> {
+    let settings = context.settings.get();
+    let address = settings.internal_address();
+    let socket = std::net::UdpSocket::bind(address)
+        .and_then(|s| s.set_nonblocking(true).map(|()| s))
+        .and_then(UdpSocket::from_std)
+        .map_err(|source| StartError::ListenUdp { address, source })?;
+    let socket = Rc::new(socket);
+    let seeds = settings.seed_addresses().into_iter().map(|s| s.to_string());
+    let protocol = MembershipProtocol::new(
+        own_member(&settings),
+        seeds.collect(),
+        CONFIG,
+        context.now(),
+        rand::thread_rng().gen(),
+    );
+    let driver = GossipDriver {
+        context: context.clone(),
+        protocol,
+        socket: socket.clone(),
+        published_at: 0,
+    }
+    .start();
+    context.put(driver.clone());
+    actix_rt::spawn(read_datagrams(socket, driver));
+    Ok(())
+}
+
+fn own_member(settings: &Settings) -> Member {
+    let entity = &settings.own_entity;
+    let client_address = settings.network.listen_points.front;
+    // The time of day makes a later run of the process outrank an earlier one; it need not be
+    // exact.
+    let incarnation = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(1, |d| d.as_millis() as u64);
+    Member {
+        address: settings.internal_address().to_string(),
+        incarnation,
+        name: entity.node_name.clone(),
+        zone: entity.zone.clone(),
+        region: entity.region.clone(),
+        client_address: client_address.map(|a| a.to_string()).unwrap_or_default(),
+        has_disk: entity.data_directory.is_some(),
+        cpu_fraction: entity.limits.cpu_fraction,
+        ..Default::default()
+    }
+}
+
+async fn read_datagrams(socket: Rc<UdpSocket>, driver: Addr<GossipDriver>) {
+    let mut buffer = vec![0u8; DATAGRAM_BYTES];
+    loop {
+        let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
+            actix_rt::time::sleep(Duration::from_millis(READ_RETRY_MS)).await;
+            continue;
+        };
+        if let Ok(message) = gossip::Message::decode(&buffer[..length]) {
+            driver.do_send(Received { from, message });
+        }
+    }
+}
+
+#[derive(Message)]
+#[rtype(result = "()")]
+struct Received {
+    from: SocketAddr,
+    message: gossip::Message,
+}
+
+/// Changes what this node says of itself.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Message)]
+#[rtype(result = "()")]
+pub struct UpdateOwnMember {
+    /// Its identity.
+    pub id: u64,
+    /// The cluster that it belongs to; 0 for none.
+    pub cluster: u64,
+    /// It takes clients.
+    pub is_ready: bool,
+    /// Whom it has chosen to bootstrap a new cluster; 0 for nobody.
+    pub appointed: u64,
+    /// Its disk was empty at the first start of the whole system.
+    pub is_new_system: bool,
+}
+
+/// The owner of the membership.
+pub struct GossipDriver {
+    context: Rc<NodeContext>,
+    protocol: MembershipProtocol,
+    socket: Rc<UdpSocket>,
+    /// When the table of members was last published, ms.
+    published_at: u64,
+}
+
+impl GossipDriver {
+    fn schedule(&mut self, actor: &mut Context<Self>) {
+        let now = self.context.now();
+        self.protocol.tick(now);
+        self.flush();
+        let mut wait = self.protocol.next_tick_at().saturating_sub(now);
+        if self.protocol.has_changed() {
+            wait = wait.min(c::MEMBER_TABLE_INTERVAL_MS);
+        }
+        let wait = Duration::from_millis(wait.max(c::PROBE_TIMEOUT_MS / 10));
+        actor.run_later(wait, Self::schedule);
+    }
+
+    fn flush(&mut self) {
+        for Envelope { to, message } in self.protocol.take_outgoing() {
+            if let Ok(to) = to.parse::<SocketAddr>() {
+                // A datagram that cannot be sent counts as lost.
+                let _ = self.socket.try_send_to(&message.encode_to_vec(), to);
+            }
+        }
+        self.publish_members();
+    }
+
+    /// Updates come in bursts when all start together; the table is made anew at most once for
+    /// each, or it would cost a small node a second.
+    fn publish_members(&mut self) {
+        let now = self.context.now();
+        let is_due = now >= self.published_at + c::MEMBER_TABLE_INTERVAL_MS
+            || self.context.members.get().len() < c::MEMBER_TABLE_SMALL;
+        if is_due && self.protocol.take_changed() {
+            self.published_at = now;
+            let all = std::iter::once(self.protocol.own()).chain(self.protocol.members());
+            let members: Vec<Member> = all.cloned().collect();
+            self.context.members.set(members);
+        }
+    }
+
+    /// The mean round trip to each site.
+    fn publish_round_trips(&self) {
+        let settings = self.context.settings.get();
+        let mut sums: BTreeMap<String, (f64, f64)> = BTreeMap::new();
+        for member in self.protocol.alive() {
+            if let Some(round_trip) = self.protocol.round_trip(&member.address) {
+                let site = settings.site(&member.zone, &member.region).to_string();
+                let (sum, count) = sums.entry(site).or_default();
+                *sum += round_trip;
+                *count += 1.0;
+            }
+        }
+        let means = sums.into_iter().map(|(site, (sum, count))| (site, sum / count));
+        let means: BTreeMap<String, f64> = means.collect();
+        self.context.round_trips.set(means);
+    }
+}
+
+impl Actor for GossipDriver {
+    type Context = Context<Self>;
+    fn started(&mut self, actor: &mut Self::Context) {
+        self.schedule(actor);
+        let interval = Duration::from_millis(c::REPORT_INTERVAL_MS);
+        actor.run_interval(interval, |driver, _| driver.publish_round_trips());
+    }
+}
+
+impl Handler<Received> for GossipDriver {
+    type Result = ();
+    fn handle(&mut self, received: Received, _: &mut Self::Context) {
+        let before = self.protocol.unmatched_acks();
+        let from = received.from.to_string();
+        self.protocol.receive(self.context.now(), &from, received.message);
+        if self.protocol.unmatched_acks() != before {
+            self.context.counters.add("unknown_acks");
+        }
+        self.flush();
+    }
+}
+
+impl Handler<UpdateOwnMember> for GossipDriver {
+    type Result = ();
+    fn handle(&mut self, update: UpdateOwnMember, _: &mut Self::Context) {
+        self.protocol.update_own(|own| {
+            own.id = update.id;
+            own.cluster = update.cluster;
+            own.is_ready = update.is_ready;
+            own.appointed = update.appointed;
+            own.is_new_system = update.is_new_system;
+        });
+        self.flush();
+    }
+}
--- a/crates/pebblepond/src/main.rs
+++ b/crates/pebblepond/src/main.rs
@@ -1,23 +1,24 @@
-//! The one program of pebblepond.
+//! The one program of pebblepond: `serve` runs a node, everything else talks to a node or reads
+//! files. Each component registers itself with the kernel and owns its part of the state.
 
+mod admin_http;
+mod balancer_actor;
 mod cli;
-mod conductor;
-mod desk;
-mod desks;
-mod front;
+mod control;
+mod counter_log;
+mod discovery;
+mod gossip_driver;
 mod kernel;
-mod keys;
-mod leaving;
-mod listing;
-mod lobby;
-mod placement;
-mod platform;
-mod post;
-mod producer;
+mod ownership_controller;
+mod peer_transport;
+mod placement_controller;
+mod proxy;
+mod reports;
+mod rollout_controller;
+mod shutdown;
 mod sockets;
-mod tally;
+mod storage;
 mod upstream;
-mod vault;
 
 #[cfg(test)]
 mod answers_tests;
@@ -28,14 +29,15 @@
 #[cfg(test)]
 mod forwarding_tests;
 #[cfg(test)]
-mod stored_data_tests;
+mod storage_tests;
 #[cfg(test)]
-mod vault_tests;
+mod stored_data_tests;
 
-use config::{settings::SETTINGS_ENV, Settings};
-use kernel::House;
+use config::{settings::SETTINGS_ENV, Settings, SettingsError};
+use kernel::{NodeContext, StartError};
 use std::process::ExitCode;
 
+/// The log: a line on standard error for each event, `level=LEVEL event=EVENT key=value ...`.
 struct Log;
 
 impl log::Log for Log {
@@ -60,18 +62,47 @@
     cli::run(serve)
 }
 
-fn serve(args: &cli::ServeArgs) -> Result<(), String> {
+/// Why a node cannot be run.
+#[derive(Debug, thiserror::Error)]
+enum ServeError {
+    /// Nothing names the settings file.
+    #[error("{SETTINGS_ENV} is not set")]
+    NoSettingsPath,
+    /// The settings file cannot be read.
+    #[error("{path}: {source}")]
+    Unreadable {
+        /// The file.
+        path: String,
+        /// Why.
+        source: std::io::Error,
+    },
+    /// The settings are invalid.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// A component cannot start.
+    #[error(transparent)]
+    Start(#[from] StartError),
+    /// The process's event loop has failed.
+    #[error("{0}")]
+    EventLoop(#[source] std::io::Error),
+}
+
+/// Runs a node until it is told to end.
+fn serve(args: &cli::ServeArgs) -> Result<(), ServeError> {
     if log::set_logger(&LOG).is_ok() {
         log::set_max_level(args.log_level.parse().unwrap_or(log::LevelFilter::Info));
     }
-    let path = std::env::var(SETTINGS_ENV).map_err(|_| format!("{SETTINGS_ENV} is not set"))?;
-    let text = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
-    let settings = Settings::parse(&text).map_err(|e| e.to_string())?;
-    let every = args.counters_every;
+    let path = std::env::var(SETTINGS_ENV).map_err(|_| ServeError::NoSettingsPath)?;
+    let text = std::fs::read_to_string(&path).map_err(|source| ServeError::Unreadable {
+        path: path.clone(),
+        source,
+    })?;
+    let settings = Settings::parse(&text)?;
+    let counters_interval_s = args.counters_every;
     let system = actix::System::new();
     system.block_on(async move {
-        let house = House::new(settings, path, every);
-        kernel::start_all(&house)
+        let context = NodeContext::new(settings, path, counters_interval_s);
+        kernel::start_all(&context)
     })?;
-    system.run().map_err(|e| e.to_string())
+    system.run().map_err(ServeError::EventLoop)
 }
--- a/crates/pebblepond/src/keys.rs
+++ b/crates/pebblepond/src/ownership_controller.rs
@@ -1,46 +1,42 @@
-//! The duty of granting keys. The leader does it, under the lease.
+//! The controller of key ownership: the leader grants, renews and revokes the leases of keys,
+//! under its own lease.
 
-use crate::conductor::{Conductor, Lease, Propose};
-use crate::kernel::{House, Plugin};
+use crate::control::{LeaderLease, Propose, RaftDriver};
+use crate::kernel::{Component, NodeContext, StartError};
+use crate::reports::KeyLoads;
 use crate::upstream::{simple, Fault, Simple, Upstream};
 use actix::prelude::*;
 use bytes::Bytes;
 use config::constants as c;
 use key_ownership::{Act, GrantCall, Granted, OwnershipManager, ReleaseCall, Released};
-use protocol::{ChangeKind, KeyCounts, KeyLease, KeyLeaseChange, WorkerStats};
+use protocol::{ChangeKind, KeyLease, KeyLeaseChange};
 use std::rc::Rc;
 use std::time::Duration;
 
-inventory::submit! { Plugin { name: "keys", order: 60, start } }
+inventory::submit! { Component { name: "key_ownership", order: 60, start } }
 
-fn start(house: &Rc<House>) -> Result<(), String> {
-    if !house.may_lead() {
+fn start(context: &Rc<NodeContext>) -> Result<(), StartError> {
+    if !context.may_lead() {
         return Ok(());
     }
-    let bounds = &house.settings.get().terms.bounds;
+    let bounds = &context.settings.get().terms.bounds;
     let ownership = OwnershipManager::new(bounds.hold_limit.ms, bounds.thaw.ms);
-    let dresser = Dresser {
-        house: house.clone(),
+    let controller = OwnershipController {
+        context: context.clone(),
         upstream: Upstream::new(),
         ownership,
         since: None,
     };
-    house.put(dresser.start());
+    let controller = controller.start();
+    *context.report_handlers.key_loads.borrow_mut() = Some(controller.clone().recipient());
+    context.put(controller);
     Ok(())
 }
 
-/// What a proxy counted for the keys.
-#[derive(Message)]
-#[rtype(result = "()")]
-pub struct Counted {
-    pub keys: Vec<KeyCounts>,
-    pub capacity: Vec<WorkerStats>,
-}
-
-impl Handler<Counted> for Dresser {
+impl Handler<KeyLoads> for OwnershipController {
     type Result = ();
-    fn handle(&mut self, msg: Counted, _: &mut Self::Context) {
-        self.ownership.take_loads(&msg.keys, &msg.capacity);
+    fn handle(&mut self, msg: KeyLoads, _: &mut Self::Context) {
+        self.ownership.take_loads(&msg.keys, &msg.workers);
     }
 }
 
@@ -50,15 +46,15 @@
 type Answered = Result<(actix_http::StatusCode, actix_http::header::HeaderMap, Bytes), Fault>;
 
 /// The owner of the grants.
-pub struct Dresser {
-    house: Rc<House>,
+pub struct OwnershipController {
+    context: Rc<NodeContext>,
     upstream: Rc<Upstream>,
     ownership: OwnershipManager,
     /// Since when this node leads, as far as the grants go.
     since: Option<u64>,
 }
 
-impl Actor for Dresser {
+impl Actor for OwnershipController {
     type Context = Context<Self>;
     fn started(&mut self, ctx: &mut Self::Context) {
         ctx.run_interval(Duration::from_millis(c::KEY_CHECK_INTERVAL_MS), |me, ctx| {
@@ -70,24 +66,24 @@
     }
 }
 
-impl Dresser {
+impl OwnershipController {
     fn round(&mut self, ctx: &mut Context<Self>) {
-        if !self.house.standing.get().is_leader {
+        if !self.context.status.get().is_leader {
             self.since = None;
             return;
         }
-        let Some(conductor) = self.house.get::<Addr<Conductor>>() else {
+        let Some(driver) = self.context.get::<Addr<RaftDriver>>() else {
             return;
         };
-        ctx.spawn(conductor.send(Lease).into_actor(self).map(|lease, me, ctx| {
+        ctx.spawn(driver.send(LeaderLease).into_actor(self).map(|lease, me, ctx| {
             let Ok(Some(since)) = lease else { return };
-            let now = me.house.now();
-            let stage = me.house.stage.get();
+            let now = me.context.now();
+            let state = me.context.state.get();
             if me.since != Some(since) {
                 me.since = Some(since);
-                me.ownership.begin(now, &stage);
+                me.ownership.begin(now, &state);
             }
-            for act in me.ownership.tick(now, &stage) {
+            for act in me.ownership.tick(now, &state) {
                 me.act(act, ctx);
             }
         }));
@@ -102,7 +98,7 @@
     }
 
     fn log(&mut self, put: Vec<KeyLease>, ctx: &mut Context<Self>) {
-        let Some(conductor) = self.house.get::<Addr<Conductor>>() else {
+        let Some(driver) = self.context.get::<Addr<RaftDriver>>() else {
             return;
         };
         for h in &put {
@@ -119,7 +115,7 @@
         let change = ChangeKind::KeyLeases(KeyLeaseChange { put });
         let duty = self.since;
         ctx.spawn(
-            conductor
+            driver
                 .send(Propose(change))
                 .into_actor(self)
                 .map(move |_, me, ctx| {
@@ -175,7 +171,7 @@
         let (address, worker) = (call.address.clone(), h.worker.clone());
         let work = self.ask(address, worker, "/grant", body, c::GRANT_TIMEOUT_MS);
         ctx.spawn(work.into_actor(self).map(move |result, me, _| {
-            let (now, h) = (me.house.now(), &call.holding);
+            let (now, h) = (me.context.now(), &call.holding);
             let granted = match result {
                 Ok((status, _, _)) if status.is_success() => Granted::Yes,
                 Ok((status, _, body)) if status == 409 => {
@@ -194,7 +190,7 @@
             me.ownership.granted(now, &call, granted);
             me.count_unknown(unknown);
             if granted != Granted::Yes {
-                me.house.counters.add("grants_failed");
+                me.context.counters.add("grants_failed");
             }
         }));
     }
@@ -202,7 +198,7 @@
     /// Counts an answer that came to nobody.
     fn count_unknown(&self, before: u64) {
         if self.ownership.unknown_answers() != before {
-            self.house.counters.add("unknown_key_answers");
+            self.context.counters.add("unknown_key_answers");
         }
     }
 
@@ -221,7 +217,7 @@
                     Released::Yes(token.to_string())
                 }
                 other => {
-                    me.house.counters.add("releases_failed");
+                    me.context.counters.add("releases_failed");
                     log::info!(
                         "event=release_failed worker={} answer={:?}",
                         call.holding.worker,
@@ -231,7 +227,7 @@
                 }
             };
             let unknown = me.ownership.unknown_answers();
-            me.ownership.released(me.house.now(), &call, released);
+            me.ownership.released(me.context.now(), &call, released);
             me.count_unknown(unknown);
             me.round(ctx);
         }));
--- /dev/null
+++ b/crates/pebblepond/src/peer_transport.rs
@@ -0,0 +1,261 @@
+//! Connections between nodes. Each node dials those that it has something to tell; a frame is
+//! a length (four bytes, big-endian) and an encoded [`PeerMessage`].
+//!
+//! The transport knows no other component: each registers for the payloads that it handles.
+
+use crate::kernel::{Component, NodeContext, StartError};
+use crate::sockets;
+use actix::prelude::*;
+use bytes::{Buf, BufMut, BytesMut};
+use config::constants as c;
+use prost::Message as _;
+use protocol::{Payload, PeerMessage};
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::mpsc;
+
+inventory::submit! { Component { name: "peer_transport", order: 20, start } }
+
+/// Messages that wait for the transport, messages.
+const MAILBOX: usize = 1024;
+/// Bytes of a frame's length.
+const LENGTH_BYTES: usize = 4;
+
+fn start(context: &Rc<NodeContext>) -> Result<(), StartError> {
+    let address = context.settings.get().internal_address();
+    let listener = sockets::listen(address).map_err(|source| StartError::Listen { address, source })?;
+    let transport = PeerTransport {
+        context: context.clone(),
+        connections: HashMap::new(),
+    }
+    .start();
+    context.put(transport.clone());
+    actix_rt::spawn(accept(listener, transport, context.clone()));
+    Ok(())
+}
+
+async fn accept(listener: TcpListener, transport: Addr<PeerTransport>, context: Rc<NodeContext>) {
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => {
+                actix_rt::spawn(read_frames(stream, transport.clone(), context.clone()));
+            }
+            Err(_) => actix_rt::time::sleep(Duration::from_millis(c::RECONNECT_PAUSE_MS)).await,
+        }
+    }
+}
+
+/// The kinds of payload that a component can register for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum PayloadKind {
+    /// Messages of Raft.
+    Raft,
+    /// Commands, passed on by other nodes.
+    Request,
+    /// The answers to such.
+    Response,
+    /// What other nodes have counted.
+    Report,
+    /// Questions for a repair.
+    Digests,
+    /// The answers to such.
+    Repair,
+}
+
+impl PayloadKind {
+    fn of(payload: &Payload) -> Option<PayloadKind> {
+        match payload {
+            Payload::Raft(_) => Some(PayloadKind::Raft),
+            Payload::Request(_) => Some(PayloadKind::Request),
+            Payload::Response(_) => Some(PayloadKind::Response),
+            Payload::Report(_) => Some(PayloadKind::Report),
+            Payload::Digests(_) => Some(PayloadKind::Digests),
+            Payload::Repair(_) => Some(PayloadKind::Repair),
+            Payload::Hello(_) => None,
+        }
+    }
+}
+
+/// What becomes of a message of another node.
+type PayloadHandler = Rc<dyn Fn(PeerMessage)>;
+
+/// Who handles which kind of payload; one handler each.
+#[derive(Default)]
+pub struct PayloadHandlers(RefCell<HashMap<PayloadKind, PayloadHandler>>);
+
+impl PayloadHandlers {
+    /// Registers a handler for some kinds. It runs on the transport's turn, and hands on what
+    /// takes time.
+    pub fn register(&self, kinds: &[PayloadKind], handler: impl Fn(PeerMessage) + 'static) {
+        let handler: PayloadHandler = Rc::new(handler);
+        let mut handlers = self.0.borrow_mut();
+        for kind in kinds {
+            handlers.insert(*kind, handler.clone());
+        }
+    }
+
+    fn get(&self, kind: PayloadKind) -> Option<PayloadHandler> {
+        self.0.borrow().get(&kind).cloned()
+    }
+}
+
+/// Tells a node something; lost if the node cannot be reached.
+#[derive(Message)]
+#[rtype(result = "()")]
+pub struct SendToPeer {
+    /// Its internal address.
+    pub to: String,
+    /// What it is told.
+    pub payload: Payload,
+}
+
+/// A message of another node has come in.
+#[derive(Message)]
+#[rtype(result = "()")]
+struct PeerReceived(PeerMessage);
+
+/// The owner of the connections to other nodes.
+pub struct PeerTransport {
+    context: Rc<NodeContext>,
+    /// Frames to send, by address.
+    connections: HashMap<String, mpsc::Sender<Vec<u8>>>,
+}
+
+impl Actor for PeerTransport {
+    type Context = Context<Self>;
+    fn started(&mut self, actor: &mut Self::Context) {
+        actor.set_mailbox_capacity(MAILBOX);
+    }
+}
+
+impl PeerTransport {
+    /// The message around a payload. Others may not know a node yet that is not current, so
+    /// that names the address to answer.
+    fn message(&self, payload: Payload) -> PeerMessage {
+        let status = self.context.status.get();
+        let wants_answer = matches!(payload, Payload::Request(_) | Payload::Digests(_));
+        let reply_to = if wants_answer || !status.is_current {
+            self.context.settings.get().internal_address().to_string()
+        } else {
+            String::new()
+        };
+        PeerMessage {
+            from: status.id,
+            cluster: status.cluster,
+            payload: Some(payload),
+            reply_to,
+        }
+    }
+}
+
+impl Handler<SendToPeer> for PeerTransport {
+    type Result = ();
+    fn handle(&mut self, SendToPeer { to, payload }: SendToPeer, _: &mut Self::Context) {
+        let message = self.message(payload);
+        let length = message.encoded_len();
+        let mut frame = Vec::with_capacity(length + LENGTH_BYTES);
+        frame.put_u32(length as u32);
+        if message.encode(&mut frame).is_err() {
+            return;
+        }
+        let context = &self.context;
+        let connection = self.connections.entry(to.clone()).or_insert_with(|| {
+            let (sender, frames) = mpsc::channel(c::PEER_QUEUE_FRAMES);
+            actix_rt::spawn(write_frames(to, frames, context.clone()));
+            sender
+        });
+        // A full queue drops the newest: whatever matters is sent again.
+        if connection.try_send(frame).is_err() {
+            self.context.counters.add("letters_dropped");
+        }
+    }
+}
+
+impl Handler<PeerReceived> for PeerTransport {
+    type Result = ();
+    fn handle(&mut self, PeerReceived(message): PeerReceived, _: &mut Self::Context) {
+        let cluster = self.context.status.get().cluster;
+        if cluster != 0 && message.cluster != 0 && message.cluster != cluster {
+            self.context.counters.add("letters_of_another_cluster");
+            return;
+        }
+        let kind = message.payload.as_ref().and_then(PayloadKind::of);
+        if let Some(handler) = kind.and_then(|kind| self.context.payload_handlers.get(kind)) {
+            handler(message);
+        }
+    }
+}
+
+/// Sends what is queued for a node, as long as the process runs.
+async fn write_frames(to: String, mut frames: mpsc::Receiver<Vec<u8>>, context: Rc<NodeContext>) {
+    let mut stream: Option<TcpStream> = None;
+    // A dark peer is dialled anew at once, so that it is met when it is back. After some tries
+    // it may be the own link that is full: then a longer wait is needed.
+    let mut failures = 0;
+    while let Some(mut frame) = frames.recv().await {
+        // What has queued up is sent in one write.
+        while let Ok(more) = frames.try_recv() {
+            frame.extend_from_slice(&more);
+        }
+        // The peer never speaks on a connection that we dialled: it has ended.
+        if stream.as_ref().is_some_and(|s| !sockets::is_quiet(s)) {
+            stream = None;
+        }
+        if stream.is_none() {
+            let wait_ms = c::PEER_CONNECT_TIMEOUT_MS << (failures / c::PEER_CONNECT_TRIES).min(2);
+            match sockets::connect(&to, wait_ms).await {
+                Ok(connected) => {
+                    stream = Some(connected);
+                    failures = 0;
+                }
+                Err(_) => {
+                    // Voters are waited for by elections.
+                    failures = if context.may_lead() { 0 } else { failures + 1 };
+                    context.counters.add("peer_connects_failed");
+                    actix_rt::time::sleep(Duration::from_millis(c::RECONNECT_PAUSE_MS)).await;
+                    while frames.try_recv().is_ok() {}
+                    continue;
+                }
+            }
+        }
+        if let Some(connected) = &mut stream {
+            if connected.write_all(&frame).await.is_err() {
+                stream = None;
+            }
+        }
+    }
+}
+
+/// Reads what a node sends, until it ends or sends something malformed.
+async fn read_frames(mut stream: TcpStream, transport: Addr<PeerTransport>, context: Rc<NodeContext>) {
+    if sockets::set_options(&stream).is_err() {
+        return;
+    }
+    let mut buffer = BytesMut::with_capacity(4096);
+    loop {
+        while buffer.len() >= LENGTH_BYTES {
+            let length = (&buffer[..LENGTH_BYTES]).get_u32() as usize;
+            if length > c::MAX_FRAME_BYTES {
+                context.counters.add("malformed_frames");
+                return;
+            }
+            if buffer.len() < LENGTH_BYTES + length {
+                break;
+            }
+            buffer.advance(LENGTH_BYTES);
+            let Ok(message) = PeerMessage::decode(buffer.split_to(length)) else {
+                context.counters.add("malformed_frames");
+                return;
+            };
+            transport.do_send(PeerReceived(message));
+        }
+        match stream.read_buf(&mut buffer).await {
+            Ok(read) if read > 0 => {}
+            _ => return,
+        }
+    }
+}
--- a/crates/pebblepond/src/placement.rs
+++ b/crates/pebblepond/src/placement_controller.rs
@@ -1,23 +1,25 @@
-//! The duty of deciding the placement, and of sharing out the retry slack.
+//! The controller of the placement: the leader decides it, ejects workers that fail or lag, and
+//! shares out the retry slack, under its lease.
 
-use crate::conductor::{Conductor, Lease, Propose};
-use crate::kernel::{House, Plugin};
+use crate::control::{LeaderLease, Propose, RaftDriver};
+use crate::kernel::{Component, NodeContext, StartError};
+use crate::reports::NodeReport;
 use actix::prelude::*;
 use config::constants as c;
 use placement::{Bench, Ledger, Options, Placement};
-use protocol::{ChangeKind, EjectionChange, PlacementChange, Report, RetryAllowanceChange, SiteFraction};
+use protocol::{ChangeKind, EjectionChange, PlacementChange, RetryAllowanceChange, SiteFraction};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
 
-inventory::submit! { Plugin { name: "placement", order: 35, start } }
+inventory::submit! { Component { name: "placement", order: 35, start } }
 
-fn start(house: &Rc<House>) -> Result<(), String> {
-    if !house.may_lead() {
+fn start(context: &Rc<NodeContext>) -> Result<(), StartError> {
+    if !context.may_lead() {
         return Ok(());
     }
-    let treasurer = Treasurer {
-        house: house.clone(),
+    let controller = PlacementController {
+        context: context.clone(),
         ledger: Ledger::default(),
         bench: Bench::default(),
         decided: 0,
@@ -27,21 +29,15 @@
         busy: false,
         since: None,
     };
-    house.put(treasurer.start());
+    let controller = controller.start();
+    *context.report_handlers.node_reports.borrow_mut() = Some(controller.clone().recipient());
+    context.put(controller);
     Ok(())
 }
 
-/// A proxy's report.
-#[derive(Message)]
-#[rtype(result = "()")]
-pub struct Reported {
-    pub node: u64,
-    pub report: Report,
-}
-
 /// The owner of rates and capacities.
-pub struct Treasurer {
-    house: Rc<House>,
+pub struct PlacementController {
+    context: Rc<NodeContext>,
     ledger: Ledger,
     bench: Bench,
     decided: u64,
@@ -53,7 +49,7 @@
     since: Option<u64>,
 }
 
-impl Actor for Treasurer {
+impl Actor for PlacementController {
     type Context = Context<Self>;
     fn started(&mut self, ctx: &mut Self::Context) {
         ctx.run_interval(Duration::from_millis(c::OUTLIER_CHECK_INTERVAL_MS), |me, ctx| {
@@ -62,36 +58,36 @@
     }
 }
 
-impl Handler<Reported> for Treasurer {
+impl Handler<NodeReport> for PlacementController {
     type Result = ();
-    fn handle(&mut self, msg: Reported, _: &mut Self::Context) {
+    fn handle(&mut self, msg: NodeReport, _: &mut Self::Context) {
         self.bench.take(&msg.report.workers);
-        self.ledger.take(self.house.now(), msg.node, msg.report);
+        self.ledger.take(self.context.now(), msg.node, msg.report);
     }
 }
 
-impl Treasurer {
+impl PlacementController {
     fn round(&mut self, ctx: &mut Context<Self>) {
-        if !self.house.standing.get().is_leader || self.busy {
+        if !self.context.status.get().is_leader || self.busy {
             return;
         }
-        let Some(conductor) = self.house.get::<Addr<Conductor>>() else {
+        let Some(driver) = self.context.get::<Addr<RaftDriver>>() else {
             return;
         };
-        ctx.spawn(conductor.send(Lease).into_actor(self).map(|lease, me, ctx| {
+        ctx.spawn(driver.send(LeaderLease).into_actor(self).map(|lease, me, ctx| {
             let Ok(Some(since)) = lease else { return };
             if me.since != Some(since) {
                 me.since = Some(since);
-                me.bench.begin(me.house.now());
+                me.bench.begin(me.context.now());
             }
             let change = me
                 .judge_workers()
                 .or_else(|| me.decide())
                 .or_else(|| me.share_slack());
-            if let (Some(change), Some(conductor)) = (change, me.house.get::<Addr<Conductor>>()) {
+            if let (Some(change), Some(driver)) = (change, me.context.get::<Addr<RaftDriver>>()) {
                 me.busy = true;
                 ctx.spawn(
-                    conductor
+                    driver
                         .send(Propose(change))
                         .into_actor(me)
                         .map(|_, me, _| me.busy = false),
@@ -103,27 +99,27 @@
     /// Decides anew when the period is over, or at once when the
     /// configuration, the sites that are up or the workers have changed.
     fn decide(&mut self) -> Option<ChangeKind> {
-        let now = self.house.now();
-        let stage = self.house.stage.get();
-        if stage.configuration.is_none() || stage.workers.is_empty() {
+        let now = self.context.now();
+        let state = self.context.state.get();
+        if state.configuration.is_none() || state.workers.is_empty() {
             return None;
         }
-        let settings = self.house.settings.get();
+        let settings = self.context.settings.get();
         let sites: BTreeSet<String> = self
-            .house
+            .context
             .members
             .get()
             .iter()
-            .filter(|m| m.is_alive() && m.ready && !m.front.is_empty())
+            .filter(|m| m.is_alive() && m.is_ready && !m.client_address.is_empty())
             .map(|m| settings.site(&m.zone, &m.region).to_string())
             .collect();
-        let able = stage
+        let able = state
             .workers
             .values()
-            .filter(|w| !w.draining && !stage.evacuated.contains_key(&w.zone))
+            .filter(|w| !w.draining && !state.evacuated.contains_key(&w.zone))
             .count();
         let due = now >= self.decided + c::PLACEMENT_INTERVAL_MS
-            || self.version != stage.version()
+            || self.version != state.version()
             || self.sites != sites
             || self.workers.abs_diff(able) * 10 > self.workers;
         if !due {
@@ -135,10 +131,10 @@
         let through_proxies = !settings.zones_are_sites();
         let inputs = self
             .ledger
-            .inputs(now, &stage, &zones, through_proxies.then_some(&sites));
-        (self.decided, self.version, self.sites, self.workers) = (now, stage.version(), sites, able);
+            .inputs(now, &state, &zones, through_proxies.then_some(&sites));
+        (self.decided, self.version, self.sites, self.workers) = (now, state.version(), sites, able);
         let mut before = Placement::new();
-        for f in stage.fractions.iter() {
+        for f in state.fractions.iter() {
             before
                 .entry((f.service.clone(), f.group.clone()))
                 .or_default()
@@ -154,7 +150,7 @@
         if !placement::differs(&placement, &before) {
             return None;
         }
-        self.house.counters.add("placements");
+        self.context.counters.add("placements");
         let fractions = placement
             .into_iter()
             .flat_map(|((service, group), parts)| {
@@ -171,13 +167,13 @@
 
     /// Benches workers that fail or lag, and takes them back.
     fn judge_workers(&mut self) -> Option<ChangeKind> {
-        let stage = self.house.stage.get();
-        let on = self.bench.decide(self.house.now(), &stage);
-        if on == *stage.ejected {
+        let state = self.context.state.get();
+        let on = self.bench.decide(self.context.now(), &state);
+        if on == *state.ejected {
             return None;
         }
         log::info!("event=bench workers={on:?}");
-        self.house.counters.add("bench_changes");
+        self.context.counters.add("bench_changes");
         let workers = on.into_iter().collect();
         Some(ChangeKind::Ejections(EjectionChange { workers }))
     }
@@ -185,21 +181,21 @@
     /// Divides the slack of the retry budget among the edge nodes that are up.
     /// A node that is not named has none.
     fn share_slack(&self) -> Option<ChangeKind> {
-        let stage = self.house.stage.get();
-        stage.configuration.as_ref()?;
-        let members = self.house.members.get();
+        let state = self.context.state.get();
+        state.configuration.as_ref()?;
+        let members = self.context.members.get();
         let up: BTreeSet<u64> = members
             .iter()
-            .filter(|m| m.is_alive() && m.ready && m.id != 0)
+            .filter(|m| m.is_alive() && m.is_ready && m.id != 0)
             .map(|m| m.id)
             .collect();
-        let named = &*stage.retry_allowances;
+        let named = &*state.retry_allowances;
         if up.is_empty() || up == *named {
             return None;
         }
         // Who was taken off may have used its share within the window still.
         let sharers = up.len().max(named.len()) as f64;
-        let slack = self.house.settings.get().terms.bounds.retry_slack * c::RETRY_SLACK_PART / sharers;
+        let slack = self.context.settings.get().terms.bounds.retry_slack * c::RETRY_SLACK_PART / sharers;
         Some(ChangeKind::RetryAllowance(RetryAllowanceChange {
             granted: up.difference(named).copied().collect(),
             revoked: named.difference(&up).copied().collect(),
--- a/crates/pebblepond/src/front.rs
+++ b/crates/pebblepond/src/proxy.rs
@@ -2,8 +2,8 @@
 //! answer back. `actix-http` speaks with the client; one service is built for
 //! each set of limits that the configuration lays down.
 
-use crate::desk::{Choose, Desk, DrawService, Observe};
-use crate::kernel::{House, Plugin};
+use crate::balancer_actor::{BalancerActor, ChooseWorker, DrawService, ObserveAttempt};
+use crate::kernel::{Component, NodeContext, StartError};
 use crate::sockets;
 use crate::upstream::{Answer, AnswerBody, Fault, Pairing, Parts, Sending, Terms, Upstream};
 use actix::prelude::*;
@@ -25,29 +25,32 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
-inventory::submit! { Plugin { name: "front", order: 80, start } }
+inventory::submit! { Component { name: "proxy", order: 80, start } }
 
 type Connections = boxed::BoxService<TcpStream, (), DispatchError>;
 
-fn start(house: &Rc<House>) -> Result<(), String> {
-    let Some(address) = house.settings.get().network.listen_points.front else {
+fn start(context: &Rc<NodeContext>) -> Result<(), StartError> {
+    let Some(address) = context.settings.get().network.listen_points.front else {
         return Ok(());
     };
-    let (Some(desk), Some(upstream)) = (house.get::<Addr<Desk>>(), house.get::<Rc<Upstream>>()) else {
-        return Err("the desk is not there".into());
+    let (Some(balancer_actor), Some(upstream)) = (
+        context.get::<Addr<BalancerActor>>(),
+        context.get::<Rc<Upstream>>(),
+    ) else {
+        return Err(StartError::Missing("balancer"));
     };
     let listener =
-        sockets::listen(address).map_err(|e| format!("Network.ListenPoints.Front {address}: {e}"))?;
-    let front = Rc::new(Front {
-        house: house.clone(),
-        desk,
+        sockets::listen(address).map_err(|source| StartError::ListenClients { address, source })?;
+    let proxy = Rc::new(Proxy {
+        context: context.clone(),
+        balancer_actor,
         upstream,
         running: Cell::new(0),
     });
-    house.put(front.clone());
+    context.put(proxy.clone());
     actix_rt::spawn(async move {
-        let mut limits = front.limits();
-        let Some(mut service) = front.clone().connections(limits).await else {
+        let mut limits = proxy.limits();
+        let Some(mut service) = proxy.clone().connections(limits).await else {
             return;
         };
         loop {
@@ -55,13 +58,13 @@
                 actix_rt::time::sleep(Duration::from_millis(10)).await;
                 continue;
             };
-            let newest = front.limits();
+            let newest = proxy.limits();
             if newest != limits {
-                if let Some(fresh) = front.clone().connections(newest).await {
+                if let Some(fresh) = proxy.clone().connections(newest).await {
                     (limits, service) = (newest, fresh);
                 }
             }
-            if sockets::dress(&stream).is_ok() {
+            if sockets::set_options(&stream).is_ok() {
                 let service = service.clone();
                 actix_rt::spawn(async move {
                     // How a client's connection ends is the client's affair.
@@ -73,9 +76,9 @@
     Ok(())
 }
 
-pub struct Front {
-    house: Rc<House>,
-    desk: Addr<Desk>,
+pub struct Proxy {
+    context: Rc<NodeContext>,
+    balancer_actor: Addr<BalancerActor>,
     upstream: Rc<Upstream>,
     running: Cell<u64>,
 }
@@ -88,14 +91,14 @@
 /// Header and idle time, in ms.
 type Times = (u64, u64);
 
-impl Front {
+impl Proxy {
     /// Requests being served.
     pub fn running(&self) -> u64 {
         self.running.get()
     }
 
     fn limits(&self) -> Times {
-        match &self.house.stage.get().configuration {
+        match &self.context.state.get().configuration {
             Some(config) => (config.limits.header_timeout_ms, config.limits.idle_timeout_ms),
             None => (c::CONNECT_TIMEOUT_MS * 5, c::CONNECT_TIMEOUT_MS * 15),
         }
@@ -103,8 +106,8 @@
 
     async fn connections(self: Rc<Self>, (header_ms, idle_ms): Times) -> Option<Rc<Connections>> {
         let service = fn_service(move |request: Request| {
-            let front = self.clone();
-            async move { Ok::<_, Infallible>(front.serve(request).await) }
+            let proxy = self.clone();
+            async move { Ok::<_, Infallible>(proxy.serve(request).await) }
         });
         let factory = HttpService::build()
             .keep_alive(Duration::from_millis(idle_ms))
@@ -123,7 +126,7 @@
     async fn serve(&self, request: Request) -> Response<BoxBody> {
         self.running.set(self.running.get() + 1);
         let counted = Running(&self.running);
-        let close = self.house.leaving.get();
+        let close = self.context.shutting_down.get();
         let closed = request.conn_data::<Closed>().cloned().unwrap_or_default();
         if closed.0.get() {
             return closing(self.give_up("behind_a_close", c::RETRY_AFTER_MS));
@@ -133,7 +136,7 @@
             Ok(response) | Err(response) => response,
         };
         drop(counted);
-        if close || self.house.leaving.get() {
+        if close || self.context.shutting_down.get() {
             response.head_mut().set_connection_type(ConnectionType::Close);
         }
         let said = response.head().connection_type() == ConnectionType::Close;
@@ -143,13 +146,13 @@
 
     async fn handle(&self, mut request: Request) -> Result<Response<BoxBody>, Response<BoxBody>> {
         let arrived = Instant::now();
-        self.house.counters.add("requests");
-        if self.house.closing.get() {
+        self.context.counters.add("requests");
+        if self.context.refusing_requests.get() {
             return Err(closing(self.give_up("refused_leaving", c::RETRY_AFTER_MS)));
         }
-        let stage = self.house.stage.get();
-        let config = match &stage.configuration {
-            Some(config) if self.house.can_serve() => config.clone(),
+        let state = self.context.state.get();
+        let config = match &state.configuration {
+            Some(config) if self.context.can_serve() => config.clone(),
             _ => {
                 return Err(closing(
                     self.give_up("not_current", c::RETRY_AFTER_NOT_CURRENT_MS),
@@ -162,7 +165,7 @@
         let service: Arc<str> = match route.split.as_slice() {
             [only] => only.service.clone(),
             _ => self
-                .desk
+                .balancer_actor
                 .send(DrawService(route.clone()))
                 .await
                 .unwrap_or_default()
@@ -209,7 +212,7 @@
             .unwrap_or("");
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let Some(route) = config.route(host, request.uri().path()) else {
-            self.house.counters.add("no_route");
+            self.context.counters.add("no_route");
             return Err(plain(StatusCode::NOT_FOUND, "no route"));
         };
         Ok(route.clone())
@@ -217,7 +220,7 @@
 
     /// A final answer that promises that the request has not run.
     fn give_up(&self, counter: &'static str, retry_ms: u64) -> Response<BoxBody> {
-        self.house.counters.add(counter);
+        self.context.counters.add(counter);
         let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "not run; come back");
         let wait = format!("{:.3}", retry_ms as f64 / 1000.0);
         if let Ok(wait) = HeaderValue::from_str(&wait) {
@@ -245,7 +248,7 @@
             if left.is_zero() {
                 return Err(self.too_late(tries));
             }
-            let choose = Choose {
+            let choose = ChooseWorker {
                 route: task.route.clone(),
                 service: task.service.clone(),
                 key: task.key,
@@ -253,7 +256,7 @@
                 left_ms: left.as_millis() as u64,
                 client: task.client,
             };
-            let choice = match self.desk.send(choose).await {
+            let choice = match self.balancer_actor.send(choose).await {
                 Ok(Found::Worker(choice)) => choice,
                 Ok(Found::Nobody(wait)) if tries.may_promise() => {
                     return Err(self.give_up("refused_nobody", wait))
@@ -264,7 +267,7 @@
                 _ => return erred.ok_or_else(|| plain(StatusCode::BAD_GATEWAY, "the worker failed")),
             };
             let seat = Seat {
-                desk: self.desk.clone(),
+                balancer_actor: self.balancer_actor.clone(),
                 id: choice.id.clone(),
                 ticket: choice.ticket,
                 open: Cell::new(true),
@@ -294,7 +297,7 @@
                     tries.note(outcome);
                     if last || !tries.may_repeat() {
                         if outcome == Outcome::MayHaveRun {
-                            self.house.counters.add("worker_failed");
+                            self.context.counters.add("worker_failed");
                         }
                         return Err(if tries.may_promise() {
                             self.give_up("refused_by_workers", c::RETRY_AFTER_MS)
@@ -313,7 +316,7 @@
         if tries.may_promise() {
             self.give_up("refused_late", c::RETRY_AFTER_MS)
         } else {
-            self.house.counters.add("too_late");
+            self.context.counters.add("too_late");
             plain(StatusCode::GATEWAY_TIMEOUT, "out of time")
         }
     }
@@ -346,7 +349,7 @@
             Ok(Ok(answer)) => answer,
             Ok(Err(fault)) => {
                 seat.end(Observed::Failed);
-                self.house.counters.add("tries_failed");
+                self.context.counters.add("tries_failed");
                 return Try::Failed(match fault {
                     Fault::NotSent => Outcome::NotRun,
                     Fault::Unclear => Outcome::MayHaveRun,
@@ -368,12 +371,12 @@
                 let other = answer.headers.get("Instance-Id").and_then(|v| v.to_str().ok());
                 let gone = other.is_some_and(|id| id != choice.id);
                 seat.end(if gone { Observed::Gone } else { Observed::Elsewhere });
-                self.house.counters.add("elsewhere");
+                self.context.counters.add("elsewhere");
                 return Try::Failed(outcome);
             }
             outcome => {
                 seat.end(Observed::TurnedAway);
-                self.house.counters.add("turned_away");
+                self.context.counters.add("turned_away");
                 return Try::Failed(outcome);
             }
         }
@@ -421,7 +424,7 @@
 
 /// A try that counts against a worker until it has ended.
 struct Seat {
-    desk: Addr<Desk>,
+    balancer_actor: Addr<BalancerActor>,
     id: String,
     ticket: Option<Ticket>,
     open: Cell<bool>,
@@ -430,7 +433,7 @@
 impl Seat {
     fn end(&self, observed: Observed) {
         if self.open.replace(false) {
-            self.desk.do_send(Observe {
+            self.balancer_actor.do_send(ObserveAttempt {
                 id: self.id.clone(),
                 observed,
                 ticket: self.ticket,
--- a/crates/pebblepond/src/producer.rs
+++ b/crates/pebblepond/src/rollout_controller.rs
@@ -1,46 +1,41 @@
-//! The duty of watching rollouts: the leader's watchdog, fed by the reports.
+//! The controller of rollouts: the leader's watchdog, which goes by the reports of all nodes.
 
-use crate::conductor::{Behind, Conductor, Lease, Propose};
-use crate::kernel::{House, Plugin};
+use crate::control::{IsBehind, LeaderLease, Propose, RaftDriver};
+use crate::kernel::{Component, NodeContext, StartError};
+use crate::reports::RolloutOutcomes;
 use actix::prelude::*;
 use config::constants as c;
 use control_state::ControlState;
 use protocol::{name_hash, ChangeKind, WorkerStats};
-use rollout::{Action, Critic, Facts, Level, Levels, Preview, Side, Trial, Verdict};
+use rollout::{Action, Critic, Facts, Level, Levels, Preview, Side, Verdict};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
 
-inventory::submit! { Plugin { name: "producer", order: 38, start } }
+inventory::submit! { Component { name: "rollouts", order: 38, start } }
 
-fn start(house: &Rc<House>) -> Result<(), String> {
-    if !house.may_lead() {
+fn start(context: &Rc<NodeContext>) -> Result<(), StartError> {
+    if !context.may_lead() {
         return Ok(());
     }
-    let producer = Producer {
-        house: house.clone(),
+    let controller = RolloutController {
+        context: context.clone(),
         critic: Critic::default(),
         levels: Levels::default(),
         level: Level::Calm,
         reported_at: 0,
         busy: false,
     };
-    house.put(producer.start());
+    let controller = controller.start();
+    *context.report_handlers.rollout_outcomes.borrow_mut() = Some(controller.clone().recipient());
+    context.put(controller);
     Ok(())
 }
 
-/// What a proxy, or a voter for those that it feeds, has counted.
-#[derive(Message)]
-#[rtype(result = "()")]
-pub struct Outcomes {
-    pub trials: Vec<Trial>,
-    pub capacity: Vec<WorkerStats>,
-}
-
 /// Whether an operator's change of a rollout may pass; the time since its order.
 #[derive(Message)]
 #[rtype(result = "Result<u64, String>")]
-pub struct MayPass {
+pub struct CheckGate {
     pub service: String,
     pub action: Action,
     pub bypass: bool,
@@ -49,10 +44,10 @@
 /// What the figures of the rollouts come to, for the operator.
 #[derive(Message)]
 #[rtype(result = "serde_json::Value")]
-pub struct Figures;
+pub struct RolloutFigures;
 
-pub struct Producer {
-    house: Rc<House>,
+pub struct RolloutController {
+    context: Rc<NodeContext>,
     critic: Critic,
     levels: Levels,
     level: Level,
@@ -60,7 +55,7 @@
     busy: bool,
 }
 
-impl Actor for Producer {
+impl Actor for RolloutController {
     type Context = Context<Self>;
     fn started(&mut self, ctx: &mut Self::Context) {
         ctx.run_interval(Duration::from_millis(c::ROLLOUT_CHECK_INTERVAL_MS), |me, ctx| {
@@ -69,28 +64,28 @@
     }
 }
 
-impl Producer {
+impl RolloutController {
     fn round(&mut self, ctx: &mut Context<Self>) {
-        let stage = self.house.stage.get();
-        self.critic.follow(self.house.now(), &stage.rollouts);
-        if !self.house.standing.get().is_leader || self.busy {
+        let state = self.context.state.get();
+        self.critic.follow(self.context.now(), &state.rollouts);
+        if !self.context.status.get().is_leader || self.busy {
             return;
         }
         self.level = self.levels.look();
-        if stage.rollouts.values().all(|p| !p.is_active()) {
+        if state.rollouts.values().all(|p| !p.is_active()) {
             return;
         }
-        let Some(conductor) = self.house.get::<Addr<Conductor>>() else {
+        let Some(driver) = self.context.get::<Addr<RaftDriver>>() else {
             return;
         };
         self.busy = true;
-        let active = stage.rollouts.values().filter(|p| p.is_active());
+        let active = state.rollouts.values().filter(|p| p.is_active());
         let versions: Vec<u64> = active.map(|p| p.version).collect();
         let facts = async move {
-            let lease = conductor.send(Lease).await;
+            let lease = driver.send(LeaderLease).await;
             let mut behind = Vec::new();
             for version in versions {
-                if conductor.send(Behind(version)).await.unwrap_or(true) {
+                if driver.send(IsBehind(version)).await.unwrap_or(true) {
                     behind.push(version);
                 }
             }
@@ -105,13 +100,13 @@
     }
 
     fn decide(&mut self, behind: &[u64], ctx: &mut Context<Self>) {
-        let now = self.house.now();
-        let stage = self.house.stage.get();
-        let Some(conductor) = self.house.get::<Addr<Conductor>>() else {
+        let now = self.context.now();
+        let state = self.context.state.get();
+        let Some(driver) = self.context.get::<Addr<RaftDriver>>() else {
             return;
         };
-        for p in stage.rollouts.values().filter(|p| p.is_active()) {
-            let facts = self.facts(&stage, p, behind.contains(&p.version));
+        for p in state.rollouts.values().filter(|p| p.is_active()) {
+            let facts = self.facts(&state, p, behind.contains(&p.version));
             let Some(change) = self.critic.decide(now, p, &facts) else {
                 continue;
             };
@@ -125,35 +120,35 @@
                 change.elapsed_ms,
                 change.why
             );
-            self.house.counters.add("rollout_changes");
-            let propose = conductor.send(Propose(ChangeKind::Rollout(change)));
+            self.context.counters.add("rollout_changes");
+            let propose = driver.send(Propose(ChangeKind::Rollout(change)));
             ctx.spawn(propose.into_actor(self).map(|_, _, _| ()));
         }
     }
 
-    fn facts(&self, stage: &ControlState, p: &Preview, behind: bool) -> Facts {
+    fn facts(&self, state: &ControlState, p: &Preview, behind: bool) -> Facts {
         let mut facts = Facts {
             behind,
             reported_at: self.reported_at,
             level: self.level,
-            kill_switch: stage.kill_switch.as_ref().is_some_and(|k| k.on),
+            kill_switch: state.kill_switch.as_ref().is_some_and(|k| k.on),
             ..Default::default()
         };
-        for w in stage.workers.values() {
-            if w.service != p.service || w.draining || stage.evacuated.contains_key(&w.zone) {
+        for w in state.workers.values() {
+            if w.service != p.service || w.draining || state.evacuated.contains_key(&w.zone) {
                 continue;
             }
             match p.side(&w.version) {
-                Side::New if w.warmup_ms == 0 && !stage.is_warmup_unknown(w) => facts.ready += 1,
+                Side::New if w.warmup_ms == 0 && !state.is_warmup_unknown(w) => facts.ready += 1,
                 Side::Old => facts.old += 1,
                 _ => {}
             }
         }
         let old = |worker: &str| {
-            let row = stage.workers.get(worker);
+            let row = state.workers.get(worker);
             row.is_some_and(|w| p.side(&w.version) == Side::Old)
         };
-        let table = stage.key_leases.get(&p.service);
+        let table = state.key_leases.get(&p.service);
         let mut held = table.into_iter().flat_map(|t| t.values());
         facts.keys_left = held.any(|h| old(&h.worker));
         facts
@@ -161,9 +156,9 @@
 
     /// What is counted of new versions is no sign of the system's state.
     fn take_capacity(&mut self, capacity: &[WorkerStats]) {
-        let stage = self.house.stage.get();
-        let on_trial: BTreeSet<u32> = if stage.rollouts.values().any(|p| p.is_active()) {
-            let new = stage.workers.values().filter(|w| stage.cohort(w) == Side::New);
+        let state = self.context.state.get();
+        let on_trial: BTreeSet<u32> = if state.rollouts.values().any(|p| p.is_active()) {
+            let new = state.workers.values().filter(|w| state.cohort(w) == Side::New);
             new.map(|w| name_hash(&w.id)).collect()
         } else {
             BTreeSet::new()
@@ -174,29 +169,29 @@
     }
 }
 
-impl Handler<Outcomes> for Producer {
+impl Handler<RolloutOutcomes> for RolloutController {
     type Result = ();
-    fn handle(&mut self, msg: Outcomes, _: &mut Self::Context) {
-        let now = self.house.now();
+    fn handle(&mut self, msg: RolloutOutcomes, _: &mut Self::Context) {
+        let now = self.context.now();
         self.reported_at = now;
-        self.critic.follow(now, &self.house.stage.get().rollouts);
-        self.critic.take(&msg.trials, name_hash);
-        self.take_capacity(&msg.capacity);
+        self.critic.follow(now, &self.context.state.get().rollouts);
+        self.critic.take(&msg.samples, name_hash);
+        self.take_capacity(&msg.workers);
     }
 }
 
-impl Handler<MayPass> for Producer {
+impl Handler<CheckGate> for RolloutController {
     type Result = Result<u64, String>;
-    fn handle(&mut self, msg: MayPass, _: &mut Self::Context) -> Self::Result {
-        let now = self.house.now();
-        let stage = self.house.stage.get();
-        self.critic.follow(now, &stage.rollouts);
-        let p = stage.rollouts.get(&msg.service).ok_or("no such rollout")?;
+    fn handle(&mut self, msg: CheckGate, _: &mut Self::Context) -> Self::Result {
+        let now = self.context.now();
+        let state = self.context.state.get();
+        self.critic.follow(now, &state.rollouts);
+        let p = state.rollouts.get(&msg.service).ok_or("no such rollout")?;
         let elapsed = self.critic.elapsed(now, p);
         if msg.bypass {
             return Ok(elapsed);
         }
-        let facts = self.facts(&stage, p, false);
+        let facts = self.facts(&state, p, false);
         match msg.action {
             Action::Promote => {
                 Critic::gate(now, &facts)?;
@@ -217,12 +212,12 @@
     }
 }
 
-impl Handler<Figures> for Producer {
-    type Result = MessageResult<Figures>;
-    fn handle(&mut self, _: Figures, _: &mut Self::Context) -> Self::Result {
-        let now = self.house.now();
-        let stage = self.house.stage.get();
-        let rows: serde_json::Map<String, serde_json::Value> = stage
+impl Handler<RolloutFigures> for RolloutController {
+    type Result = MessageResult<RolloutFigures>;
+    fn handle(&mut self, _: RolloutFigures, _: &mut Self::Context) -> Self::Result {
+        let now = self.context.now();
+        let state = self.context.state.get();
+        let rows: serde_json::Map<String, serde_json::Value> = state
             .rollouts
             .values()
             .filter_map(|p| {
--- a/crates/pebblepond/src/leaving.rs
+++ b/crates/pebblepond/src/shutdown.rs
@@ -1,21 +1,21 @@
 //! Ends in order on SIGTERM; reads the settings again on SIGHUP, or when the
 //! file has changed without one.
 
-use crate::conductor::{Conductor, Leave};
-use crate::front::Front;
-use crate::kernel::{House, Plugin};
+use crate::control::{AnnounceShutdown, RaftDriver};
+use crate::kernel::{Component, NodeContext, StartError};
+use crate::proxy::Proxy;
 use actix::prelude::*;
 use config::{constants as c, Settings};
 use std::rc::Rc;
 use std::time::{Duration, SystemTime};
 use tokio::signal::unix::{signal, SignalKind};
 
-inventory::submit! { Plugin { name: "leaving", order: 100, start } }
+inventory::submit! { Component { name: "shutdown", order: 100, start } }
 
-fn start(house: &Rc<House>) -> Result<(), String> {
-    let mut term = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
-    let mut hup = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
-    let watcher = house.clone();
+fn start(context: &Rc<NodeContext>) -> Result<(), StartError> {
+    let mut term = signal(SignalKind::terminate()).map_err(StartError::Signal)?;
+    let mut hup = signal(SignalKind::hangup()).map_err(StartError::Signal)?;
+    let watcher = context.clone();
     actix_rt::spawn(async move {
         let mut seen = changed_at(&watcher);
         loop {
@@ -31,26 +31,26 @@
             }
         }
     });
-    let house = house.clone();
+    let context = context.clone();
     actix_rt::spawn(async move {
         if term.recv().await.is_some() {
-            leave(&house).await;
+            leave(&context).await;
             System::current().stop();
         }
     });
     Ok(())
 }
 
-fn changed_at(house: &House) -> Option<SystemTime> {
-    std::fs::metadata(&house.settings_path)
+fn changed_at(context: &NodeContext) -> Option<SystemTime> {
+    std::fs::metadata(&context.settings_path)
         .and_then(|m| m.modified())
         .ok()
 }
 
 /// Takes over what may change while the process runs: seeds, the platform and
 /// the terms. The rest waits for a restart, and is said to.
-fn reload(house: &House) {
-    let read = std::fs::read_to_string(&house.settings_path).map_err(|e| e.to_string());
+fn reload(context: &NodeContext) {
+    let read = std::fs::read_to_string(&context.settings_path).map_err(|e| e.to_string());
     let new = match read.and_then(|text| Settings::parse(&text).map_err(|e| e.to_string())) {
         Ok(new) => new,
         Err(e) => {
@@ -58,7 +58,7 @@
             return;
         }
     };
-    let old = house.settings.get();
+    let old = context.settings.get();
     let fixed = new.own_entity.ip_address != old.own_entity.ip_address
         || new.own_entity.data_directory != old.own_entity.data_directory
         || new.network.internal_ports != old.network.internal_ports
@@ -71,36 +71,36 @@
     merged.network.zones = new.network.zones;
     merged.platform = new.platform;
     merged.terms = new.terms;
-    house.settings.set(merged);
+    context.settings.set(merged);
     log::info!("event=settings_read");
 }
 
 /// Not ready, out of the directory, leadership passed on, and then whatever
 /// runs may end within the grace period. A voter stays, as long as there is time,
 /// until the others go on with all that it holds.
-async fn leave(house: &Rc<House>) {
+async fn leave(context: &Rc<NodeContext>) {
     log::info!("event=leaving");
-    house.leaving.set(true);
-    let conductor = house.get::<Addr<Conductor>>();
-    let grace = house.settings.get().terms.bounds.grace_period.ms;
-    let begun = house.now();
+    context.shutting_down.set(true);
+    let driver = context.get::<Addr<RaftDriver>>();
+    let grace = context.settings.get().terms.bounds.grace_period.ms;
+    let begun = context.now();
     let mut quiet_since = begun;
-    let (mut may_end, mut told_at) = (conductor.is_none(), None);
+    let (mut may_end, mut told_at) = (driver.is_none(), None);
     loop {
-        let now = house.now();
-        if let Some(conductor) = &conductor {
+        let now = context.now();
+        if let Some(driver) = &driver {
             if told_at.is_none_or(|at| now - at >= c::SHUTDOWN_ANNOUNCE_INTERVAL_MS) {
                 told_at = Some(now);
-                may_end = conductor.send(Leave).await.unwrap_or(true);
+                may_end = driver.send(AnnounceShutdown).await.unwrap_or(true);
             }
         }
-        if house.get::<Rc<Front>>().is_some_and(|f| f.running() > 0) {
+        if context.get::<Rc<Proxy>>().is_some_and(|f| f.running() > 0) {
             quiet_since = now;
         }
         let gone = now - begun;
         // What still comes would be cut off: it is refused while there is time
         // to say so, and what runs may end.
-        house.closing.set(gone > grace * 7 / 10);
+        context.refusing_requests.set(gone > grace * 7 / 10);
         // Clients leave within the life of an answer; who still comes after
         // that is served as long as there is time.
         let settled = gone > grace / 2 && now - quiet_since > c::SHUTDOWN_QUIET_MS && may_end;
--- a/crates/pebblepond/src/sockets.rs
+++ b/crates/pebblepond/src/sockets.rs
@@ -9,11 +9,11 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Sets what all TCP connections have: no delay, and an end to silence.
-pub fn dress(stream: &TcpStream) -> io::Result<()> {
-    dress_for(stream, u64::from(c::TCP_USER_TIMEOUT_MS))
+pub fn set_options(stream: &TcpStream) -> io::Result<()> {
+    set_options_for(stream, u64::from(c::TCP_USER_TIMEOUT_MS))
 }
 
-fn dress_for(stream: &TcpStream, silence_ms: u64) -> io::Result<()> {
+fn set_options_for(stream: &TcpStream, silence_ms: u64) -> io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
     socket.set_tcp_user_timeout(Some(Duration::from_millis(silence_ms)))?;
@@ -52,7 +52,7 @@
     let stream = tokio::time::timeout(Duration::from_millis(wait_ms), TcpStream::connect(address))
         .await
         .map_err(|_| io::Error::new(io::ErrorKind::TimedOut, "connecting took too long"))??;
-    dress_for(&stream, silence_ms)?;
+    set_options_for(&stream, silence_ms)?;
     Ok(stream)
 }
 
--- /dev/null
+++ b/crates/pebblepond/src/storage.rs
@@ -0,0 +1,285 @@
+//! The node's own state on disk, in a store with a thread of its own: a disk that hangs must
+//! not hold up traffic.
+//!
+//! What is acknowledged is on disk, and stays the least that this identity promises: a store
+//! that holds less of it than was acknowledged is set aside, and the node begins with a new
+//! identity, without a vote.
+
+mod error;
+mod high_water;
+mod load;
+#[cfg(test)]
+mod power_tests;
+
+pub use error::OpenError;
+
+use config::constants as c;
+use control_state::ControlState;
+use error::StoreError;
+use high_water::HighWater;
+use prost::Message;
+use raft::{HardState, PersistentState, StorageWrite};
+use redb::{Builder, Database, ReadableTable, Table, TableDefinition};
+use std::path::{Path, PathBuf};
+use std::sync::mpsc;
+use std::time::Duration;
+use tokio::sync::mpsc::UnboundedSender;
+
+/// Identity, cluster, term, vote, snapshot and the count of commits, by name.
+const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
+/// The entries of the log, by index.
+const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
+/// Cache of the store, bytes: the log is read at the start only.
+const CACHE_BYTES: usize = 256 * 1024;
+/// Stack of the disk's thread, bytes.
+const STACK_BYTES: usize = 256 * 1024;
+
+/// The files of a store. Their names are kept: earlier versions wrote them.
+struct Paths {
+    store: PathBuf,
+    /// A store that is being made.
+    unfinished: PathBuf,
+    /// The last one that was found damaged.
+    damaged: PathBuf,
+    high_water: PathBuf,
+}
+
+impl Paths {
+    fn new(folder: &str) -> Paths {
+        let file = |name: &str| Path::new(folder).join(name);
+        Paths {
+            store: file("prompter.redb"),
+            unfinished: file("prompter.redb.new"),
+            damaged: file("prompter.redb.damaged"),
+            high_water: file("prompter.mark"),
+        }
+    }
+}
+
+/// Who this node is, as its disk knows.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Identity {
+    /// Drawn at random when the store is made.
+    pub id: u64,
+    /// The cluster that the node belongs to; 0 for none.
+    pub cluster: u64,
+}
+
+/// What the disk held at the start.
+pub struct Opened {
+    /// Who this node is.
+    pub identity: Identity,
+    /// What Raft had kept.
+    pub saved: PersistentState,
+    /// The state of the snapshot.
+    pub state: ControlState,
+    /// The disk held no store.
+    pub is_empty: bool,
+    /// Why the store before this one was set aside, if it was.
+    pub damage: Option<String>,
+    /// The open store.
+    pub storage: Storage,
+}
+
+/// A job for the disk.
+enum Job {
+    Write { number: u64, write: StorageWrite },
+    Cluster(u64),
+}
+
+/// What the disk's thread tells.
+#[derive(Debug)]
+pub enum StorageEvent {
+    /// Everything up to the write of this number is on disk.
+    Persisted(u64),
+    /// A write has failed and is tried again.
+    Failed(String),
+}
+
+/// An open store. Its thread ends when this is dropped.
+pub struct Storage {
+    jobs: mpsc::Sender<Job>,
+}
+
+impl Storage {
+    /// Opens the store in a folder, or begins one with a fresh identity.
+    pub fn open(folder: &str, events: UnboundedSender<StorageEvent>) -> Result<Opened, OpenError> {
+        let paths = Paths::new(folder);
+        let loaded = load::load(&paths).map_err(|source| OpenError::Load {
+            store: paths.store.clone(),
+            source,
+        })?;
+        let (jobs, queue) = mpsc::channel();
+        let mut disk = Disk {
+            database: Some(loaded.database),
+            id: loaded.identity.id,
+            commits: loaded.commits,
+            high_water: HighWater::new(paths.high_water),
+            path: paths.store,
+        };
+        std::thread::Builder::new()
+            .name("storage".into())
+            .stack_size(STACK_BYTES)
+            .spawn(move || disk.work(&queue, &events))
+            .map_err(OpenError::Thread)?;
+        Ok(Opened {
+            identity: loaded.identity,
+            saved: loaded.saved,
+            state: loaded.state,
+            is_empty: loaded.is_empty,
+            damage: loaded.damage,
+            storage: Storage { jobs },
+        })
+    }
+
+    /// Queues a write; [`StorageEvent::Persisted`] tells when it is on disk.
+    pub fn write(&self, number: u64, write: StorageWrite) {
+        // The thread ends only with the process.
+        let _ = self.jobs.send(Job::Write { number, write });
+    }
+
+    /// Queues the cluster that the node has joined.
+    pub fn set_cluster(&self, cluster: u64) {
+        let _ = self.jobs.send(Job::Cluster(cluster));
+    }
+}
+
+/// Opens a store with all of its pages checked: redb trusts one that was closed in order
+/// otherwise, and may panic on damage.
+fn open_store(
+    open: impl FnOnce(&mut Builder) -> Result<Database, redb::DatabaseError>,
+) -> Result<Database, StoreError> {
+    let mut builder = Database::builder();
+    builder
+        .set_cache_size(CACHE_BYTES)
+        .set_check_integrity_on_open(true);
+    Ok(open(&mut builder)?)
+}
+
+fn sync_folder(path: &Path) -> std::io::Result<()> {
+    let folder: PathBuf = path.parent().map(Path::to_path_buf).unwrap_or_default();
+    std::fs::File::open(folder)?.sync_all()
+}
+
+/// A number of the META table; 0 if it is not there.
+fn meta_number(
+    meta: &impl ReadableTable<&'static str, &'static [u8]>,
+    name: &str,
+) -> Result<u64, StoreError> {
+    let number = |bytes: &[u8]| bytes.try_into().map_or(0, u64::from_le_bytes);
+    Ok(meta.get(name)?.map_or(0, |v| number(v.value())))
+}
+
+/// The disk's thread.
+struct Disk {
+    database: Option<Database>,
+    path: PathBuf,
+    id: u64,
+    /// Commits acknowledged by this store, by all processes that had it open.
+    commits: u64,
+    high_water: HighWater,
+}
+
+impl Disk {
+    fn work(&mut self, queue: &mpsc::Receiver<Job>, events: &UnboundedSender<StorageEvent>) {
+        while let Some(first) = self.next_job(queue) {
+            // Whatever has queued up meanwhile goes to disk together.
+            let mut jobs = vec![first];
+            jobs.extend(queue.try_iter());
+            while let Err(e) = self.commit(&jobs) {
+                if events.send(StorageEvent::Failed(e.to_string())).is_err() {
+                    return;
+                }
+                std::thread::sleep(Duration::from_millis(c::DISK_RETRY_MS));
+                self.reopen();
+            }
+            self.high_water.note(self.id, self.commits);
+            let last = jobs.iter().rev().find_map(|job| match job {
+                Job::Write { number, .. } => Some(*number),
+                Job::Cluster(_) => None,
+            });
+            if let Some(number) = last {
+                if events.send(StorageEvent::Persisted(number)).is_err() {
+                    break;
+                }
+            }
+            self.high_water.sync_if_due();
+        }
+        self.high_water.sync();
+    }
+
+    /// After a failed write only a fresh look at the file helps.
+    fn reopen(&mut self) {
+        drop(self.database.take());
+        self.database = open_store(|b| b.open(&self.path)).ok();
+    }
+
+    /// Waits for a job; a count that waits for a sync gets it in between.
+    fn next_job(&mut self, queue: &mpsc::Receiver<Job>) -> Option<Job> {
+        if self.high_water.is_dirty() {
+            match queue.recv_timeout(Duration::from_millis(c::HIGH_WATER_SYNC_MS)) {
+                Ok(job) => return Some(job),
+                Err(mpsc::RecvTimeoutError::Timeout) => self.high_water.sync(),
+                Err(mpsc::RecvTimeoutError::Disconnected) => return None,
+            }
+        }
+        queue.recv().ok()
+    }
+
+    fn commit(&mut self, jobs: &[Job]) -> Result<(), StoreError> {
+        let database = self.database.as_ref().ok_or(StoreError::Closed)?;
+        let transaction = database.begin_write()?;
+        let commits;
+        {
+            let mut meta = transaction.open_table(META)?;
+            let mut log = transaction.open_table(LOG)?;
+            commits = self.next_commit(&meta)?;
+            meta.insert("commits", commits.to_le_bytes().as_slice())?;
+            for job in jobs {
+                match job {
+                    Job::Cluster(cluster) => {
+                        meta.insert("cluster", cluster.to_le_bytes().as_slice())?;
+                    }
+                    Job::Write { write, .. } => put(&mut meta, &mut log, write)?,
+                }
+            }
+        }
+        transaction.commit()?;
+        self.commits = commits;
+        Ok(())
+    }
+
+    /// The number of the next commit. One that was acknowledged is not written over.
+    fn next_commit(&self, meta: &impl ReadableTable<&'static str, &'static [u8]>) -> Result<u64, StoreError> {
+        let (id, commits) = (meta_number(meta, "id")?, meta_number(meta, "commits")?);
+        if id != self.id || commits < self.commits {
+            return Err(StoreError::CommitsMissing {
+                acknowledged: self.commits,
+                found: commits,
+            });
+        }
+        Ok(commits + 1)
+    }
+}
+
+fn put(
+    meta: &mut Table<&str, &[u8]>,
+    log: &mut Table<u64, &[u8]>,
+    write: &StorageWrite,
+) -> Result<(), StoreError> {
+    if let Some(HardState { term, vote }) = write.hard_state {
+        meta.insert("term", term.to_le_bytes().as_slice())?;
+        meta.insert("vote", vote.to_le_bytes().as_slice())?;
+    }
+    if let Some(snapshot) = &write.snapshot {
+        meta.insert("snapshot", snapshot.encode_to_vec().as_slice())?;
+        log.retain_in(..=snapshot.index, |_, _| false)?;
+    }
+    if let Some(from) = write.truncate_from {
+        log.retain_in(from.., |_, _| false)?;
+    }
+    for entry in &write.entries {
+        log.insert(entry.index, entry.encode_to_vec().as_slice())?;
+    }
+    Ok(())
+}
--- a/crates/pebblepond/src/vault/power_tests.rs
+++ b/crates/pebblepond/src/storage/power_tests.rs
@@ -1,7 +1,7 @@
 //! The store on a disk that loses power or is full: what was acknowledged is there,
 //! whatever became of the writes since the last sync.
 
-use super::load::read_all;
+use super::load::read_content;
 use super::*;
 use raft::{Entry, HardState, Snapshot};
 use rand::rngs::SmallRng;
@@ -125,7 +125,7 @@
     }
     tx.commit().expect("commits");
     Disk {
-        db: Some(db),
+        database: Some(db),
         path: PathBuf::new(),
         id: 7,
         commits: 0,
@@ -168,9 +168,8 @@
 }
 
 fn content(db: &Database) -> (u64, PersistentState) {
-    let read = read_all(db).expect("readable");
-    let (_, saved, commits) = read.unwrap_or_else(|_| panic!("a store after a loss of power is whole"));
-    (commits, saved)
+    let content = read_content(db).expect("a store after a loss of power is complete");
+    (content.commits, content.saved)
 }
 
 #[test]
@@ -185,9 +184,9 @@
         let mut known = BTreeMap::new();
         for _ in 0..25 {
             let write = some_write(&mut rng, &mut last, &mut folded, &mut term);
-            disk.commit(&[Job::Write { seq: 1, write }]).expect("commits");
+            disk.commit(&[Job::Write { number: 1, write }]).expect("commits");
             backend.with(|s| s.acknowledged = disk.commits);
-            known.insert(disk.commits, content(disk.db.as_ref().expect("open")).1);
+            known.insert(disk.commits, content(disk.database.as_ref().expect("open")).1);
         }
         let images = backend.with(|s| {
             s.rng = None;
@@ -226,7 +225,7 @@
         entry_type: 1,
         data: vec![1; 100],
     };
-    let job = |write| Job::Write { seq: 1, write };
+    let job = |write| Job::Write { number: 1, write };
     let first = StorageWrite {
         hard_state: Some(HardState { term: 3, vote: 5 }),
         entries: (1..=40).map(entry).collect(),
@@ -248,13 +247,13 @@
     backend.with(|s| s.full = true);
     for _ in 0..3 {
         assert!(disk.commit(&[snapshot()]).is_err(), "nothing is acknowledged");
-        drop(disk.db.take());
-        disk.db = open_store(|b| b.create_with_backend(backend.clone())).ok();
+        drop(disk.database.take());
+        disk.database = open_store(|b| b.create_with_backend(backend.clone())).ok();
     }
     backend.with(|s| s.full = false);
-    disk.db = None;
-    disk.db = open_store(|b| b.create_with_backend(backend.clone())).ok();
-    let (commits, saved) = content(disk.db.as_ref().expect("opens"));
+    disk.database = None;
+    disk.database = open_store(|b| b.create_with_backend(backend.clone())).ok();
+    let (commits, saved) = content(disk.database.as_ref().expect("opens"));
     assert_eq!(
         (
             commits,
@@ -265,6 +264,6 @@
         (1, 40, 3, 5)
     );
     disk.commit(&[snapshot()]).expect("room");
-    let (commits, saved) = content(disk.db.as_ref().expect("open"));
+    let (commits, saved) = content(disk.database.as_ref().expect("open"));
     assert_eq!((commits, saved.snapshot.index, saved.entries.len()), (2, 40, 1));
 }
--- a/crates/pebblepond/src/vault_tests.rs
+++ b/crates/pebblepond/src/storage_tests.rs
@@ -1,6 +1,6 @@
 //! The store of a node under damage, torn ends and faults of the disk.
 
-use crate::vault::{Opened, Vault, Word};
+use crate::storage::{Opened, Storage, StorageEvent};
 use raft::{Entry, HardState, Snapshot, StorageWrite};
 use rand::{Rng, SeedableRng};
 use std::path::PathBuf;
@@ -17,8 +17,8 @@
     }
 
     fn open(&self) -> Result<Opened, String> {
-        let (words, _) = tokio::sync::mpsc::unbounded_channel();
-        Vault::open(self.0.to_str().expect("utf-8"), words)
+        let (events, _) = tokio::sync::mpsc::unbounded_channel();
+        Storage::open(self.0.to_str().expect("utf-8"), events).map_err(|e| e.to_string())
     }
 
     /// What the disk would hold if the process were killed now.
@@ -54,18 +54,18 @@
 struct Store {
     folder: Folder,
     opened: Opened,
-    words: tokio::sync::mpsc::UnboundedReceiver<Word>,
+    events: tokio::sync::mpsc::UnboundedReceiver<StorageEvent>,
     seq: u64,
 }
 
 impl Store {
     fn new(folder: Folder) -> Store {
-        let (words_in, words) = tokio::sync::mpsc::unbounded_channel();
-        let opened = Vault::open(folder.0.to_str().expect("utf-8"), words_in).expect("opens");
+        let (words_in, events) = tokio::sync::mpsc::unbounded_channel();
+        let opened = Storage::open(folder.0.to_str().expect("utf-8"), words_in).expect("opens");
         Store {
             folder,
             opened,
-            words,
+            events,
             seq: 0,
         }
     }
@@ -73,8 +73,8 @@
     /// Writes, and waits for the acknowledgement.
     fn write(&mut self, write: StorageWrite) {
         self.seq += 1;
-        self.opened.vault.write(self.seq, write);
-        while !matches!(self.words.blocking_recv(), Some(Word::Done(seq)) if seq == self.seq) {}
+        self.opened.storage.write(self.seq, write);
+        while !matches!(self.events.blocking_recv(), Some(StorageEvent::Persisted(seq)) if seq == self.seq) {}
     }
 
     /// Ends the store in order.
@@ -82,11 +82,11 @@
         let Store {
             folder,
             opened,
-            mut words,
+            mut events,
             ..
         } = self;
         drop(opened);
-        while words.blocking_recv().is_some() {}
+        while events.blocking_recv().is_some() {}
         folder
     }
 }
@@ -104,7 +104,7 @@
 
 fn written() -> Store {
     let mut store = Store::new(Folder::new());
-    store.opened.vault.set_cluster(9);
+    store.opened.storage.set_cluster(9);
     for index in 1..=12 {
         store.write(StorageWrite {
             hard_state: (index == 1).then_some(HardState { term: 2, vote: 5 }),
@@ -164,7 +164,7 @@
                     self.older.push(format!("{what}: {:?}", of(&opened)));
                 }
             }
-            Ok(Ok(opened)) if opened.empty => self.silent.push(what),
+            Ok(Ok(opened)) if opened.is_empty => self.silent.push(what),
             Ok(Ok(_)) => self.new += 1,
         }
     }
@@ -239,11 +239,11 @@
 fn what_was_written_comes_back_and_the_identity_stays() {
     let folder = std::env::temp_dir().join(format!("vault-{}", rand::thread_rng().gen::<u64>()));
     let folder = folder.to_str().expect("utf-8").to_string();
-    let (words, mut inbox) = tokio::sync::mpsc::unbounded_channel();
-    let first = Vault::open(&folder, words).expect("opens");
-    assert!(first.empty);
-    first.vault.set_cluster(9);
-    first.vault.write(
+    let (events, mut inbox) = tokio::sync::mpsc::unbounded_channel();
+    let first = Storage::open(&folder, events).expect("opens");
+    assert!(first.is_empty);
+    first.storage.set_cluster(9);
+    first.storage.write(
         1,
         StorageWrite {
             hard_state: Some(HardState { term: 2, vote: 5 }),
@@ -257,7 +257,7 @@
         data: control_state::ControlState::default().to_snapshot(),
         ..Default::default()
     };
-    first.vault.write(
+    first.storage.write(
         2,
         StorageWrite {
             snapshot: Some(snapshot),
@@ -266,13 +266,13 @@
             ..Default::default()
         },
     );
-    while !matches!(inbox.blocking_recv(), Some(Word::Done(2))) {}
-    drop(first.vault);
+    while !matches!(inbox.blocking_recv(), Some(StorageEvent::Persisted(2))) {}
+    drop(first.storage);
     // The disk's thread drops its sender when it has ended.
     while inbox.blocking_recv().is_some() {}
-    let (words, _) = tokio::sync::mpsc::unbounded_channel();
-    let again = Vault::open(&folder, words).expect("opens");
-    assert!(!again.empty);
+    let (events, _) = tokio::sync::mpsc::unbounded_channel();
+    let again = Storage::open(&folder, events).expect("opens");
+    assert!(!again.is_empty);
     assert_eq!(
         (again.identity.id, again.identity.cluster),
         (first.identity.id, 9)
@@ -317,7 +317,7 @@
     put(&after, "prompter.redb", &take(&before, "prompter.redb"));
     let opened = after.open().expect("opens");
     assert_ne!(opened.identity.id, id);
-    assert!(!opened.empty && opened.saved.hard_state.term == 0);
+    assert!(!opened.is_empty && opened.saved.hard_state.term == 0);
     assert!(opened.damage.is_some_and(|why| why.contains("acknowledged")));
     assert!(
         !take(&after, "prompter.redb.damaged").is_empty(),
@@ -355,7 +355,7 @@
     let hurt = folder.copy();
     std::fs::remove_file(hurt.store()).expect("removed");
     let opened = hurt.open().expect("opens");
-    assert!(opened.identity.id != id && !opened.empty);
+    assert!(opened.identity.id != id && !opened.is_empty);
 }
 
 /// A first write cut short promised nothing: the node may begin the system still.
@@ -364,7 +364,7 @@
     let folder = Folder::new();
     put(&folder, "prompter.redb.new", &[7; 5000]);
     let opened = folder.open().expect("opens");
-    assert!(opened.empty && opened.damage.is_none());
+    assert!(opened.is_empty && opened.damage.is_none());
 }
 
 /// What is no damage is no reason to begin anew.
--- a/crates/pebblepond/src/stored_data_tests.rs
+++ b/crates/pebblepond/src/stored_data_tests.rs
@@ -2,7 +2,7 @@
 //! damaged one is still set aside. `tests/data/store` holds its files, packed, and the
 //! encoded state that its snapshot and log come to.
 
-use crate::vault::{Opened, Vault};
+use crate::storage::{Opened, Storage};
 use control_state::ControlState;
 use flate2::read::GzDecoder;
 use raft::{EntryType, Membership};
@@ -40,8 +40,8 @@
 }
 
 fn open(path: &Path) -> Opened {
-    let (words, _) = tokio::sync::mpsc::unbounded_channel();
-    Vault::open(path.to_str().expect("utf-8"), words).expect("opens")
+    let (events, _) = tokio::sync::mpsc::unbounded_channel();
+    Storage::open(path.to_str().expect("utf-8"), events).expect("opens")
 }
 
 #[test]
@@ -49,7 +49,7 @@
     let folder = folder(&unpacked(STORE));
     let opened = open(&folder.0);
     assert_eq!((opened.identity.id, opened.identity.cluster), (NODE, 0xc1));
-    assert_eq!((opened.empty, opened.damage), (false, None));
+    assert_eq!((opened.is_empty, opened.damage), (false, None));
     let saved = &opened.saved;
     assert_eq!((saved.hard_state.term, saved.hard_state.vote), (5, 2));
     assert_eq!((saved.snapshot.index, saved.snapshot.term), (8, 4));
@@ -59,7 +59,7 @@
     let indexes: Vec<u64> = saved.entries.iter().map(|e| e.index).collect();
     assert_eq!(indexes, (9..=17).collect::<Vec<u64>>());
 
-    let mut state: ControlState = opened.stage;
+    let mut state: ControlState = opened.state;
     assert_eq!((state.index, state.version()), (8, 1));
     for entry in &saved.entries {
         assert_eq!(entry.entry_type, EntryType::Command as i32);
@@ -85,7 +85,7 @@
     store.truncate(middle);
     let folder = folder(&store);
     let opened = open(&folder.0);
-    assert!(opened.damage.is_some() && !opened.empty);
+    assert!(opened.damage.is_some() && !opened.is_empty);
     assert_ne!(opened.identity.id, NODE, "joins as somebody new");
     assert_eq!(opened.saved, raft::PersistentState::default());
     assert!(folder.0.join("prompter.redb.damaged").exists());
@@ -96,5 +96,5 @@
     let folder = folder(&unpacked(STORE));
     std::fs::remove_file(folder.0.join("prompter.redb")).expect("removed");
     let opened = open(&folder.0);
-    assert!(opened.damage.is_some() && !opened.empty);
+    assert!(opened.damage.is_some() && !opened.is_empty);
 }
--- a/crates/simulation/examples/capacity.rs
+++ b/crates/simulation/examples/capacity.rs
@@ -13,7 +13,7 @@
 use balancer::{LoadBalancer, Neighbours, Observed, Place, Request};
 use config::{constants as c, settings::Bounds, Configuration, RouteKind};
 use control_state::{ControlState, KEY_SPACE};
-use gossip::{Board, Member, Notice, Timing};
+use gossip::{Config, Member, MembershipProtocol, Message};
 use key_ownership::{Act, Granted, OwnershipManager};
 use placement::{Bench, Caller, Casting, Scene};
 use prost::Message as _;
@@ -87,18 +87,18 @@
     );
 }
 
-const TIMING: Timing = Timing {
-    probe_every: c::PROBE_INTERVAL_MS,
-    probe_wait: c::PROBE_TIMEOUT_MS,
-    probe_limit: c::SUSPECT_AFTER_MS,
-    helpers: c::INDIRECT_PROBES,
-    suspect: c::SUSPICION_TIMEOUT_MS,
-    forget: c::DEAD_RETENTION_MS,
-    gossip_times: c::GOSSIP_RETRANSMITS,
-    gossip_members: c::GOSSIP_MESSAGE_MEMBERS,
-    join_every: c::JOIN_INTERVAL_MS,
-    rejoin_every: c::REJOIN_INTERVAL_MS,
-    exchange_every: c::EXCHANGE_INTERVAL_MS,
+const TIMING: Config = Config {
+    probe_interval_ms: c::PROBE_INTERVAL_MS,
+    probe_timeout_ms: c::PROBE_TIMEOUT_MS,
+    suspect_after_ms: c::SUSPECT_AFTER_MS,
+    indirect_probes: c::INDIRECT_PROBES,
+    suspicion_timeout_ms: c::SUSPICION_TIMEOUT_MS,
+    dead_retention_ms: c::DEAD_RETENTION_MS,
+    retransmits: c::GOSSIP_RETRANSMITS,
+    message_members: c::GOSSIP_MESSAGE_MEMBERS,
+    join_interval_ms: c::JOIN_INTERVAL_MS,
+    rejoin_interval_ms: c::REJOIN_INTERVAL_MS,
+    exchange_interval_ms: c::EXCHANGE_INTERVAL_MS,
 };
 
 /// Bytes a second and processor time of a node's membership: at the start, calm,
@@ -116,14 +116,15 @@
                 name: format!("edge-zone-a-{i}"),
                 zone: format!("zone-{}", i % 37),
                 region: format!("region-{}", i % 16),
-                front: name(i),
-                disk: i < 9,
+                client_address: name(i),
+                has_disk: i < 9,
                 ..Default::default()
             };
-            Board::new(me, (0..3).map(name).collect(), TIMING, now, i as u64)
+            MembershipProtocol::new(me, (0..3).map(name).collect(), TIMING, now, i as u64)
         };
-        let mut boards: BTreeMap<String, Board> = (0..nodes).map(|i| (name(i), board(i, 0))).collect();
-        let mut flights: Vec<(u64, String, String, Notice)> = Vec::new();
+        let mut boards: BTreeMap<String, MembershipProtocol> =
+            (0..nodes).map(|i| (name(i), board(i, 0))).collect();
+        let mut flights: Vec<(u64, String, String, Message)> = Vec::new();
         let mut lost = 0u64;
         let mut run = |from: u64, to: u64, restarts: bool| {
             let (mut bytes, mut took) = (0usize, 0u64);
@@ -145,7 +146,11 @@
                 let mut out = Vec::new();
                 for (name, b) in &mut boards {
                     b.tick(now);
-                    out.extend(b.take_out().into_iter().map(|(to, n)| (name.clone(), to, n)));
+                    out.extend(
+                        b.take_outgoing()
+                            .into_iter()
+                            .map(|e| (name.clone(), e.to, e.message)),
+                    );
                 }
                 took += spent() - begun;
                 for (from, to, notice) in out {
