--- a/crates/key-ownership/src/plan.rs
+++ b/crates/key-ownership/src/assignment.rs
@@ -1,6 +1,6 @@
 //! Who gets which ranges.
 
-use crate::loads::Loads;
+use crate::load::Loads;
 use config::constants as c;
 use control_state::{ControlState, KEY_SPACE};
 use protocol::{KeyLease, Worker};
@@ -8,13 +8,13 @@
 use std::collections::HashMap;
 
 /// Stands for a fence that is still to be given.
-pub const NEW_FENCE: u64 = 0;
+pub const NEW_TOKEN: u64 = 0;
 
 /// What planning goes by.
-pub struct View<'a> {
-    pub stage: &'a ControlState,
+pub struct Assignment<'a> {
+    pub state: &'a ControlState,
     pub loads: &'a Loads,
-    pub cold: &'a dyn Fn(&str) -> bool,
+    pub is_weak: &'a dyn Fn(&str) -> bool,
     /// The workers by service, once they have been asked for.
     by_service: OnceCell<HashMap<&'a str, Vec<&'a Worker>>>,
 }
@@ -22,31 +22,35 @@
 /// A worker that may be given keys, what it bears and what it has.
 struct Candidate<'a> {
     worker: &'a Worker,
-    strength: f64,
+    capacity: f64,
     load: f64,
 }
 
 impl Candidate<'_> {
-    fn fill(&self) -> f64 {
-        self.load / self.strength
+    fn utilization(&self) -> f64 {
+        self.load / self.capacity
     }
 }
 
-impl<'a> View<'a> {
-    pub fn new(stage: &'a ControlState, loads: &'a Loads, cold: &'a dyn Fn(&str) -> bool) -> View<'a> {
-        View {
-            stage,
+impl<'a> Assignment<'a> {
+    pub fn new(
+        state: &'a ControlState,
+        loads: &'a Loads,
+        is_weak: &'a dyn Fn(&str) -> bool,
+    ) -> Assignment<'a> {
+        Assignment {
+            state,
             loads,
-            cold,
+            is_weak,
             by_service: OnceCell::new(),
         }
     }
 
     /// The workers of a service.
-    fn of(&self, service: &str) -> &[&'a Worker] {
+    fn workers_of(&self, service: &str) -> &[&'a Worker] {
         let by_service = self.by_service.get_or_init(|| {
             let mut all: HashMap<&str, Vec<&Worker>> = HashMap::new();
-            for w in self.stage.workers.values() {
+            for w in self.state.workers.values() {
                 all.entry(&w.service).or_default().push(w);
             }
             all
@@ -58,13 +62,13 @@
     /// ones if there are no others.
     fn usable(&self, service: &str) -> Vec<&Worker> {
         let able: Vec<&Worker> = self
-            .of(service)
+            .workers_of(service)
             .iter()
             .copied()
-            .filter(|w| !w.draining && !self.stage.evacuated.contains_key(&w.zone))
-            .filter(|w| self.stage.may_hold_keys(w))
+            .filter(|w| !w.draining && !self.state.evacuated.contains_key(&w.zone))
+            .filter(|w| self.state.may_hold_keys(w))
             .collect();
-        let fit = |w: &&Worker| !(self.cold)(&w.id) && !self.stage.ejected.contains(&w.id);
+        let fit = |w: &&Worker| !(self.is_weak)(&w.id) && !self.state.ejected.contains(&w.id);
         let warm: Vec<&Worker> = able.iter().copied().filter(fit).collect();
         if warm.is_empty() {
             able
@@ -76,17 +80,17 @@
     fn candidates(&self, service: &str) -> Vec<Candidate<'_>> {
         let usable = self.usable(service);
         let mut held: HashMap<&str, f64> = HashMap::new();
-        let table = self.stage.key_leases.get(service);
+        let table = self.state.key_leases.get(service);
         for h in table.into_iter().flat_map(|t| t.values()).filter(|h| !h.revoking) {
             *held.entry(&h.worker).or_default() += self.loads.weight(service, h.from, h.to);
         }
-        let strengths = self.loads.strengths(&usable);
+        let capacities = self.loads.capacities(&usable);
         usable
             .into_iter()
-            .zip(strengths)
-            .map(|(worker, strength)| Candidate {
+            .zip(capacities)
+            .map(|(worker, capacity)| Candidate {
                 worker,
-                strength,
+                capacity,
                 load: held.get(worker.id.as_str()).copied().unwrap_or(0.0),
             })
             .collect()
@@ -124,7 +128,7 @@
     }
 
     /// The first division of a service, neighbours in one zone.
-    pub fn first(&self, service: &str, fence: &mut u64) -> Vec<KeyLease> {
+    pub fn divide(&self, service: &str, next_token: &mut u64) -> Vec<KeyLease> {
         let mut workers = self.usable(service);
         workers.sort_by(|a, b| (&a.zone, &a.id).cmp(&(&b.zone, &b.id)));
         let names: Vec<String> = workers.iter().map(|w| w.id.clone()).collect();
@@ -134,13 +138,13 @@
         self.cut(service, 0, KEY_SPACE - 1, &names)
             .into_iter()
             .map(|(from, to, worker)| {
-                *fence += 1;
+                *next_token += 1;
                 KeyLease {
                     service: service.into(),
                     from,
                     to,
                     worker,
-                    fencing_token: *fence - 1,
+                    fencing_token: *next_token - 1,
                     ..Default::default()
                 }
             })
@@ -149,15 +153,15 @@
 
     /// Turns ranges without a holder into ranges of the least busy workers,
     /// and passes the others on as they are.
-    pub fn hand_out(&self, puts: &[KeyLease], fence: &mut u64) -> Vec<KeyLease> {
+    pub fn assign(&self, changes: &[KeyLease], next_token: &mut u64) -> Vec<KeyLease> {
         let mut out = Vec::new();
         let mut given: Vec<(String, Vec<Candidate>)> = Vec::new();
-        for put in puts {
+        for put in changes {
             if !put.worker.is_empty() {
                 let mut put = put.clone();
-                if put.fencing_token == NEW_FENCE {
-                    put.fencing_token = *fence;
-                    *fence += 1;
+                if put.fencing_token == NEW_TOKEN {
+                    put.fencing_token = *next_token;
+                    *next_token += 1;
                 }
                 out.push(put);
                 continue;
@@ -170,21 +174,21 @@
             };
             if candidates.is_empty() {
                 // Nobody can take it; say so once.
-                let before = self.stage.key_lease(&put.service, put.from);
-                if before.is_some_and(|h| !h.worker.is_empty()) {
+                let preceding = self.state.key_lease(&put.service, put.from);
+                if preceding.is_some_and(|h| !h.worker.is_empty()) {
                     out.push(put.clone());
                 }
                 continue;
             }
             // The least busy workers, as many as it takes to have the room.
             let weight = self.loads.weight(&put.service, put.from, put.to);
-            let mean = 1.0 / candidates.iter().map(|x| x.strength).sum::<f64>();
-            candidates.sort_by(|a, b| a.fill().total_cmp(&b.fill()));
+            let mean = 1.0 / candidates.iter().map(|x| x.capacity).sum::<f64>();
+            candidates.sort_by(|a, b| a.utilization().total_cmp(&b.utilization()));
             let mut room = 0.0;
             let mut names = Vec::new();
             for x in candidates.iter().take(c::MAX_SPLIT_RANGES) {
                 names.push(x.worker.id.clone());
-                room += (mean * x.strength - x.load).max(0.0);
+                room += (mean * x.capacity - x.load).max(0.0);
                 if room >= weight * 0.8 {
                     break;
                 }
@@ -200,11 +204,11 @@
                     from,
                     to,
                     worker,
-                    fencing_token: *fence,
+                    fencing_token: *next_token,
                     handover,
                     revoking: false,
                 });
-                *fence += 1;
+                *next_token += 1;
             }
         }
         out
@@ -212,15 +216,15 @@
 
     /// Steps towards equal loads: the fullest workers give up what they have
     /// above the mean, piece by piece, as far as the leanest have room for it.
-    pub fn even_out(&self) -> Vec<KeyLease> {
+    pub fn rebalance(&self) -> Vec<KeyLease> {
         let mut out = Vec::new();
-        for (service, table) in &self.stage.key_leases {
+        for (service, table) in &self.state.key_leases {
             let mut candidates = self.candidates(service);
             if candidates.len() < 2 {
                 continue;
             }
             let mean = candidates.iter().map(|x| x.load).sum::<f64>()
-                / candidates.iter().map(|x| x.strength).sum::<f64>();
+                / candidates.iter().map(|x| x.capacity).sum::<f64>();
             // The fewer requests a worker gets, the more its count is luck.
             let seen = self.loads.rate(service) / candidates.len() as f64 * c::KEY_LOAD_WINDOW_S;
             let above = c::OVERLOADED_ABOVE.max(1.0 + c::KEY_LOAD_DEVIATIONS / seen.max(1.0).sqrt());
@@ -231,16 +235,16 @@
             let most = c::REBALANCE_MIN_MOVES.max(candidates.len() / c::REBALANCE_WORKERS_PER_MOVE);
             let moves = out.len() + most.saturating_sub(under_way);
             while out.len() < moves {
-                candidates.sort_by(|a, b| a.fill().total_cmp(&b.fill()));
+                candidates.sort_by(|a, b| a.utilization().total_cmp(&b.utilization()));
                 let (Some(lean), Some(full)) = (candidates.first(), candidates.last()) else {
                     break;
                 };
-                let hot = self.loads.known(service) && full.fill() > mean * above;
-                if !hot && lean.fill() >= mean * c::UNDERLOADED_BELOW || full.fill() <= mean {
+                let hot = self.loads.known(service) && full.utilization() > mean * above;
+                if !hot && lean.utilization() >= mean * c::UNDERLOADED_BELOW || full.utilization() <= mean {
                     break;
                 }
-                let room = (mean - lean.fill()) * lean.strength;
-                let amount = ((full.fill() - mean) * full.strength).min(room);
+                let room = (mean - lean.utilization()) * lean.capacity;
+                let amount = ((full.utilization() - mean) * full.capacity).min(room);
                 let amount = if hot { amount } else { amount.max(room * 0.5) };
                 let mine = kept.iter().filter(|h| h.worker == full.worker.id);
                 let pieces = mine.filter_map(|h| self.piece(h, amount));
--- /dev/null
+++ b/crates/key-ownership/src/manager/round.rs
@@ -0,0 +1,293 @@
+//! One round of ownership: what to grant, to revoke and to log.
+
+use super::{OwnershipManager, RangeKey, RangeState, Warmup};
+use crate::assignment::{Assignment, NEW_TOKEN};
+use crate::calls::{Action, GrantCall, ReleaseCall};
+use crate::expiry::LATEST_ARRIVAL_MS;
+use config::constants as c;
+use control_state::ControlState;
+use protocol::{KeyLease, Worker};
+use std::collections::{BTreeMap, HashSet};
+use std::sync::Arc;
+
+/// Grants that are made in one round at least.
+const MIN_GRANTS: usize = 8;
+
+/// A grant that is due.
+struct DueGrant {
+    due_at: u64,
+    call: GrantCall,
+}
+
+/// What a round has come to so far.
+#[derive(Default)]
+struct Round {
+    actions: Vec<Action>,
+    grants: Vec<DueGrant>,
+    /// Leases that are to change; those without a worker are to be assigned.
+    changes: Vec<KeyLease>,
+}
+
+/// The calls that were pending when the round began.
+#[derive(Default)]
+struct PendingCalls {
+    /// Ranges as they were when the call was made, which may be more than the lease is now.
+    ranges: Vec<(u64, (u32, u32))>,
+    /// Latest expiry by fencing token: pieces of one range share it.
+    expiries: BTreeMap<u64, u64>,
+}
+
+impl PendingCalls {
+    fn of(ranges: &BTreeMap<RangeKey, RangeState>) -> PendingCalls {
+        let mut pending = PendingCalls::default();
+        for (key, range) in ranges.iter().filter(|(_, r)| r.call.is_some()) {
+            pending.ranges.push((key.token, range.sent_range));
+            let expiry = pending.expiries.entry(key.token).or_default();
+            *expiry = range.pending_expiry.max(*expiry);
+        }
+        pending
+    }
+
+    fn expiry(&self, token: u64) -> u64 {
+        self.expiries.get(&token).copied().unwrap_or(0)
+    }
+
+    fn overlaps(&self, lease: &KeyLease) -> bool {
+        let overlaps = |from: u32, to: u32| from <= lease.to && to >= lease.from;
+        let mut ranges = self.ranges.iter();
+        ranges.any(|(token, (from, to))| *token == lease.fencing_token && overlaps(*from, *to))
+    }
+}
+
+/// A lease that its worker no longer holds.
+fn without_holder(lease: &KeyLease) -> KeyLease {
+    KeyLease {
+        worker: String::new(),
+        revoking: false,
+        ..lease.clone()
+    }
+}
+
+impl OwnershipManager {
+    /// Looks at who holds what and says what to do.
+    pub fn tick(&mut self, now: u64, state: &ControlState) -> Vec<Action> {
+        if state.configuration.is_none() {
+            return Vec::new();
+        }
+        self.note_warming(now, state);
+        self.has_new_loads |= self.loads.close_period(now);
+        let tables = state.key_leases.values();
+        let leases: Vec<Arc<KeyLease>> = tables.flat_map(|t| t.values().cloned()).collect();
+        self.forget_gone(&leases);
+        let pending = PendingCalls::of(&self.ranges);
+        let mut round = Round::default();
+        for lease in &leases {
+            self.check_lease(now, state, lease, &pending, &mut round);
+        }
+        self.make_due_grants(now, leases.len(), &mut round);
+        if !self.awaits_log {
+            self.log_changes(now, state, &mut round);
+        }
+        round.actions
+    }
+
+    /// Remembers how long workers warm up, from when that was told.
+    fn note_warming(&mut self, now: u64, state: &ControlState) {
+        let is_warming = |id: &String| state.workers.get(id).is_some_and(|w| w.warmup_ms > 0);
+        self.warming.retain(|id, _| is_warming(id));
+        for worker in state.workers.values().filter(|w| w.warmup_ms > 0) {
+            let warmup = self.warming.entry(worker.id.clone()).or_default();
+            if warmup.index != worker.warmup_index {
+                *warmup = Warmup {
+                    index: worker.warmup_index,
+                    until: now + worker.warmup_ms + c::WARMUP_MARGIN_MS,
+                };
+            }
+        }
+    }
+
+    /// Drops what is known of ranges that are no more. With hundreds of holders, checking each
+    /// against every other would take the leader longer than the renewals.
+    fn forget_gone(&mut self, leases: &[Arc<KeyLease>]) {
+        let held: HashSet<(&str, u32, u64)> = leases
+            .iter()
+            .map(|l| (l.service.as_str(), l.from, l.fencing_token))
+            .collect();
+        self.ranges.retain(|key, range| {
+            range.call.is_some() || held.contains(&(key.service.as_str(), key.from, key.token))
+        });
+        let tokens: HashSet<u64> = leases.iter().map(|l| l.fencing_token).collect();
+        self.expiries.retain(|token, _| tokens.contains(token));
+    }
+
+    fn check_lease(
+        &mut self,
+        now: u64,
+        state: &ControlState,
+        lease: &KeyLease,
+        pending: &PendingCalls,
+        round: &mut Round,
+    ) {
+        let range = self.ranges.entry(RangeKey::of(lease)).or_default();
+        let Some(worker) = state.workers.get(&lease.worker) else {
+            // Nobody holds it, or the process that held it has ended.
+            if range.call.is_none() {
+                round.changes.push(without_holder(lease));
+            }
+            return;
+        };
+        let must_revoke = lease.revoking
+            || worker.draining
+            || state.evacuated.contains_key(&worker.zone)
+            || state.ejected.contains(&worker.id)
+            || !state.may_hold_keys(worker)
+            || range.failures >= c::MAX_GRANT_FAILURES;
+        let due_at = if must_revoke {
+            range.retry_release_at
+        } else {
+            range.next_grant_at
+        };
+        if range.call.is_some() || now < due_at {
+            return;
+        }
+        if must_revoke {
+            self.revoke(now, state, lease, worker, pending, round);
+        } else if range.is_fenced {
+            round.changes.push(KeyLease {
+                fencing_token: NEW_TOKEN,
+                handover: String::new(),
+                ..lease.clone()
+            });
+        } else {
+            let call = GrantCall {
+                number: 0,
+                address: worker.address.clone(),
+                lease: lease.clone(),
+                lease_ms: self.times.lease_ms,
+            };
+            round.grants.push(DueGrant { due_at, call });
+        }
+    }
+
+    /// One step of taking a range back: mark it, have it released, free it.
+    fn revoke(
+        &mut self,
+        now: u64,
+        state: &ControlState,
+        lease: &KeyLease,
+        worker: &Worker,
+        pending: &PendingCalls,
+        round: &mut Round,
+    ) {
+        if !lease.revoking {
+            round.changes.push(KeyLease {
+                revoking: true,
+                ..lease.clone()
+            });
+            return;
+        }
+        let expiry = self.range_expiry(lease).max(pending.expiry(lease.fencing_token));
+        let is_settled = self.expiry(lease.fencing_token).settled <= now;
+        let Some(range) = self.ranges.get(&RangeKey::of(lease)) else {
+            return;
+        };
+        if range.released.is_some() || expiry.max(range.final_expiry) <= now {
+            round.changes.push(KeyLease {
+                handover: range.released.clone().unwrap_or_default(),
+                ..without_holder(lease)
+            });
+        } else if is_settled && !pending.overlaps(lease) {
+            let is_ejected = state.ejected.contains(&worker.id);
+            let action = self.take_back(now, lease, worker, is_ejected);
+            round.actions.extend(action);
+        }
+    }
+
+    /// The call that takes a range back: first a last, longer grant, so that what runs may go
+    /// on until its end; then the release.
+    fn take_back(&mut self, now: u64, lease: &KeyLease, worker: &Worker, is_ejected: bool) -> Option<Action> {
+        let times = self.times;
+        let range = self.ranges.get_mut(&RangeKey::of(lease))?;
+        self.calls += 1;
+        let number = self.calls;
+        range.call = Some(number);
+        // Who has left grants unanswered is let run out instead.
+        let is_well = range.failures == 0 && !is_ejected;
+        let address = worker.address.clone();
+        let lease = lease.clone();
+        if !range.is_final_granted && is_well && times.final_ms > times.lease_ms {
+            range.is_final_granted = true;
+            range.final_expiry = times.final_end(now + LATEST_ARRIVAL_MS);
+            range.sent_range = (lease.from, lease.to);
+            range.pending_expiry = times.end(now + LATEST_ARRIVAL_MS);
+            return Some(Action::Grant(GrantCall {
+                number,
+                address,
+                lease,
+                lease_ms: times.final_ms,
+            }));
+        }
+        range.pending_expiry = 0;
+        Some(Action::Release(ReleaseCall {
+            number,
+            address,
+            lease,
+        }))
+    }
+
+    /// Makes a part of the grants that are due, the most urgent first: all at once, hundreds of
+    /// calls would hold up the heartbeats.
+    fn make_due_grants(&mut self, now: u64, leases: usize, round: &mut Round) {
+        let interval_ms = leases as u64 * 1000 / c::MAX_GRANTS_PER_S;
+        self.renewal_interval_ms =
+            interval_ms.clamp(c::KEY_RENEWAL_INTERVAL_MS, c::KEY_RENEWAL_MAX_INTERVAL_MS);
+        let checks = self.renewal_interval_ms as usize;
+        let most = MIN_GRANTS + leases * 2 * c::KEY_CHECK_INTERVAL_MS as usize / checks;
+        let pending_expiry = self.times.end(now + LATEST_ARRIVAL_MS);
+        round.grants.sort_by_key(|g| g.due_at);
+        for DueGrant { mut call, .. } in round.grants.drain(..).take(most) {
+            self.calls += 1;
+            call.number = self.calls;
+            if let Some(range) = self.ranges.get_mut(&RangeKey::of(&call.lease)) {
+                range.call = Some(call.number);
+                range.sent_range = (call.lease.from, call.lease.to);
+                range.pending_expiry = pending_expiry;
+            }
+            round.actions.push(Action::Grant(call));
+        }
+    }
+
+    /// Assigns what has no holder, divides new services, and evens out the loads.
+    fn log_changes(&mut self, now: u64, state: &ControlState, round: &mut Round) {
+        let is_weak = |id: &str| {
+            let worker = state.workers.get(id);
+            self.is_weak(now, id) || worker.is_some_and(|w| state.is_warmup_unknown(w))
+        };
+        let assignment = Assignment::new(state, &self.loads, &is_weak);
+        let mut next_token = state.highest_fencing_token() + 1;
+        let mut changes = assignment.assign(&round.changes, &mut next_token);
+        let services = state.configuration.iter().flat_map(|c| c.services.values());
+        for service in services.filter(|s| s.partitioned) {
+            if !state.key_leases.contains_key(&*service.name) {
+                changes.extend(assignment.divide(&service.name, &mut next_token));
+            }
+        }
+        // Balance is checked when there is a new count to go by; among hundreds of holders some
+        // keys are always on their way for other reasons.
+        let checks_balance = changes.is_empty() && self.has_new_loads;
+        if checks_balance {
+            changes = assignment.rebalance();
+        }
+        self.has_new_loads &= !checks_balance;
+        if !changes.is_empty() {
+            self.awaits_log = true;
+            round.actions.push(Action::Log(changes));
+        }
+    }
+
+    /// Whether a worker warms up or has lately answered no grant.
+    fn is_weak(&self, now: u64, id: &str) -> bool {
+        self.warming.get(id).is_some_and(|w| now < w.until)
+            || self.avoided_until.get(id).is_some_and(|until| now < *until)
+    }
+}
--- a/crates/key-ownership/src/tests.rs
+++ b/crates/key-ownership/tests/ownership.rs
@@ -1,71 +1,74 @@
-use super::*;
-use control_state::KEY_SPACE;
+//! Ownership of keys over workers that die, drain and answer late.
+
+use config::constants as c;
+use control_state::{ControlState, KEY_SPACE};
+use key_ownership::{Action, GrantResult, OwnershipManager, ReleaseResult};
 use protocol::*;
 
 const CONFIG: &str = r#"{"Version":1,"Limits":{"HeaderMaxBytes":1,"BodyMaxBytes":1,"HeaderTimeout":"1s","IdleTimeout":"1s"},
     "AccessPoints":[],"Groups":[{"Name":"s","Partitioned":true}]}"#;
 
-struct Play {
-    stage: ControlState,
+struct Scenario {
+    state: ControlState,
     ownership: OwnershipManager,
     now: u64,
     /// Calls made since the last look.
-    calls: Vec<Act>,
+    calls: Vec<Action>,
 }
 
-impl Play {
-    fn new(workers: usize) -> Play {
-        let mut play = Play {
-            stage: ControlState::default(),
+impl Scenario {
+    fn new(workers: usize) -> Scenario {
+        let mut scenario = Scenario {
+            state: ControlState::default(),
             ownership: OwnershipManager::new(10_000, 300),
             now: 0,
             calls: vec![],
         };
-        play.change(ChangeKind::Replace(ConfigurationCommand {
+        scenario.change(ChangeKind::Replace(ConfigurationCommand {
             base: 0,
             body: CONFIG.into(),
             ..Default::default()
         }));
         let put = (0..workers).map(|i| worker(&format!("w{i}"))).collect();
-        play.change(ChangeKind::Workers(WorkersChange {
+        scenario.change(ChangeKind::Workers(WorkersChange {
             put,
             ..Default::default()
         }));
-        play
+        scenario
     }
 
     fn change(&mut self, kind: ChangeKind) {
-        self.stage.apply(self.stage.index + 1, &Change::encode(kind));
+        self.state.apply(self.state.index + 1, &Change::encode(kind));
     }
 
     fn log(&mut self, put: Vec<KeyLease>) {
         self.change(ChangeKind::KeyLeases(KeyLeaseChange { put }));
-        self.ownership.logged();
+        self.ownership.on_logged();
     }
 
     /// Runs for a time; grants to `dead` end unclear, others succeed.
     fn run(&mut self, ms: u64, dead: &str) {
         for _ in 0..ms / 100 {
             self.now += 100;
-            for act in self.ownership.tick(self.now, &self.stage) {
+            for act in self.ownership.tick(self.now, &self.state) {
                 self.calls.push(act.clone());
                 match act {
-                    Act::Log(put) => self.log(put),
-                    Act::Grant(g) => {
-                        let end = if g.holding.worker == dead {
-                            Granted::Unclear
+                    Action::Log(put) => self.log(put),
+                    Action::Grant(g) => {
+                        let end = if g.lease.worker == dead {
+                            GrantResult::Unknown
                         } else {
-                            Granted::Yes
+                            GrantResult::Accepted
                         };
-                        self.ownership.granted(self.now, &g, end);
+                        self.ownership.on_grant_result(self.now, &g, end);
                     }
-                    Act::Release(r) => {
-                        let end = if r.holding.worker == dead {
-                            Released::Failed
+                    Action::Release(r) => {
+                        let end = if r.lease.worker == dead {
+                            ReleaseResult::Failed
                         } else {
-                            Released::Yes("token".into())
+                            ReleaseResult::Released("token".into())
                         };
-                        self.ownership.released(self.now, &r, end);
+                        self.ownership.on_release_result(self.now, &r, end);
                     }
                 }
             }
@@ -73,7 +76,7 @@
     }
 
     fn held_by(&self, id: &str) -> u32 {
-        self.stage.key_leases["s"]
+        self.state.key_leases["s"]
             .values()
             .filter(|h| h.worker == id)
             .map(|h| h.to - h.from + 1)
@@ -82,7 +85,7 @@
 
     fn check_cover(&self) {
         let mut next = 0;
-        for h in self.stage.key_leases["s"].values() {
+        for h in self.state.key_leases["s"].values() {
             assert_eq!(h.from, next);
             next = h.to + 1;
         }
@@ -100,13 +103,13 @@
 }
 
 #[test]
-fn keys_are_logged_before_they_are_granted_and_every_fence_is_new() {
-    let mut p = Play::new(4);
+fn keys_are_logged_before_they_are_granted_under_new_tokens() {
+    let mut p = Scenario::new(4);
     p.run(500, "");
-    assert!(matches!(p.calls[0], Act::Log(_)));
+    assert!(matches!(p.calls[0], Action::Log(_)));
     p.check_cover();
     assert_eq!(p.held_by("w2"), KEY_SPACE / 4);
-    let fences: std::collections::BTreeSet<u64> = p.stage.key_leases["s"]
+    let fences: std::collections::BTreeSet<u64> = p.state.key_leases["s"]
         .values()
         .map(|h| h.fencing_token)
         .collect();
@@ -114,10 +117,10 @@
 }
 
 #[test]
-fn a_draining_worker_hands_over_with_its_token_under_a_higher_fence() {
-    let mut p = Play::new(4);
+fn draining_worker_hands_over_under_a_higher_fencing_token() {
+    let mut p = Scenario::new(4);
     p.run(1000, "");
-    let top = p.stage.highest_fencing_token();
+    let top = p.state.highest_fencing_token();
     let put = vec![Worker {
         draining: true,
         ..worker("w1")
@@ -130,7 +133,7 @@
     p.run(1000, "");
     p.check_cover();
     assert_eq!(p.held_by("w1"), 0);
-    let moved: Vec<_> = p.stage.key_leases["s"]
+    let moved: Vec<_> = p.state.key_leases["s"]
         .values()
         .filter(|h| h.fencing_token > top)
         .collect();
@@ -138,8 +141,8 @@
 }
 
 #[test]
-fn a_silent_holder_keeps_its_keys_until_its_hold_has_ended() {
-    let mut p = Play::new(3);
+fn silent_holder_keeps_its_keys_until_its_lease_has_ended() {
+    let mut p = Scenario::new(3);
     p.run(1000, "");
     let stopped = p.now;
     let put = vec![Worker {
@@ -163,8 +166,8 @@
 }
 
 #[test]
-fn a_holder_that_answers_no_grant_is_let_go() {
-    let mut p = Play::new(3);
+fn holder_that_answers_no_grant_loses_its_keys() {
+    let mut p = Scenario::new(3);
     p.run(1000, "");
     p.run(5000, "w0");
     assert!(p.held_by("w0") > 0, "its last grant may still run");
@@ -174,10 +177,10 @@
 }
 
 #[test]
-fn an_ended_life_frees_its_keys_at_once_and_a_new_leader_waits_for_the_rest() {
-    let mut p = Play::new(3);
+fn ended_process_frees_its_keys_at_once_and_a_new_leader_waits_for_the_rest() {
+    let mut p = Scenario::new(3);
     p.run(1000, "");
-    p.ownership.begin(p.now, &p.stage);
+    p.ownership.begin(p.now, &p.state);
     p.change(ChangeKind::Workers(WorkersChange {
         put: vec![],
         removed: vec!["w0".into()],
@@ -205,8 +208,8 @@
 }
 
 #[test]
-fn a_newcomer_is_given_a_fair_share_once_it_is_warm() {
-    let mut p = Play::new(4);
+fn newcomer_gets_a_fair_share_once_it_is_warm() {
+    let mut p = Scenario::new(4);
     p.run(1000, "");
     let put = vec![Worker {
         warmup_ms: 3000,
@@ -221,14 +224,14 @@
     p.run(6000, "");
     p.check_cover();
     assert!(p.held_by("new") >= KEY_SPACE / 5 * 4 / 10, "{}", p.held_by("new"));
-    let settled = p.stage.highest_fencing_token();
+    let settled = p.state.highest_fencing_token();
     p.run(6000, "");
-    assert_eq!(p.stage.highest_fencing_token(), settled, "and then nothing moves");
+    assert_eq!(p.state.highest_fencing_token(), settled, "and then nothing moves");
 }
 
 #[test]
-fn a_busy_key_is_set_apart_and_a_grant_under_way_delays_the_release() {
-    let mut p = Play::new(4);
+fn busy_key_is_set_apart_and_a_pending_grant_delays_the_release() {
+    let mut p = Scenario::new(4);
     p.run(1000, "");
     let hot = 5000;
     for _ in 0..8 {
@@ -237,7 +240,7 @@
             .iter()
             .map(|b| if *b == hot { 96_000 } else { 1 })
             .collect();
-        p.ownership.take_loads(
+        p.ownership.add_loads(
             &[KeyCounts {
                 service: name_hash("s"),
                 buckets,
@@ -248,24 +251,24 @@
         p.run(1000, "");
     }
     p.check_cover();
-    let holder = p.stage.key_lease("s", 5000).expect("covered").worker.clone();
+    let holder = p.state.key_lease("s", 5000).expect("covered").worker.clone();
     assert!(p.held_by(&holder) < KEY_SPACE / 16, "{}", p.held_by(&holder));
 }
 
 #[test]
-fn no_release_while_a_grant_of_the_same_fence_is_under_way() {
-    let mut p = Play::new(2);
+fn no_release_while_a_grant_under_the_same_token_is_pending() {
+    let mut p = Scenario::new(2);
     p.run(200, "");
     // The grants of this round stay under way.
     let grants = loop {
         p.now += 100;
-        let acts = p.ownership.tick(p.now, &p.stage);
+        let acts = p.ownership.tick(p.now, &p.state);
         if acts.len() == 2 {
             break acts;
         }
         assert!(p.now < 5000);
     };
-    let h = p.stage.key_lease("s", 0).expect("covered").clone();
+    let h = p.state.key_lease("s", 0).expect("covered").clone();
     let piece = KeyLease {
         to: 99,
         revoking: true,
@@ -275,47 +278,47 @@
     p.now += 100;
     assert!(!p
         .ownership
-        .tick(p.now, &p.stage)
+        .tick(p.now, &p.state)
         .iter()
-        .any(|a| matches!(a, Act::Release(_))));
+        .any(|a| matches!(a, Action::Release(_))));
     for g in grants {
-        if let Act::Grant(g) = g {
-            p.ownership.granted(p.now, &g, Granted::Yes);
+        if let Action::Grant(g) = g {
+            p.ownership.on_grant_result(p.now, &g, GrantResult::Accepted);
         }
     }
     // First a last grant that outlasts what runs, then the release.
     p.now += 100;
-    let acts = p.ownership.tick(p.now, &p.stage);
+    let acts = p.ownership.tick(p.now, &p.state);
     let last = acts.iter().find_map(|a| match a {
-        Act::Grant(g) if g.hold_ms > c::KEY_LEASE_MS => Some(g.clone()),
+        Action::Grant(g) if g.lease_ms > c::KEY_LEASE_MS => Some(g.clone()),
         _ => None,
     });
     let last = last.expect("a last grant");
-    assert_eq!((last.holding.from, last.holding.to), (0, 99));
-    assert!(!acts.iter().any(|a| matches!(a, Act::Release(_))));
-    p.ownership.granted(p.now, &last, Granted::Yes);
+    assert_eq!((last.lease.from, last.lease.to), (0, 99));
+    assert!(!acts.iter().any(|a| matches!(a, Action::Release(_))));
+    p.ownership.on_grant_result(p.now, &last, GrantResult::Accepted);
     p.now += 100;
     assert!(p
         .ownership
-        .tick(p.now, &p.stage)
+        .tick(p.now, &p.state)
         .iter()
-        .any(|a| matches!(a, Act::Release(_))));
+        .any(|a| matches!(a, Action::Release(_))));
 }
 
 #[test]
-fn a_worker_that_has_seen_a_higher_fence_is_granted_under_a_new_one() {
-    let mut p = Play::new(2);
+fn fenced_grant_is_repeated_under_a_new_token() {
+    let mut p = Scenario::new(2);
     p.run(500, "");
-    let top = p.stage.highest_fencing_token();
+    let top = p.state.highest_fencing_token();
     let call = until(&mut p, |act| match act {
-        Act::Grant(g) if g.holding.from == 0 => Some(g.clone()),
+        Action::Grant(g) if g.lease.from == 0 => Some(g.clone()),
         _ => None,
     });
-    let h = call.holding.clone();
-    p.ownership.granted(p.now, &call, Granted::Outrun);
+    let h = call.lease.clone();
+    p.ownership.on_grant_result(p.now, &call, GrantResult::Fenced);
     p.calls.clear();
     p.run(1500, "");
-    let again = p.stage.key_lease("s", 0).expect("covered");
+    let again = p.state.key_lease("s", 0).expect("covered");
     assert_eq!(
         (again.worker.as_str(), again.fencing_token),
         (h.worker.as_str(), top + 1)
@@ -323,20 +326,20 @@
     assert!(p
         .calls
         .iter()
-        .any(|a| matches!(a, Act::Grant(g) if g.holding.fencing_token == top + 1)));
+        .any(|a| matches!(a, Action::Grant(g) if g.lease.fencing_token == top + 1)));
 }
 
 #[test]
-fn a_zone_taken_back_gets_no_keys_before_the_list_was_read_again() {
-    let mut p = Play::new(3);
+fn restored_zone_gets_no_keys_before_the_list_was_read_again() {
+    let mut p = Scenario::new(3);
     let put = vec![Worker {
         zone: "back".into(),
         ..worker("w0")
     }];
-    let read = |p: &mut Play, put: &Vec<Worker>| {
+    let read = |p: &mut Scenario, put: &Vec<Worker>| {
         let change = WorkersChange {
             put: put.clone(),
-            as_of: p.stage.index,
+            as_of: p.state.index,
             ..Default::default()
         };
         p.change(ChangeKind::Workers(change));
@@ -363,7 +366,7 @@
 #[test]
 fn keys_follow_the_stages_of_a_rollout_and_come_back() {
     use rollout::{Action, Create, PreviewChange};
-    let mut p = Play::new(8);
+    let mut p = Scenario::new(8);
     let old = (0..8).map(|i| Worker {
         version: "v1".into(),
         ..worker(&format!("w{i}"))
@@ -377,8 +380,8 @@
         ..Default::default()
     }));
     p.run(1000, "");
-    let step = |p: &mut Play, action: Action| {
-        let expected = p.stage.rollouts.get("s").map_or(0, |r| r.version);
+    let step = |p: &mut Scenario, action: Action| {
+        let expected = p.state.rollouts.get("s").map_or(0, |r| r.version);
         let create = (action == Action::Create).then(|| Create {
             target: "v2".into(),
             duration_ms: 60_000,
@@ -393,7 +396,7 @@
             ..Default::default()
         }));
     };
-    let with_new = |p: &Play| (0..8).map(|i| p.held_by(&format!("x{i}"))).sum::<u32>();
+    let with_new = |p: &Scenario| (0..8).map(|i| p.held_by(&format!("x{i}"))).sum::<u32>();
     step(&mut p, Action::Create);
     p.change(ChangeKind::Workers(WorkersChange {
         put: new.collect(),
@@ -423,19 +426,22 @@
 
 /// The first act that `wanted` picks, within some seconds; grants and releases
 /// that come before it are answered well.
-fn until<T>(p: &mut Play, wanted: impl Fn(&Act) -> Option<T>) -> T {
+fn until<T>(p: &mut Scenario, wanted: impl Fn(&Action) -> Option<T>) -> T {
     for _ in 0..100 {
         p.now += 100;
         let mut found = None;
-        for act in p.ownership.tick(p.now, &p.stage) {
+        for act in p.ownership.tick(p.now, &p.state) {
             if let (None, Some(got)) = (&found, wanted(&act)) {
                 found = Some(got);
                 continue;
             }
             match act {
-                Act::Log(put) => p.log(put),
-                Act::Grant(g) => p.ownership.granted(p.now, &g, Granted::Yes),
-                Act::Release(r) => p.ownership.released(p.now, &r, Released::Yes("t".into())),
+                Action::Log(put) => p.log(put),
+                Action::Grant(g) => p.ownership.on_grant_result(p.now, &g, GrantResult::Accepted),
+                Action::Release(r) => {
+                    p.ownership
+                        .on_release_result(p.now, &r, ReleaseResult::Released("t".into()))
+                }
             }
         }
         if let Some(found) = found {
@@ -445,7 +451,7 @@
     panic!("it was not done");
 }
 
-fn drain(p: &mut Play, id: &str) {
+fn drain(p: &mut Scenario, id: &str) {
     let gone = Worker {
         draining: true,
         ..worker(id)
@@ -457,34 +463,37 @@
 }
 
 #[test]
-fn a_late_answer_to_a_grant_of_an_earlier_duty_ends_no_hold() {
-    for late in [Granted::Unclear, Granted::Yes, Granted::NotSent, Granted::Outrun] {
-        let mut p = Play::new(2);
+fn late_grant_answer_of_an_earlier_leadership_ends_no_lease() {
+    for late in [
+        GrantResult::Unknown,
+        GrantResult::Accepted,
+        GrantResult::NotSent,
+        GrantResult::Fenced,
+    ] {
+        let mut p = Scenario::new(2);
         p.run(500, "");
         let call = until(&mut p, |act| match act {
-            Act::Grant(g) if g.holding.worker == "w0" => Some(g.clone()),
+            Action::Grant(g) if g.lease.worker == "w0" => Some(g.clone()),
             _ => None,
         });
         // The duty is lost and found again before the answer comes. Meanwhile
         // another leader may have granted the same, and that may still arrive.
         p.now += 300;
-        p.ownership.begin(p.now, &p.stage);
-        let least = p.ownership.hold_end(call.holding.fencing_token);
+        p.ownership.begin(p.now, &p.state);
+        let least = p.ownership.expires_by(call.lease.fencing_token);
         drain(&mut p, "w0");
         p.now += 50;
-        p.ownership.granted(p.now, &call, late);
+        p.ownership.on_grant_result(p.now, &call, late);
         assert!(
-            p.ownership.hold_end(call.holding.fencing_token) >= least,
+            p.ownership.expires_by(call.lease.fencing_token) >= least,
             "{late:?}"
         );
-        assert_eq!(p.ownership.unknown_answers(), 1);
+        assert_eq!(p.ownership.unmatched_answers(), 1);
         for _ in 0..20 {
             p.now += 100;
-            for act in p.ownership.tick(p.now, &p.stage) {
-                if let Act::Log(put) = act {
-                    let freed = put
-                        .iter()
-                        .any(|h| h.worker != "w0" && h.from == call.holding.from);
+            for act in p.ownership.tick(p.now, &p.state) {
+                if let Action::Log(put) = act {
+                    let freed = put.iter().any(|h| h.worker != "w0" && h.from == call.lease.from);
                     assert!(!freed || p.now >= least, "{late:?}: freed at {}", p.now);
                     p.log(put);
                 }
@@ -494,55 +503,56 @@
 }
 
 #[test]
-fn a_late_answer_to_a_release_of_an_earlier_duty_frees_nothing() {
-    let mut p = Play::new(2);
+fn late_release_answer_of_an_earlier_leadership_frees_nothing() {
+    let mut p = Scenario::new(2);
     p.run(500, "");
     drain(&mut p, "w0");
     let call = until(&mut p, |act| match act {
-        Act::Release(r) => Some(r.clone()),
+        Action::Release(r) => Some(r.clone()),
         _ => None,
     });
     // In its next duty it has granted the keys once more, as another leader may
     // have, when the answer comes.
     p.now += 100;
-    p.ownership.begin(p.now, &p.stage);
+    p.ownership.begin(p.now, &p.state);
     let again = until(&mut p, |act| match act {
-        Act::Grant(g) if g.holding.fencing_token == call.holding.fencing_token => Some(g.clone()),
+        Action::Grant(g) if g.lease.fencing_token == call.lease.fencing_token => Some(g.clone()),
         _ => None,
     });
-    assert_eq!(again.holding, call.holding);
-    p.ownership.released(p.now, &call, Released::Yes("late".into()));
+    assert_eq!(again.lease, call.lease);
+    p.ownership
+        .on_release_result(p.now, &call, ReleaseResult::Released("late".into()));
     for _ in 0..10 {
         p.now += 100;
-        for act in p.ownership.tick(p.now, &p.stage) {
-            assert!(!matches!(act, Act::Log(_)), "freed at {}: {act:?}", p.now);
+        for act in p.ownership.tick(p.now, &p.state) {
+            assert!(!matches!(act, Action::Log(_)), "freed at {}: {act:?}", p.now);
         }
     }
 }
 
 #[test]
-fn an_answer_says_nothing_of_another_call_under_the_same_fence() {
+fn answer_says_nothing_of_another_call_under_the_same_token() {
     // A call of unclear end may arrive after the next one was answered.
-    let mut p = Play::new(1);
+    let mut p = Scenario::new(1);
     p.run(500, "");
-    let grant = |p: &mut Play| {
+    let grant = |p: &mut Scenario| {
         until(p, |act| match act {
-            Act::Grant(g) => Some(g.clone()),
+            Action::Grant(g) => Some(g.clone()),
             _ => None,
         })
     };
     let first = grant(&mut p);
-    p.ownership.granted(p.now, &first, Granted::Unclear);
-    let least = p.ownership.hold_end(first.holding.fencing_token);
+    p.ownership.on_grant_result(p.now, &first, GrantResult::Unknown);
+    let least = p.ownership.expires_by(first.lease.fencing_token);
     let second = grant(&mut p);
-    p.ownership.granted(p.now, &second, Granted::Yes);
-    assert!(p.ownership.hold_end(first.holding.fencing_token) >= least);
+    p.ownership.on_grant_result(p.now, &second, GrantResult::Accepted);
+    assert!(p.ownership.expires_by(first.lease.fencing_token) >= least);
     // A second answer to it changes nothing.
     let third = grant(&mut p);
-    let least = p.ownership.hold_end(first.holding.fencing_token);
-    p.ownership.granted(p.now, &second, Granted::Yes);
-    assert_eq!(p.ownership.hold_end(first.holding.fencing_token), least);
-    assert_eq!(p.ownership.unknown_answers(), 1);
-    p.ownership.granted(p.now, &third, Granted::NotSent);
-    assert!(p.ownership.hold_end(first.holding.fencing_token) < least);
+    let least = p.ownership.expires_by(first.lease.fencing_token);
+    p.ownership.on_grant_result(p.now, &second, GrantResult::Accepted);
+    assert_eq!(p.ownership.expires_by(first.lease.fencing_token), least);
+    assert_eq!(p.ownership.unmatched_answers(), 1);
+    p.ownership.on_grant_result(p.now, &third, GrantResult::NotSent);
+    assert!(p.ownership.expires_by(first.lease.fencing_token) < least);
 }
--- a/crates/pebblepond/src/ownership_controller.rs
+++ b/crates/pebblepond/src/ownership_controller.rs
@@ -8,7 +8,7 @@
 use actix::prelude::*;
 use bytes::Bytes;
 use config::constants as c;
-use key_ownership::{Act, GrantCall, Granted, OwnershipManager, ReleaseCall, Released};
+use key_ownership::{Action, GrantCall, GrantResult, OwnershipManager, ReleaseCall, ReleaseResult};
 use protocol::{ChangeKind, KeyLease, KeyLeaseChange};
 use std::rc::Rc;
 use std::time::Duration;
@@ -36,7 +36,7 @@
 impl Handler<KeyLoads> for OwnershipController {
     type Result = ();
     fn handle(&mut self, msg: KeyLoads, _: &mut Self::Context) {
-        self.ownership.take_loads(&msg.keys, &msg.workers);
+        self.ownership.add_loads(&msg.keys, &msg.workers);
     }
 }
 
@@ -89,11 +89,11 @@
         }));
     }
 
-    fn act(&mut self, act: Act, ctx: &mut Context<Self>) {
+    fn act(&mut self, act: Action, ctx: &mut Context<Self>) {
         match act {
-            Act::Log(put) => self.log(put, ctx),
-            Act::Grant(call) => self.grant(call, ctx),
-            Act::Release(call) => self.release(call, ctx),
+            Action::Log(put) => self.log(put, ctx),
+            Action::Grant(call) => self.grant(call, ctx),
+            Action::Release(call) => self.release(call, ctx),
         }
     }
 
@@ -122,7 +122,7 @@
                     // Word of a change that was made in an earlier duty says nothing
                     // of one that this duty waits for.
                     if me.since == duty {
-                        me.ownership.logged();
+                        me.ownership.on_logged();
                         me.round(ctx);
                     }
                 }),
@@ -161,9 +161,9 @@
     }
 
     fn grant(&self, call: GrantCall, ctx: &mut Context<Self>) {
-        let h = &call.holding;
+        let h = &call.lease;
         let mut body = serde_json::json!({
-            "Source": h.from, "TargetVersion": h.to, "fence": h.fencing_token, "Hold": format!("{}ms", call.hold_ms),
+            "Source": h.from, "TargetVersion": h.to, "fence": h.fencing_token, "Hold": format!("{}ms", call.lease_ms),
         });
         if !h.handover.is_empty() {
             body["Handover"] = h.handover.clone().into();
@@ -171,9 +171,9 @@
         let (address, worker) = (call.address.clone(), h.worker.clone());
         let work = self.ask(address, worker, "/grant", body, c::GRANT_TIMEOUT_MS);
         ctx.spawn(work.into_actor(self).map(move |result, me, _| {
-            let (now, h) = (me.context.now(), &call.holding);
+            let (now, h) = (me.context.now(), &call.lease);
             let granted = match result {
-                Ok((status, _, _)) if status.is_success() => Granted::Yes,
+                Ok((status, _, _)) if status.is_success() => GrantResult::Accepted,
                 Ok((status, _, body)) if status == 409 => {
                     log::warn!(
                         "event=grant_outrun worker={} fence={} answer={:?}",
@@ -181,15 +181,15 @@
                         h.fencing_token,
                         body
                     );
-                    Granted::Outrun
+                    GrantResult::Fenced
                 }
-                Ok(_) | Err(Fault::Unclear) => Granted::Unclear,
-                Err(Fault::NotSent) => Granted::NotSent,
+                Ok(_) | Err(Fault::Unclear) => GrantResult::Unknown,
+                Err(Fault::NotSent) => GrantResult::NotSent,
             };
-            let unknown = me.ownership.unknown_answers();
-            me.ownership.granted(now, &call, granted);
+            let unknown = me.ownership.unmatched_answers();
+            me.ownership.on_grant_result(now, &call, granted);
             me.count_unknown(unknown);
-            if granted != Granted::Yes {
+            if granted != GrantResult::Accepted {
                 me.context.counters.add("grants_failed");
             }
         }));
@@ -197,13 +197,13 @@
 
     /// Counts an answer that came to nobody.
     fn count_unknown(&self, before: u64) {
-        if self.ownership.unknown_answers() != before {
+        if self.ownership.unmatched_answers() != before {
             self.context.counters.add("unknown_key_answers");
         }
     }
 
     fn release(&self, call: ReleaseCall, ctx: &mut Context<Self>) {
-        let h = &call.holding;
+        let h = &call.lease;
         let body = serde_json::json!({ "Source": h.from, "TargetVersion": h.to, "fence": h.fencing_token });
         let (address, worker) = (call.address.clone(), h.worker.clone());
         let work = self.ask(address, worker, RELEASE, body, c::RELEASE_TIMEOUT_MS);
@@ -214,20 +214,20 @@
                         .get("Duty-Handover")
                         .and_then(|v| v.to_str().ok())
                         .unwrap_or("");
-                    Released::Yes(token.to_string())
+                    ReleaseResult::Released(token.to_string())
                 }
                 other => {
                     me.context.counters.add("releases_failed");
                     log::info!(
                         "event=release_failed worker={} answer={:?}",
-                        call.holding.worker,
+                        call.lease.worker,
                         other.map(|r| r.0)
                     );
-                    Released::Failed
+                    ReleaseResult::Failed
                 }
             };
-            let unknown = me.ownership.unknown_answers();
-            me.ownership.released(me.context.now(), &call, released);
+            let unknown = me.ownership.unmatched_answers();
+            me.ownership.on_release_result(me.context.now(), &call, released);
             me.count_unknown(unknown);
             me.round(ctx);
         }));
--- a/crates/simulation/examples/capacity.rs
+++ b/crates/simulation/examples/capacity.rs
@@ -14,7 +14,7 @@
 use config::{constants as c, settings::Bounds, Configuration, RouteKind};
 use control_state::{ControlState, KEY_SPACE};
 use gossip::{Config, Member, MembershipProtocol, Message};
-use key_ownership::{Act, Granted, OwnershipManager};
+use key_ownership::{Action, GrantResult, OwnershipManager};
 use placement::{Bench, Caller, Casting, Scene};
 use prost::Message as _;
 use protocol::*;
@@ -396,9 +396,9 @@
                 now += c::KEY_CHECK_INTERVAL_MS;
                 for act in ownership.tick(now, &stage) {
                     match act {
-                        Act::Grant(g) => ownership.granted(now, &g, Granted::Yes),
-                        Act::Log(_) => ownership.logged(),
-                        Act::Release(_) => {}
+                        Action::Grant(g) => ownership.on_grant_result(now, &g, GrantResult::Accepted),
+                        Action::Log(_) => ownership.on_logged(),
+                        Action::Release(_) => {}
                     }
                 }
             }),
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -1,6 +1,6 @@
 //! Stand-in workers that hold keys, as the protocol lays it down.
 
-use key_ownership::{Granted, Released};
+use key_ownership::{GrantResult, ReleaseResult};
 use protocol::{KeyLease, Worker};
 
 #[derive(Clone, Debug)]
@@ -36,13 +36,13 @@
     }
 
     /// Takes a grant that arrives now. Its clock for the hold runs 2% slow.
-    pub fn grant(&mut self, now: u64, h: &KeyLease, hold_ms: u64) -> Granted {
+    pub fn grant(&mut self, now: u64, h: &KeyLease, hold_ms: u64) -> GrantResult {
         if self
             .seen
             .iter()
             .any(|s| s.from <= h.to && s.to >= h.from && s.fence > h.fencing_token)
         {
-            return Granted::Outrun;
+            return GrantResult::Fenced;
         }
         let held = Held {
             from: h.from,
@@ -54,13 +54,13 @@
         self.cut(h.from, h.to);
         self.held.push(held.clone());
         self.seen.push(held);
-        Granted::Yes
+        GrantResult::Accepted
     }
 
-    pub fn release(&mut self, h: &KeyLease) -> Released {
+    pub fn release(&mut self, h: &KeyLease) -> ReleaseResult {
         self.took.push((h.from, h.to, h.fencing_token, 0));
         self.cut(h.from, h.to);
-        Released::Yes(format!("from-{}", self.listed.id))
+        ReleaseResult::Released(format!("from-{}", self.listed.id))
     }
 
     fn cut(&mut self, from: u32, to: u32) {
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -5,7 +5,7 @@
 use crate::workers::StandIn;
 use config::constants as c;
 use control_state::Outcome;
-use key_ownership::{Act, GrantCall, Granted, ReleaseCall, Released};
+use key_ownership::{Action, GrantCall, GrantResult, ReleaseCall, ReleaseResult};
 use protocol::*;
 use raft::{
     next_membership, tolerates_faults, FaultTolerance, LogPosition, PeerObservation, SilenceTimeouts,
@@ -42,7 +42,7 @@
         leader: String,
         life: u64,
         call: GrantCall,
-        end: Granted,
+        end: GrantResult,
     },
     Release {
         leader: String,
@@ -53,7 +53,7 @@
         leader: String,
         life: u64,
         call: ReleaseCall,
-        end: Released,
+        end: ReleaseResult,
     },
 }
 
@@ -342,19 +342,19 @@
                         .find(|w| w.listed.address == call.address);
                     let end = match worker {
                         Some(w) if w.up => {
-                            let end = w.grant(now, &call.holding, call.hold_ms);
+                            let end = w.grant(now, &call.lease, call.lease_ms);
                             if w.mute {
-                                Granted::Unclear
+                                GrantResult::Unknown
                             } else {
                                 end
                             }
                         }
-                        _ => Granted::Unclear,
+                        _ => GrantResult::Unknown,
                     };
                     if late {
                         continue;
                     }
-                    let back = if end == Granted::Unclear {
+                    let back = if end == GrantResult::Unknown {
                         sent + c::GRANT_TIMEOUT_MS
                     } else {
                         now + 20
@@ -376,7 +376,7 @@
                     end,
                 } => {
                     if let Some(l) = self.life_of(&leader, life) {
-                        l.ownership.granted(now, &call, end);
+                        l.ownership.on_grant_result(now, &call, end);
                     }
                 }
                 Flight::Release { leader, life, call } => {
@@ -385,10 +385,10 @@
                         .values_mut()
                         .find(|w| w.listed.address == call.address);
                     let end = match worker {
-                        Some(w) if w.up && !w.mute => w.release(&call.holding),
-                        _ => Released::Failed,
+                        Some(w) if w.up && !w.mute => w.release(&call.lease),
+                        _ => ReleaseResult::Failed,
                     };
-                    let wait = if end == Released::Failed { 1000 } else { 150 };
+                    let wait = if end == ReleaseResult::Failed { 1000 } else { 150 };
                     self.flights.push((
                         now + wait,
                         Flight::Released {
@@ -406,7 +406,7 @@
                     end,
                 } => {
                     if let Some(l) = self.life_of(&leader, life) {
-                        l.ownership.released(now, &call, end);
+                        l.ownership.on_release_result(now, &call, end);
                     }
                 }
             }
@@ -528,15 +528,15 @@
             // A change of keys is logged when it is applied; one at a time.
             let pending = life.raft.last_index() > life.stage.index;
             if !pending {
-                life.ownership.logged();
+                life.ownership.on_logged();
             }
             for act in life.ownership.tick(now, &life.stage) {
                 match act {
-                    Act::Log(put) => {
+                    Action::Log(put) => {
                         life.raft
                             .propose(Change::encode(ChangeKind::KeyLeases(KeyLeaseChange { put })));
                     }
-                    Act::Grant(call) => {
+                    Action::Grant(call) => {
                         let takes = 20 + self.rng.gen_range(0..=self.lag_ms);
                         let late = takes + 20 > c::GRANT_TIMEOUT_MS;
                         if late {
@@ -544,7 +544,7 @@
                                 leader: name.clone(),
                                 life: life.started,
                                 call: call.clone(),
-                                end: Granted::Unclear,
+                                end: GrantResult::Unknown,
                             };
                             flights.push((now + c::GRANT_TIMEOUT_MS, unclear));
                         }
@@ -557,7 +557,7 @@
                         };
                         flights.push((now + takes, grant));
                     }
-                    Act::Release(call) => {
+                    Action::Release(call) => {
                         flights.push((
                             now + 20,
                             Flight::Release {
--- a/crates/simulation/tests/model.rs
+++ b/crates/simulation/tests/model.rs
@@ -5,7 +5,7 @@
 
 use config::constants as c;
 use control_state::ControlState;
-use key_ownership::{Act, GrantCall, Granted, OwnershipManager, ReleaseCall, Released};
+use key_ownership::{Action, GrantCall, GrantResult, OwnershipManager, ReleaseCall, ReleaseResult};
 use protocol::*;
 use simulation::workers::StandIn;
 
@@ -185,13 +185,13 @@
             let (now, stage) = (self.now, self.stage.clone());
             for act in self.leaders[self.leading].tick(now, &stage) {
                 let call = match act {
-                    Act::Log(put) => {
+                    Action::Log(put) => {
                         self.change(ChangeKind::KeyLeases(KeyLeaseChange { put }));
-                        self.leaders[self.leading].logged();
+                        self.leaders[self.leading].on_logged();
                         continue;
                     }
-                    Act::Grant(call) => Call::Grant(call),
-                    Act::Release(call) => Call::Release(call),
+                    Action::Grant(call) => Call::Grant(call),
+                    Action::Release(call) => Call::Release(call),
                 };
                 self.flights.push(Flight {
                     call,
@@ -221,15 +221,15 @@
             let leader = &mut self.leaders[f.leader];
             match &f.call {
                 Call::Grant(g) => {
-                    let end = worker.grant(now, &g.holding, g.hold_ms);
+                    let end = worker.grant(now, &g.lease, g.lease_ms);
                     if waits {
-                        leader.granted(now, g, end);
+                        leader.on_grant_result(now, g, end);
                     }
                 }
                 Call::Release(r) => {
-                    let end = worker.release(&r.holding);
+                    let end = worker.release(&r.lease);
                     if waits {
-                        leader.released(now, r, end);
+                        leader.on_release_result(now, r, end);
                     }
                 }
             }
@@ -249,8 +249,8 @@
             }
             let leader = &mut self.leaders[f.leader];
             match &f.call {
-                Call::Grant(g) => leader.granted(now, g, Granted::Unclear),
-                Call::Release(r) => leader.released(now, r, Released::Failed),
+                Call::Grant(g) => leader.on_grant_result(now, g, GrantResult::Unknown),
+                Call::Release(r) => leader.on_release_result(now, r, ReleaseResult::Failed),
             }
         }
         self.flights
