--- a/crates/balancer/src/seats.rs
+++ b/crates/balancer/src/seats.rs
@@ -6,7 +6,7 @@
 use protocol::{name_hash, Worker};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use rollout::{Side, Trial};
+use rollout::{Cohort, CohortSample};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -168,7 +168,7 @@
     seats: HashMap<String, Seat>,
     by_service: HashMap<String, Vec<String>>,
     /// Which workers of a service this node uses; made when first needed.
-    pools: HashMap<(String, Side), Rc<Pool>>,
+    pools: HashMap<(String, Cohort), Rc<Pool>>,
     /// Requests of the services that are being rolled out.
     ledgers: HashMap<String, Ledger>,
     trials: Trials,
@@ -315,7 +315,7 @@
     }
 
     /// The workers of one side of a service that this node uses.
-    fn pool(&mut self, service: &str, side: Side) -> Option<Rc<Pool>> {
+    fn pool(&mut self, service: &str, side: Cohort) -> Option<Rc<Pool>> {
         let key = (service.to_string(), side);
         if let Some(pool) = self.pools.get(&key) {
             return Some(pool.clone());
@@ -323,7 +323,7 @@
         let known = self.stage.service(service)?;
         let of = self.by_service.get(service)?.iter();
         let all = of.filter_map(|id| self.seats.get(id).map(|s| s.worker.clone()));
-        let workers: Vec<Arc<Worker>> = if side == Side::New {
+        let workers: Vec<Arc<Worker>> = if side == Cohort::New {
             let mut trial: Vec<_> = self.stage.canary_workers(service).into_iter().cloned().collect();
             trial.sort_by(|a, b| a.id.cmp(&b.id));
             trial
@@ -419,13 +419,13 @@
     /// version. While a stage lies within what a bad version may get, this node
     /// sends it no more than that part of what it has had itself: the sum over
     /// all nodes is within it, whatever each of them has seen.
-    fn side_for(&mut self, now: u64, request: &Request) -> Side {
+    fn side_for(&mut self, now: u64, request: &Request) -> Cohort {
         let rollout = self.stage.rollouts.get(request.service);
         let Some(p) = rollout.filter(|p| p.is_active()).cloned() else {
-            return Side::Old;
+            return Cohort::Old;
         };
         if !request.tried.is_empty() {
-            return Side::Old;
+            return Cohort::Old;
         }
         let lost = self.contact.is_some_and(|at| now > at + rollout::FALLBACK_MS);
         let share = if lost { 0.0 } else { p.share() };
@@ -433,11 +433,11 @@
         let most = self.bounds.exposure_share;
         let bound = (share <= most).then_some(most);
         let ledger = self.ledgers.entry(request.service.to_string()).or_default();
-        ledger.begin(p.ordered);
+        ledger.begin(p.created_index);
         if request.key.is_none() && drawn && ledger.may_try_new(bound) {
-            Side::New
+            Cohort::New
         } else {
-            Side::Old
+            Cohort::Old
         }
     }
 
@@ -445,18 +445,18 @@
     fn ticket(&mut self, now: u64, request: &Request, id: &str) -> Option<Ticket> {
         let p = self.stage.rollouts.get(request.service)?;
         let seat = self.seats.get(id)?;
-        let side = p.side(&seat.worker.version);
+        let side = p.cohort(&seat.worker.version);
         if !p.is_active() {
             return None;
         }
         if let Some(ledger) = self.ledgers.get_mut(request.service) {
-            ledger.sent(request.tried.is_empty(), side == Side::New);
+            ledger.sent(request.tried.is_empty(), side == Cohort::New);
         }
         (!seat.is_cold(now)).then(|| Ticket {
             service: name_hash(request.service),
             route: name_hash(&request.route.name),
-            new: side == Side::New,
-            ordered: p.ordered,
+            new: side == Cohort::New,
+            ordered: p.created_index,
         })
     }
 
@@ -513,16 +513,16 @@
             && seat.inflight < each
     }
 
-    fn candidate(&mut self, now: u64, request: &Request, side: Side) -> Option<String> {
-        if side == Side::New {
-            if let Some(id) = self.best_of(now, request, Side::New) {
+    fn candidate(&mut self, now: u64, request: &Request, side: Cohort) -> Option<String> {
+        if side == Cohort::New {
+            if let Some(id) = self.best_of(now, request, Cohort::New) {
                 return Some(id);
             }
         }
-        self.best_of(now, request, Side::Old)
+        self.best_of(now, request, Cohort::Old)
     }
 
-    fn best_of(&mut self, now: u64, request: &Request, side: Side) -> Option<String> {
+    fn best_of(&mut self, now: u64, request: &Request, side: Cohort) -> Option<String> {
         let pool = self.pool(request.service, side)?;
         if let Some(key) = request.key {
             let holding = self.stage.key_lease(request.service, key)?;
@@ -530,7 +530,7 @@
                 return None;
             }
             let seat = self.seats.get(&holding.worker)?;
-            if self.stage.cohort(&seat.worker) == Side::Neither {
+            if self.stage.cohort(&seat.worker) == Cohort::Excluded {
                 return None;
             }
             let each = pool.members.first().map_or(1, |(_, each)| *each);
@@ -628,13 +628,13 @@
     }
 
     /// What was counted of services that are being rolled out, since the last call.
-    pub fn take_trials(&mut self) -> Vec<Trial> {
+    pub fn take_trials(&mut self) -> Vec<CohortSample> {
         self.trials.take()
     }
 
     /// Takes note of how a try ended that counts for a rollout.
     pub fn observe_trial(&mut self, ticket: &Ticket, observed: Observed) {
-        let going = |p: &Arc<rollout::Preview>| p.is_active() && p.ordered == ticket.ordered;
+        let going = |p: &Arc<rollout::Rollout>| p.is_active() && p.created_index == ticket.ordered;
         if self.stage.rollouts.values().any(going) {
             self.trials.note(ticket, observed);
         }
--- a/crates/balancer/src/trial.rs
+++ b/crates/balancer/src/trial.rs
@@ -1,7 +1,7 @@
 //! What this node counts of services that are being rolled out.
 
 use crate::seats::Observed;
-use rollout::{bucket_of, Trial};
+use rollout::{bucket_of, CohortSample};
 use std::collections::BTreeMap;
 
 /// What a try counts for.
@@ -49,7 +49,7 @@
 /// Outcomes since the last report.
 #[derive(Debug, Default)]
 pub struct Trials {
-    rows: BTreeMap<Ticket, (Trial, BTreeMap<u32, u32>)>,
+    rows: BTreeMap<Ticket, (CohortSample, BTreeMap<u32, u32>)>,
 }
 
 impl Trials {
@@ -68,17 +68,17 @@
         }
     }
 
-    pub fn take(&mut self) -> Vec<Trial> {
+    pub fn take(&mut self) -> Vec<CohortSample> {
         let rows = std::mem::take(&mut self.rows);
         rows.into_iter()
             .filter(|(_, (t, _))| t.served + t.bad + t.lost > 0)
             .map(|(ticket, (trial, buckets))| {
                 let (buckets, counts) = buckets.into_iter().unzip();
-                Trial {
+                CohortSample {
                     service: ticket.service,
                     route: ticket.route,
                     new: ticket.new,
-                    ordered: ticket.ordered,
+                    created_index: ticket.ordered,
                     buckets,
                     counts,
                     ..trial
--- a/crates/control-state/src/state.rs
+++ b/crates/control-state/src/state.rs
@@ -3,7 +3,7 @@
 use crate::command_history::CommandHistory;
 use config::{constants as c, Configuration, Service};
 use protocol::{KeyLease, KillSwitch, SiteFraction, Worker};
-use rollout::{Side, Table};
+use rollout::{Cohort, Table};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -93,9 +93,9 @@
     }
 
     /// Which part of the split of its service a worker belongs to.
-    pub fn cohort(&self, worker: &Worker) -> Side {
+    pub fn cohort(&self, worker: &Worker) -> Cohort {
         let rollout = self.rollouts.get(&worker.service);
-        rollout.map_or(Side::Old, |r| r.side(&worker.version))
+        rollout.map_or(Cohort::Old, |r| r.cohort(&worker.version))
     }
 
     /// Whether a worker may be given keys, or keep them, as far as versions go.
@@ -103,10 +103,10 @@
         let Some(rollout) = self.rollouts.get(&worker.service) else {
             return true;
         };
-        match rollout.side(&worker.version) {
-            Side::Neither => false,
-            Side::Old => !rollout.is_active() || rollout.share() < 1.0,
-            Side::New => {
+        match rollout.cohort(&worker.version) {
+            Cohort::Excluded => false,
+            Cohort::Old => !rollout.is_active() || rollout.share() < 1.0,
+            Cohort::New => {
                 let canaries = self.canary_workers(&worker.service);
                 rollout.share() > 0.0 && canaries.iter().any(|w| w.id == worker.id)
             }
@@ -123,7 +123,7 @@
         let of_service = self.workers.values().filter(|w| w.service == service);
         let (new, old): (Vec<_>, Vec<_>) = of_service
             .filter(is_able)
-            .partition(|w| rollout.side(&w.version) == Side::New);
+            .partition(|w| rollout.cohort(&w.version) == Cohort::New);
         let mut in_zone: BTreeMap<(bool, &str), usize> = BTreeMap::new();
         let mut ranked: Vec<_> = new
             .into_iter()
@@ -139,7 +139,9 @@
         let used = if share >= 1.0 {
             ranked.len()
         } else {
-            (old.len() as f64 * share * rollout::USE_PART).ceil().max(1.0) as usize
+            (old.len() as f64 * share * rollout::USED_WORKERS_PART)
+                .ceil()
+                .max(1.0) as usize
         };
         ranked.into_iter().take(used).map(|(_, worker)| worker).collect()
     }
--- a/crates/key-ownership/tests/ownership.rs
+++ b/crates/key-ownership/tests/ownership.rs
@@ -365,7 +365,7 @@
 
 #[test]
 fn keys_follow_the_stages_of_a_rollout_and_come_back() {
-    use rollout::{Action, Create, PreviewChange};
+    use rollout::{Action, Create, RolloutChange};
     let mut p = Scenario::new(8);
     let old = (0..8).map(|i| Worker {
         version: "v1".into(),
@@ -386,13 +386,13 @@
             target: "v2".into(),
             duration_ms: 60_000,
         });
-        p.change(ChangeKind::Rollout(PreviewChange {
+        p.change(ChangeKind::Rollout(RolloutChange {
             service: "s".into(),
             action: action as i32,
             expected,
             create,
-            showings: rollout::showings(60_000, 0.1),
-            before: vec!["v1".into()],
+            stages: rollout::stages(60_000, 0.1),
+            previous_versions: vec!["v1".into()],
             ..Default::default()
         }));
     };
--- a/crates/pebblepond/src/admin_http/rollouts.rs
+++ b/crates/pebblepond/src/admin_http/rollouts.rs
@@ -5,7 +5,7 @@
 use actix_web::{web, HttpRequest, HttpResponse};
 use config::DurationText;
 use protocol::{BeginRollout, Command, KillSwitch};
-use rollout::{Action, Create, PreviewChange};
+use rollout::{Action, Create, RolloutChange};
 use serde::Deserialize;
 use validator::Validate;
 
@@ -114,7 +114,7 @@
             Err(e) => return fault(StatusCode::BAD_REQUEST, &format!("the body cannot be read: {e}")),
         }
     };
-    let change = PreviewChange {
+    let change = RolloutChange {
         service,
         action: action as i32,
         expected: steer.expected,
--- a/crates/pebblepond/src/control/error.rs
+++ b/crates/pebblepond/src/control/error.rs
@@ -82,11 +82,11 @@
 impl From<Refusal> for CommandError {
     fn from(refusal: Refusal) -> CommandError {
         match refusal {
-            Refusal::Held { service, target } => CommandError::RolloutActive { service, target },
+            Refusal::Active { service, target } => CommandError::RolloutActive { service, target },
             Refusal::Conflict(version) => CommandError::RolloutChanged(version),
-            Refusal::NotFrom(state) => CommandError::RolloutState(state),
+            Refusal::WrongState(state) => CommandError::RolloutState(state),
             Refusal::Unknown => CommandError::NoRollout,
-            Refusal::Unreadable => CommandError::Undecodable,
+            Refusal::Malformed => CommandError::Undecodable,
         }
     }
 }
--- a/crates/pebblepond/src/control/rollout_commands.rs
+++ b/crates/pebblepond/src/control/rollout_commands.rs
@@ -8,7 +8,7 @@
 use config::constants as c;
 use control_state::ControlState;
 use protocol::{BeginRollout, ChangeKind, CommandTag, Worker};
-use rollout::{Action, Create, Preview, PreviewChange, Side};
+use rollout::{Action, Cohort, Create, Rollout, RolloutChange};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 
@@ -85,23 +85,23 @@
     } = view(driver).await?;
     let create = command.create.unwrap_or_default();
     let is_same =
-        |r: &Preview| r.is_active() && r.target == create.target && r.duration_ms == create.duration_ms;
+        |r: &Rollout| r.is_active() && r.target == create.target && r.duration_ms == create.duration_ms;
     let is_running = state.rollouts.get(&command.service).is_some_and(|r| is_same(r));
     // Sent again it is known by the log, whatever has come of it since.
     if !is_repeated(driver, &tag).await && !is_running {
         check_begin(&state, &command.service, &create)?;
     }
     let current = workers(&state, &command.service)
-        .filter(|w| state.cohort(w) == Side::Old && w.version != create.target);
+        .filter(|w| state.cohort(w) == Cohort::Old && w.version != create.target);
     let before: BTreeSet<String> = current.map(|w| w.version.clone()).collect();
-    let change = PreviewChange {
+    let change = RolloutChange {
         service: command.service,
         action: Action::Create as i32,
         who: command.who,
         why: command.why,
-        showings: rollout::showings(create.duration_ms, exposure_share),
+        stages: rollout::stages(create.duration_ms, exposure_share),
         create: Some(create),
-        before: before.into_iter().collect(),
+        previous_versions: before.into_iter().collect(),
         ..Default::default()
     };
     settle(driver, ChangeKind::Rollout(change), tag).await
@@ -110,7 +110,7 @@
 /// Promotes, pauses, resumes, rolls back or cancels.
 pub(super) async fn change(
     driver: &Addr<RaftDriver>,
-    mut change: PreviewChange,
+    mut change: RolloutChange,
     tag: Option<CommandTag>,
 ) -> CommandResult {
     let RolloutView {
@@ -144,7 +144,7 @@
 pub(super) async fn read_one(driver: &Addr<RaftDriver>, service: &str) -> CommandResult {
     let state = view(driver).await?.state;
     let rollout = state.rollouts.get(service).ok_or(CommandError::NoRollout)?;
-    let body = json!({"State": rollout.state_now().on_the_wire(), "TargetVersion": rollout.target});
+    let body = json!({"State": rollout.state_now().protocol_name(), "TargetVersion": rollout.target});
     Ok(response(200, body.to_string()))
 }
 
@@ -167,7 +167,7 @@
     Ok(response(200, body.to_string()))
 }
 
-fn report(rollout: &Preview) -> Value {
+fn report(rollout: &Rollout) -> Value {
     let records = rollout.records.iter().map(|r| {
         json!({
             "version": r.version, "action": Action::try_from(r.action).map_or("none", Action::name),
@@ -175,15 +175,15 @@
         })
     });
     let stages = rollout
-        .showings
+        .stages
         .iter()
         .map(|s| json!({"share": s.share, "observe_ms": s.observe_ms, "auto_promote": s.auto_promote}));
     let (records, stages): (Vec<Value>, Vec<Value>) = (records.collect(), stages.collect());
     json!({
-        "State": rollout.state_now().on_the_wire(), "TargetVersion": rollout.target,
-        "Service": rollout.service, "Phase": rollout.state_now().name(), "Stage": rollout.at,
+        "State": rollout.state_now().protocol_name(), "TargetVersion": rollout.target,
+        "Service": rollout.service, "Phase": rollout.state_now().name(), "Stage": rollout.stage_index,
         "Share": rollout.share(), "Version": rollout.version,
-        "Duration": format!("{}ms", rollout.duration_ms), "Before": rollout.before,
+        "Duration": format!("{}ms", rollout.duration_ms), "Before": rollout.previous_versions,
         "Stages": stages, "Records": records,
     })
 }
--- a/crates/pebblepond/src/reports.rs
+++ b/crates/pebblepond/src/reports.rs
@@ -5,7 +5,7 @@
 use crate::peer_transport::PayloadKind;
 use actix::prelude::*;
 use protocol::{KeyCounts, Payload, PeerMessage, Report, WorkerStats};
-use rollout::Trial;
+use rollout::CohortSample;
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -39,7 +39,7 @@
 #[rtype(result = "()")]
 pub struct RolloutOutcomes {
     /// Outcomes by route and version.
-    pub samples: Vec<Trial>,
+    pub samples: Vec<CohortSample>,
     /// What it observed of workers.
     pub workers: Vec<WorkerStats>,
 }
--- a/crates/pebblepond/src/rollout_controller.rs
+++ b/crates/pebblepond/src/rollout_controller.rs
@@ -7,7 +7,7 @@
 use config::constants as c;
 use control_state::ControlState;
 use protocol::{name_hash, ChangeKind, WorkerStats};
-use rollout::{Action, Critic, Facts, Level, Levels, Preview, Side, Verdict};
+use rollout::{Action, Cohort, Conditions, EmergencyLevel, EmergencyTracker, Rollout, Verdict, Watchdog};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,9 +20,9 @@
     }
     let controller = RolloutController {
         context: context.clone(),
-        critic: Critic::default(),
-        levels: Levels::default(),
-        level: Level::Calm,
+        watchdog: Watchdog::default(),
+        emergency: EmergencyTracker::default(),
+        emergency_level: EmergencyLevel::Calm,
         reported_at: 0,
         busy: false,
     };
@@ -48,9 +48,9 @@
 
 pub struct RolloutController {
     context: Rc<NodeContext>,
-    critic: Critic,
-    levels: Levels,
-    level: Level,
+    watchdog: Watchdog,
+    emergency: EmergencyTracker,
+    emergency_level: EmergencyLevel,
     reported_at: u64,
     busy: bool,
 }
@@ -58,20 +58,21 @@
 impl Actor for RolloutController {
     type Context = Context<Self>;
     fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.run_interval(Duration::from_millis(c::ROLLOUT_CHECK_INTERVAL_MS), |me, ctx| {
-            me.round(ctx)
-        });
+        ctx.run_interval(
+            Duration::from_millis(c::ROLLOUT_CHECK_INTERVAL_MS),
+            |controller, ctx| controller.round(ctx),
+        );
     }
 }
 
 impl RolloutController {
     fn round(&mut self, ctx: &mut Context<Self>) {
         let state = self.context.state.get();
-        self.critic.follow(self.context.now(), &state.rollouts);
+        self.watchdog.follow(self.context.now(), &state.rollouts);
         if !self.context.status.get().is_leader || self.busy {
             return;
         }
-        self.level = self.levels.look();
+        self.emergency_level = self.emergency.check();
         if state.rollouts.values().all(|p| !p.is_active()) {
             return;
         }
@@ -81,7 +82,7 @@
         self.busy = true;
         let active = state.rollouts.values().filter(|p| p.is_active());
         let versions: Vec<u64> = active.map(|p| p.version).collect();
-        let facts = async move {
+        let conditions = async move {
             let lease = driver.send(LeaderLease).await;
             let mut behind = Vec::new();
             for version in versions {
@@ -91,10 +92,10 @@
             }
             matches!(lease, Ok(Some(_))).then_some(behind)
         };
-        ctx.spawn(facts.into_actor(self).map(|behind, me, ctx| {
-            me.busy = false;
+        ctx.spawn(conditions.into_actor(self).map(|behind, controller, ctx| {
+            controller.busy = false;
             if let Some(behind) = behind {
-                me.decide(&behind, ctx);
+                controller.decide(&behind, ctx);
             }
         }));
     }
@@ -106,8 +107,8 @@
             return;
         };
         for p in state.rollouts.values().filter(|p| p.is_active()) {
-            let facts = self.facts(&state, p, behind.contains(&p.version));
-            let Some(change) = self.critic.decide(now, p, &facts) else {
+            let conditions = self.conditions(&state, p, behind.contains(&p.version));
+            let Some(change) = self.watchdog.decide(now, p, &conditions) else {
                 continue;
             };
             log::info!(
@@ -115,7 +116,7 @@
                 p.service,
                 p.target,
                 p.state_now().name(),
-                p.at,
+                p.stage_index,
                 Action::try_from(change.action).map_or("none", |a| a.name()),
                 change.elapsed_ms,
                 change.why
@@ -126,11 +127,11 @@
         }
     }
 
-    fn facts(&self, state: &ControlState, p: &Preview, behind: bool) -> Facts {
-        let mut facts = Facts {
-            behind,
+    fn conditions(&self, state: &ControlState, p: &Rollout, behind: bool) -> Conditions {
+        let mut conditions = Conditions {
+            is_behind: behind,
             reported_at: self.reported_at,
-            level: self.level,
+            level: self.emergency_level,
             kill_switch: state.kill_switch.as_ref().is_some_and(|k| k.on),
             ..Default::default()
         };
@@ -138,33 +139,33 @@
             if w.service != p.service || w.draining || state.evacuated.contains_key(&w.zone) {
                 continue;
             }
-            match p.side(&w.version) {
-                Side::New if w.warmup_ms == 0 && !state.is_warmup_unknown(w) => facts.ready += 1,
-                Side::Old => facts.old += 1,
+            match p.cohort(&w.version) {
+                Cohort::New if w.warmup_ms == 0 && !state.is_warmup_unknown(w) => conditions.ready += 1,
+                Cohort::Old => conditions.old += 1,
                 _ => {}
             }
         }
         let old = |worker: &str| {
             let row = state.workers.get(worker);
-            row.is_some_and(|w| p.side(&w.version) == Side::Old)
+            row.is_some_and(|w| p.cohort(&w.version) == Cohort::Old)
         };
         let table = state.key_leases.get(&p.service);
         let mut held = table.into_iter().flat_map(|t| t.values());
-        facts.keys_left = held.any(|h| old(&h.worker));
-        facts
+        conditions.keys_remain = held.any(|lease| old(&lease.worker));
+        conditions
     }
 
     /// What is counted of new versions is no sign of the system's state.
-    fn take_capacity(&mut self, capacity: &[WorkerStats]) {
+    fn add_worker_stats(&mut self, workers: &[WorkerStats]) {
         let state = self.context.state.get();
-        let on_trial: BTreeSet<u32> = if state.rollouts.values().any(|p| p.is_active()) {
-            let new = state.workers.values().filter(|w| state.cohort(w) == Side::New);
+        let canaries: BTreeSet<u32> = if state.rollouts.values().any(|p| p.is_active()) {
+            let new = state.workers.values().filter(|w| state.cohort(w) == Cohort::New);
             new.map(|w| name_hash(&w.id)).collect()
         } else {
             BTreeSet::new()
         };
-        for w in capacity.iter().filter(|w| !on_trial.contains(&w.worker)) {
-            self.levels.take(w.served, w.failed);
+        for w in workers.iter().filter(|w| !canaries.contains(&w.worker)) {
+            self.emergency.add(w.served, w.failed);
         }
     }
 }
@@ -174,9 +175,9 @@
     fn handle(&mut self, msg: RolloutOutcomes, _: &mut Self::Context) {
         let now = self.context.now();
         self.reported_at = now;
-        self.critic.follow(now, &self.context.state.get().rollouts);
-        self.critic.take(&msg.samples, name_hash);
-        self.take_capacity(&msg.workers);
+        self.watchdog.follow(now, &self.context.state.get().rollouts);
+        self.watchdog.add(&msg.samples, name_hash);
+        self.add_worker_stats(&msg.workers);
     }
 }
 
@@ -185,27 +186,27 @@
     fn handle(&mut self, msg: CheckGate, _: &mut Self::Context) -> Self::Result {
         let now = self.context.now();
         let state = self.context.state.get();
-        self.critic.follow(now, &state.rollouts);
+        self.watchdog.follow(now, &state.rollouts);
         let p = state.rollouts.get(&msg.service).ok_or("no such rollout")?;
-        let elapsed = self.critic.elapsed(now, p);
+        let elapsed = self.watchdog.elapsed(now, p);
         if msg.bypass {
             return Ok(elapsed);
         }
-        let facts = self.facts(&state, p, false);
+        let conditions = self.conditions(&state, p, false);
         match msg.action {
             Action::Promote => {
-                Critic::gate(now, &facts)?;
-                match self.critic.verdict(p) {
+                Watchdog::check_gate(now, &conditions)?;
+                match self.watchdog.verdict(p) {
                     Some(Verdict::Good) => {}
                     Some(Verdict::Unproven(why)) => return Err(format!("not proven: {why}")),
                     Some(Verdict::Bad(why)) => return Err(format!("the version is bad: {why}")),
                     None => return Err("there are no figures".into()),
                 }
-                if p.is_last() && facts.keys_left {
+                if p.is_last() && conditions.keys_remain {
                     return Err("keys are still held by workers of the old version".into());
                 }
             }
-            Action::Resume => Critic::calm_enough(&facts)?,
+            Action::Resume => Watchdog::check_emergency(&conditions)?,
             _ => {}
         }
         Ok(elapsed)
@@ -221,24 +222,24 @@
             .rollouts
             .values()
             .filter_map(|p| {
-                let tally = self.critic.tally(&p.service)?;
-                let (old, new) = tally.whole();
-                let verdict = match self.critic.verdict(p)? {
+                let metrics = self.watchdog.metrics(&p.service)?;
+                let totals = metrics.totals();
+                let verdict = match self.watchdog.verdict(p)? {
                     Verdict::Good => "good".to_string(),
                     Verdict::Unproven(why) => format!("not proven: {why}"),
                     Verdict::Bad(why) => format!("bad: {why}"),
                 };
-                let side = |s: &rollout::Sums| {
+                let cohort = |s: &rollout::OutcomeSums| {
                     serde_json::json!({"answered": s.answered(), "errors": s.bad, "lost": s.lost,
                         "mean_ms": if s.served > 0.0 { s.ms / s.served } else { 0.0 }})
                 };
                 let row = serde_json::json!({
-                    "verdict": verdict, "elapsed_ms": self.critic.elapsed(now, p),
-                    "old": side(&old), "new": side(&new),
+                    "verdict": verdict, "elapsed_ms": self.watchdog.elapsed(now, p),
+                    "old": cohort(&totals.old), "new": cohort(&totals.new),
                 });
                 Some((p.service.clone(), row))
             })
             .collect();
-        MessageResult(serde_json::json!({"level": self.level as u8, "rollouts": rows}))
+        MessageResult(serde_json::json!({"level": self.emergency_level as u8, "rollouts": rows}))
     }
 }
--- a/crates/placement/src/bench.rs
+++ b/crates/placement/src/bench.rs
@@ -5,7 +5,7 @@
 use config::constants as c;
 use control_state::ControlState;
 use protocol::{name_hash, Worker, WorkerStats};
-use rollout::Side;
+use rollout::Cohort;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Outcomes that fade.
@@ -84,7 +84,7 @@
         let mut on: BTreeSet<String> = BTreeSet::new();
         let mut services: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
         // A version on trial is judged as a whole.
-        let able = |w: &&Worker| !w.draining && stage.cohort(w) == Side::Old;
+        let able = |w: &&Worker| !w.draining && stage.cohort(w) == Cohort::Old;
         for w in stage.workers.values().map(|w| &**w).filter(able) {
             services.entry(&w.service).or_default().push(&w.id);
         }
--- a/crates/protocol/src/change.rs
+++ b/crates/protocol/src/change.rs
@@ -3,7 +3,7 @@
 use crate::command::{CommandTag, ConfigurationCommand, KillSwitch};
 use crate::image::ConfigurationKey;
 use prost::{Message, Oneof};
-use rollout::PreviewChange;
+use rollout::RolloutChange;
 
 /// One change to the control state.
 #[derive(Clone, PartialEq, Message)]
@@ -59,7 +59,7 @@
     Ejections(EjectionChange),
     /// A rollout.
     #[prost(message, tag = "8")]
-    Rollout(PreviewChange),
+    Rollout(RolloutChange),
     /// The kill switch of rollouts.
     #[prost(message, tag = "9")]
     KillSwitch(KillSwitch),
--- a/crates/protocol/src/command.rs
+++ b/crates/protocol/src/command.rs
@@ -2,7 +2,7 @@
 
 use crate::change::EvacuationChange;
 use prost::{Message, Oneof};
-use rollout::{Create, PreviewChange};
+use rollout::{Create, RolloutChange};
 
 /// A command, passed on to the leader.
 #[derive(Clone, PartialEq, Message)]
@@ -47,7 +47,7 @@
     ReadRollout(String),
     /// Promote, pause, resume, roll back or cancel a rollout.
     #[prost(message, tag = "9")]
-    ChangeRollout(PreviewChange),
+    ChangeRollout(RolloutChange),
     /// Set the kill switch of rollouts.
     #[prost(message, tag = "10")]
     KillSwitch(KillSwitch),
--- a/crates/protocol/src/image.rs
+++ b/crates/protocol/src/image.rs
@@ -3,7 +3,7 @@
 use crate::change::{KeyLease, SiteFraction, WarmupGroup, Worker};
 use crate::command::{CommandTag, KillSwitch};
 use prost::Message;
-use rollout::Preview;
+use rollout::Rollout;
 
 /// The whole control state.
 #[derive(Clone, PartialEq, Message)]
@@ -53,7 +53,7 @@
     pub warmup_groups: Vec<WarmupGroup>,
     /// The newest rollout of each service.
     #[prost(message, repeated, tag = "15")]
-    pub rollouts: Vec<Preview>,
+    pub rollouts: Vec<Rollout>,
     /// What was last said of the kill switch.
     #[prost(message, optional, tag = "16")]
     pub kill_switch: Option<KillSwitch>,
--- a/crates/protocol/src/report.rs
+++ b/crates/protocol/src/report.rs
@@ -1,7 +1,7 @@
 //! What a node tells the leader twice a second: rates, capacities and distances.
 
 use prost::Message;
-use rollout::Trial;
+use rollout::CohortSample;
 use std::collections::BTreeMap;
 
 /// A name in four bytes (FNV-1a), for reports: they go between regions twice a second, and
@@ -40,7 +40,7 @@
     pub keys: Vec<KeyCounts>,
     /// Outcomes of services that are being rolled out.
     #[prost(message, repeated, tag = "9")]
-    pub rollout_samples: Vec<Trial>,
+    pub rollout_samples: Vec<CohortSample>,
 }
 
 /// Requests for a service.
@@ -114,7 +114,7 @@
         }
         for sample in other.rollout_samples {
             match self.rollout_samples.iter_mut().find(|s| s.is_same(&sample)) {
-                Some(known) => known.absorb(&sample),
+                Some(known) => known.merge(&sample),
                 None => self.rollout_samples.push(sample),
             }
         }
--- a/crates/rollout/src/limits.rs
+++ b/crates/rollout/src/constants.rs
@@ -2,14 +2,14 @@
 //! 5 minutes, 100 requests, 5%, 1 point, +50 ms and +20% are starting values;
 //! here a whole rollout lasts some seconds, and its bounds are the rules'.
 
-use crate::rollout::{Review, Showing};
+use crate::rollout::{AnalysisCriteria, RolloutStage};
 
 /// Share of the traffic in the first stage as a part of what the rule allows a
 /// bad version: the draw of each request is luck.
-pub const SHARE_OF_EXPOSURE: f64 = 0.8;
+pub const EXPOSURE_PART: f64 = 0.8;
 /// Least and most share of the first stage: a part of the whole that gives
 /// evidence within seconds, and is borne if it fails.
-pub const FIRST_SHARE: (f64, f64) = (0.005, 0.08);
+pub const FIRST_SHARE_RANGE: (f64, f64) = (0.005, 0.08);
 /// Share of the second stage: a step between the first and all.
 pub const SECOND_SHARE: f64 = 0.3;
 /// Observation of the three stages as parts of the rollout's duration: what turns
@@ -23,9 +23,9 @@
 pub const OBSERVE_MAX_MS: u64 = 300_000;
 /// Workers that a share is put on, as a part of what the old version would use:
 /// they are loaded as by the whole, so that what is bad under load shows.
-pub const USE_PART: f64 = 0.9;
+pub const USED_WORKERS_PART: f64 = 0.9;
 /// Audit records kept of a service, records.
-pub const RECORDS_KEPT: usize = 24;
+pub const AUDIT_RECORDS: usize = 24;
 /// A node that has not heard the core for this long restores the snapshot by
 /// itself, ms: longer than a change of leader takes.
 pub const FALLBACK_MS: u64 = 1500;
@@ -45,7 +45,7 @@
 pub const BAD_MIN: f64 = 6.0;
 pub const BAD_OUTCOMES_MIN: f64 = 12.0;
 /// Standard deviations of luck above that.
-pub const LUCK: f64 = 2.0;
+pub const DEVIATIONS: f64 = 2.0;
 /// Part of tries without any answer, above the old version's, that is bad: cuts
 /// and lost machines strike both versions, but not evenly.
 pub const LOST_ABOVE: f64 = 0.25;
@@ -63,7 +63,7 @@
 pub const SLOW_ANSWERS: f64 = 25.0;
 pub const P95_ANSWERS: f64 = 60.0;
 /// What is kept of the recent outcomes from one look to the next.
-pub const RECENT_KEEP: f64 = 0.85;
+pub const RECENT_RETENTION: f64 = 0.85;
 
 /// Part of the old version's workers that the new one must have warm before it
 /// gets a share, as a multiple of that share, and the most that is asked.
@@ -71,40 +71,40 @@
 /// Nodes that have not applied a stage are waited for this long, ms.
 pub const APPLIED_WAIT_MS: u64 = 1500;
 /// A stage is tried again by the watchdog after this pause, ms.
-pub const ACT_AGAIN_MS: u64 = 400;
+pub const ACTION_PAUSE_MS: u64 = 400;
 /// Quiet on the old workers before the rollout is completed, ms: their outcomes
 /// come with the reports, through one relay.
-pub const QUIET_MS: u64 = 1300;
+pub const OLD_QUIET_MS: u64 = 1300;
 /// Before the term, the rest that is enough to complete all the same, ms: the
 /// operator counts from before the order was taken, and reads now and then.
-pub const TERM_REST_MS: u64 = 1500;
+pub const COMPLETION_MARGIN_MS: u64 = 1500;
 /// Figures older than this cannot be read, ms: the gate is closed.
-pub const BLIND_MS: u64 = 2000;
+pub const MAX_REPORT_AGE_MS: u64 = 2000;
 /// Part of all tries that fail at which emergency levels 1, 2 and 3 begin.
-pub const LEVELS: [f64; 3] = [0.05, 0.3, 0.6];
+pub const EMERGENCY_LEVELS: [f64; 3] = [0.05, 0.3, 0.6];
 /// Tries before a level is derived.
-pub const LEVEL_TRIES: f64 = 100.0;
+pub const EMERGENCY_MIN_ATTEMPTS: f64 = 100.0;
 /// Looks in a row before level 2 or 3 is taken for real: one report may hold
 /// the end of a machine.
-pub const LEVEL_LOOKS: u32 = 3;
+pub const EMERGENCY_CHECKS: u32 = 3;
 
 /// The stages of a rollout that lasts so long, when a bad version may get at
 /// most `exposure` of the requests.
-pub fn showings(duration_ms: u64, exposure: f64) -> Vec<Showing> {
+pub fn stages(duration_ms: u64, exposure: f64) -> Vec<RolloutStage> {
     let exposure = if exposure > 0.0 { exposure } else { 0.1 };
-    let (least, most) = FIRST_SHARE;
-    let first = (exposure * SHARE_OF_EXPOSURE).clamp(least, most);
+    let (least, most) = FIRST_SHARE_RANGE;
+    let first = (exposure * EXPOSURE_PART).clamp(least, most);
     let shares = [first, SECOND_SHARE.max(first), 1.0];
-    let stage = |i: usize| Showing {
+    let stage = |i: usize| RolloutStage {
         share: shares[i],
         observe_ms: ((duration_ms as f64 * OBSERVE_PARTS[i]) as u64).clamp(OBSERVE_MIN_MS[i], OBSERVE_MAX_MS),
         auto_promote: true,
-        review: Some(Review {
-            errors_most: ERRORS_MOST,
-            errors_above: ERRORS_ABOVE,
-            slow_mean: SLOW_MEAN,
-            slow_p95: SLOW_P95,
-            requests: REQUESTS_MIN,
+        criteria: Some(AnalysisCriteria {
+            max_errors: ERRORS_MOST,
+            max_errors_above: ERRORS_ABOVE,
+            max_mean_ratio: SLOW_MEAN,
+            max_p95_ratio: SLOW_P95,
+            min_requests: REQUESTS_MIN,
         }),
     };
     (0..3).map(stage).collect()
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,19 +1,22 @@
-//! Rollouts: a service's traffic moves to the workers of a new version in
-//! stages, is watched, and goes back to the split that was in force before if
-//! the version is bad or the rollout stalls.
+//! Rollouts: a service's traffic moves to the workers of a new version in stages, is watched,
+//! and goes back to the split that was in force before if the version is bad or the rollout
+//! stalls.
 //!
-//! Pure state machines. What a rollout is at ([`Preview`]) changes only by
-//! [`PreviewChange`]s that the log orders; the leader's watchdog ([`Critic`])
-//! proposes them from what nodes have counted ([`Tally`]).
+//! Pure state machines. Where a [`Rollout`] stands changes only by [`RolloutChange`]s that the
+//! log orders; the leader's [`Watchdog`] proposes them from what nodes have counted
+//! ([`CohortMetrics`]).
 
-mod critic;
-mod limits;
+mod constants;
+mod emergency;
+mod metrics;
 mod rollout;
-mod tally;
+mod watchdog;
 
-pub use critic::{Critic, Facts, Level, Levels};
-pub use limits::{showings, FALLBACK_MS, USE_PART};
+pub use constants::{stages, FALLBACK_MS, USED_WORKERS_PART};
+pub use emergency::{EmergencyLevel, EmergencyTracker};
+pub use metrics::{bucket_of, CohortMetrics, CohortSample, CohortTotals, OutcomeSums, Verdict};
 pub use rollout::{
-    apply, Action, Audit, Create, Preview, PreviewChange, Refusal, Review, Showing, Side, State, Table,
+    apply, Action, AnalysisCriteria, Audit, Cohort, Create, Refusal, Rollout, RolloutChange, RolloutStage,
+    State, Table,
 };
-pub use tally::{bucket_of, Sums, Tally, Trial, Verdict};
+pub use watchdog::{Conditions, Watchdog};
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -1,27 +1,37 @@
 //! The rollout object and its states.
 
-use crate::limits::RECORDS_KEPT;
+use crate::constants::AUDIT_RECORDS;
 use prost::{Enumeration, Message};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+/// Where a rollout stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
 pub enum State {
+    /// Not a state of this version.
     Unknown = 0,
+    /// Ordered, not started.
     Created = 1,
+    /// A part of the requests goes to the new version.
     Canary = 2,
+    /// The same, and nothing is promoted.
     Paused = 3,
+    /// All requests go to the new version.
     Completed = 4,
+    /// All requests go to the old versions again.
     RolledBack = 5,
+    /// Ended before it started.
     Cancelled = 6,
 }
 
 impl State {
+    /// Whether the rollout goes on.
     pub fn is_active(self) -> bool {
         matches!(self, State::Created | State::Canary | State::Paused)
     }
 
+    /// Its name, for operators.
     pub fn name(self) -> &'static str {
         match self {
             State::Unknown => "UNKNOWN",
@@ -35,7 +45,7 @@
     }
 
     /// What the operator's protocol calls it.
-    pub fn on_the_wire(self) -> &'static str {
+    pub fn protocol_name(self) -> &'static str {
         match self {
             State::Completed => "completed",
             State::RolledBack | State::Cancelled => "reverted",
@@ -44,20 +54,30 @@
     }
 }
 
+/// What can be done to a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Enumeration)]
 #[repr(i32)]
 pub enum Action {
+    /// Not an action of this version.
     None = 0,
+    /// Orders it.
     Create = 1,
+    /// Puts the first stage in force.
     Start = 2,
+    /// Puts the next stage in force, or completes it.
     Promote = 3,
+    /// Keeps the stage in force.
     Pause = 4,
+    /// Goes on after a pause.
     Resume = 5,
+    /// Goes back to the old versions.
     Rollback = 6,
+    /// Ends it before it starts.
     Cancel = 7,
 }
 
 impl Action {
+    /// Its name, for operators.
     pub fn name(self) -> &'static str {
         match self {
             Action::None => "none",
@@ -71,6 +91,7 @@
         }
     }
 
+    /// The action that an operator names.
     pub fn from_name(name: &str) -> Option<Action> {
         let all = [
             Action::Start,
@@ -86,99 +107,123 @@
 
 /// The pass criteria of a stage.
 #[derive(Clone, PartialEq, Message)]
-pub struct Review {
+pub struct AnalysisCriteria {
+    /// Error rate above the old version's that is bad, 0 to 1.
     #[prost(double, tag = "1")]
-    pub errors_most: f64,
+    pub max_errors: f64,
+    /// Error rate above the old version's that blocks promotion, 0 to 1.
     #[prost(double, tag = "2")]
-    pub errors_above: f64,
+    pub max_errors_above: f64,
+    /// Mean response time that is bad, times the old version's.
     #[prost(double, tag = "3")]
-    pub slow_mean: f64,
+    pub max_mean_ratio: f64,
+    /// 95th percentile that is bad, times the old version's.
     #[prost(double, tag = "4")]
-    pub slow_p95: f64,
+    pub max_p95_ratio: f64,
+    /// Outcomes before the stage may be promoted.
     #[prost(uint64, tag = "5")]
-    pub requests: u64,
+    pub min_requests: u64,
 }
 
 /// A stage.
 #[derive(Clone, PartialEq, Message)]
-pub struct Showing {
+pub struct RolloutStage {
     /// Part of the service's requests that go to the new version.
     #[prost(double, tag = "1")]
     pub share: f64,
+    /// How long it is observed at least, ms.
     #[prost(uint64, tag = "2")]
     pub observe_ms: u64,
+    /// The watchdog promotes it.
     #[prost(bool, tag = "3")]
     pub auto_promote: bool,
+    /// What the new version must meet.
     #[prost(message, optional, tag = "4")]
-    pub review: Option<Review>,
+    pub criteria: Option<AnalysisCriteria>,
 }
 
 /// Who did what, and why.
 #[derive(Clone, PartialEq, Message)]
 pub struct Audit {
+    /// The version of the rollout that it led to.
     #[prost(uint64, tag = "1")]
     pub version: u64,
+    /// See [`Action`].
     #[prost(enumeration = "Action", tag = "2")]
     pub action: i32,
+    /// Who did it.
     #[prost(string, tag = "3")]
     pub who: String,
+    /// Why.
     #[prost(string, tag = "4")]
     pub why: String,
-    /// A gate was passed over.
+    /// A gate was bypassed.
     #[prost(bool, tag = "5")]
     pub bypass: bool,
+    /// Time since the rollout was created, ms.
     #[prost(uint64, tag = "6")]
     pub elapsed_ms: u64,
+    /// The new version.
     #[prost(string, tag = "7")]
     pub target: String,
 }
 
 /// A rollout of a service.
 #[derive(Clone, PartialEq, Message)]
-pub struct Preview {
+pub struct Rollout {
+    /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
+    /// The new version.
     #[prost(string, tag = "2")]
     pub target: String,
+    /// Its stages, in order.
     #[prost(message, repeated, tag = "3")]
-    pub showings: Vec<Showing>,
+    pub stages: Vec<RolloutStage>,
     /// The stage in force.
     #[prost(uint32, tag = "4")]
-    pub at: u32,
+    pub stage_index: u32,
+    /// See [`State`].
     #[prost(enumeration = "State", tag = "5")]
     pub state: i32,
     /// The split that is being replaced: the versions that had the traffic.
     #[prost(string, repeated, tag = "6")]
-    pub before: Vec<String>,
+    pub previous_versions: Vec<String>,
     /// The index of the change that made it what it is, for compare-and-set.
     #[prost(uint64, tag = "7")]
     pub version: u64,
+    /// The time that it may take, ms.
     #[prost(uint64, tag = "8")]
     pub duration_ms: u64,
     /// Time since the order, as of the newest change, ms.
     #[prost(uint64, tag = "9")]
     pub elapsed_ms: u64,
+    /// Who did what, oldest first.
     #[prost(message, repeated, tag = "10")]
     pub records: Vec<Audit>,
     /// The index of the order.
     #[prost(uint64, tag = "11")]
-    pub ordered: u64,
+    pub created_index: u64,
 }
 
 /// Which part of the split a worker belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Side {
+pub enum Cohort {
+    /// The versions that had the traffic.
     Old,
+    /// The new version.
     New,
     /// It gets nothing.
-    Neither,
+    Excluded,
 }
 
-impl Preview {
+impl Rollout {
+    /// Where it stands.
     pub fn state_now(&self) -> State {
         State::try_from(self.state).unwrap_or(State::Unknown)
     }
 
+    /// Whether it goes on.
     pub fn is_active(&self) -> bool {
         self.state_now().is_active()
     }
@@ -186,25 +231,31 @@
     /// Part of the requests that go to the new version.
     pub fn share(&self) -> f64 {
         match self.state_now() {
-            State::Canary | State::Paused => self.showings.get(self.at as usize).map_or(0.0, |s| s.share),
+            State::Canary | State::Paused => self
+                .stages
+                .get(self.stage_index as usize)
+                .map_or(0.0, |s| s.share),
             State::Completed => 1.0,
             _ => 0.0,
         }
     }
 
+    /// Whether the last stage is in force.
     pub fn is_last(&self) -> bool {
-        self.at as usize + 1 >= self.showings.len()
+        self.stage_index as usize + 1 >= self.stages.len()
     }
 
-    /// Where workers of a version stand. Once the rollout has ended there is one
-    /// side only, and what lost gets nothing.
-    pub fn side(&self, version: &str) -> Side {
+    /// The cohort of the workers of a version. Once the rollout has ended there is one only, and
+    /// the version that lost gets nothing.
+    pub fn cohort(&self, version: &str) -> Cohort {
         let new = version == self.target;
         match self.state_now() {
-            State::Completed if !new && self.before.iter().any(|v| v == version) => Side::Neither,
-            State::RolledBack | State::Cancelled if new => Side::Neither,
-            state if state.is_active() && new => Side::New,
-            _ => Side::Old,
+            State::Completed if !new && self.previous_versions.iter().any(|v| v == version) => {
+                Cohort::Excluded
+            }
+            State::RolledBack | State::Cancelled if new => Cohort::Excluded,
+            state if state.is_active() && new => Cohort::New,
+            _ => Cohort::Old,
         }
     }
 }
@@ -212,59 +263,74 @@
 /// An order to begin a rollout.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Create {
+    /// The new version.
     #[prost(string, tag = "1")]
     pub target: String,
+    /// The time that the rollout may take, ms.
     #[prost(uint64, tag = "2")]
     pub duration_ms: u64,
 }
 
 /// One change of a rollout, as the log orders it.
 #[derive(Clone, PartialEq, Message)]
-pub struct PreviewChange {
+pub struct RolloutChange {
+    /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
+    /// See [`Action`].
     #[prost(enumeration = "Action", tag = "2")]
     pub action: i32,
     /// The version of the rollout that the change rests on.
     #[prost(uint64, tag = "3")]
     pub expected: u64,
+    /// Who wants it.
     #[prost(string, tag = "4")]
     pub who: String,
+    /// Why.
     #[prost(string, tag = "5")]
     pub why: String,
+    /// A gate is bypassed.
     #[prost(bool, tag = "6")]
     pub bypass: bool,
+    /// Time since the rollout was created, as the leader tells it, ms.
     #[prost(uint64, tag = "7")]
     pub elapsed_ms: u64,
+    /// Of a creation: what to create.
     #[prost(message, optional, tag = "8")]
     pub create: Option<Create>,
+    /// Of a creation: the stages.
     #[prost(message, repeated, tag = "9")]
-    pub showings: Vec<Showing>,
+    pub stages: Vec<RolloutStage>,
     /// The versions that have the traffic as the rollout is created.
     #[prost(string, repeated, tag = "10")]
-    pub before: Vec<String>,
+    pub previous_versions: Vec<String>,
 }
 
 /// Why a change of a rollout does not take place.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// Another rollout of the service is active.
-    Held { service: String, target: String },
+    Active {
+        /// The service.
+        service: String,
+        /// The version that it moves to.
+        target: String,
+    },
     /// It has changed since: its version now.
     Conflict(u64),
     /// The state does not allow it.
-    NotFrom(State),
+    WrongState(State),
     /// There is no such rollout.
     Unknown,
     /// The change cannot be read.
-    Unreadable,
+    Malformed,
 }
 
 /// The newest rollout of each service.
-pub type Table = BTreeMap<String, Arc<Preview>>;
+pub type Table = BTreeMap<String, Arc<Rollout>>;
 
 /// Applies the change at `index`; `Ok(false)` if the very same order stands already.
-pub fn apply(table: &mut Table, index: u64, change: &PreviewChange) -> Result<bool, Refusal> {
+pub fn apply(table: &mut Table, index: u64, change: &RolloutChange) -> Result<bool, Refusal> {
     let action = Action::try_from(change.action).unwrap_or(Action::None);
     let known = table.get(&change.service);
     let record = |target: &str| Audit {
@@ -278,36 +344,36 @@
     };
     if action == Action::Create {
         let Some(create) = &change.create else {
-            return Err(Refusal::Unreadable);
+            return Err(Refusal::Malformed);
         };
         if let Some(p) = known.filter(|p| p.is_active()) {
             if p.target == create.target && p.duration_ms == create.duration_ms {
                 return Ok(false);
             }
-            return Err(Refusal::Held {
+            return Err(Refusal::Active {
                 service: p.service.clone(),
                 target: p.target.clone(),
             });
         }
-        if change.showings.is_empty() || create.target.is_empty() {
-            return Err(Refusal::Unreadable);
+        if change.stages.is_empty() || create.target.is_empty() {
+            return Err(Refusal::Malformed);
         }
         let mut records = known.map(|p| p.records.clone()).unwrap_or_default();
         push(&mut records, record(&create.target));
-        let preview = Preview {
+        let rollout = Rollout {
             service: change.service.clone(),
             target: create.target.clone(),
-            showings: change.showings.clone(),
-            at: 0,
+            stages: change.stages.clone(),
+            stage_index: 0,
             state: State::Created as i32,
-            before: change.before.clone(),
+            previous_versions: change.previous_versions.clone(),
             version: index,
             duration_ms: create.duration_ms,
             elapsed_ms: 0,
             records,
-            ordered: index,
+            created_index: index,
         };
-        table.insert(change.service.clone(), Arc::new(preview));
+        table.insert(change.service.clone(), Arc::new(rollout));
         return Ok(true);
     }
     let Some(p) = known else {
@@ -317,19 +383,19 @@
         return Err(Refusal::Conflict(p.version));
     }
     let state = p.state_now();
-    let (next, at) = match (action, state) {
+    let (next, stage_index) = match (action, state) {
         (Action::Start, State::Created) => (State::Canary, 0),
-        (Action::Promote, State::Canary | State::Paused) if p.is_last() => (State::Completed, p.at),
-        (Action::Promote, State::Canary) => (State::Canary, p.at + 1),
-        (Action::Pause, State::Canary) => (State::Paused, p.at),
-        (Action::Resume, State::Paused) => (State::Canary, p.at),
-        (Action::Rollback, State::Canary | State::Paused) => (State::RolledBack, p.at),
-        (Action::Cancel, State::Created) => (State::Cancelled, p.at),
-        _ => return Err(Refusal::NotFrom(state)),
+        (Action::Promote, State::Canary | State::Paused) if p.is_last() => (State::Completed, p.stage_index),
+        (Action::Promote, State::Canary) => (State::Canary, p.stage_index + 1),
+        (Action::Pause, State::Canary) => (State::Paused, p.stage_index),
+        (Action::Resume, State::Paused) => (State::Canary, p.stage_index),
+        (Action::Rollback, State::Canary | State::Paused) => (State::RolledBack, p.stage_index),
+        (Action::Cancel, State::Created) => (State::Cancelled, p.stage_index),
+        _ => return Err(Refusal::WrongState(state)),
     };
     let mut new = (**p).clone();
     new.state = next as i32;
-    new.at = at;
+    new.stage_index = stage_index;
     new.version = index;
     new.elapsed_ms = change.elapsed_ms.max(p.elapsed_ms);
     let target = new.target.clone();
@@ -340,6 +406,6 @@
 
 fn push(records: &mut Vec<Audit>, record: Audit) {
     records.push(record);
-    let over = records.len().saturating_sub(RECORDS_KEPT);
+    let over = records.len().saturating_sub(AUDIT_RECORDS);
     records.drain(..over);
 }
--- a/crates/simulation/tests/histories.rs
+++ b/crates/simulation/tests/histories.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use protocol::{Change, ChangeKind};
-use rollout::{Action, Create, PreviewChange, Refusal, Side, State};
+use rollout::{Action, Cohort, Create, Refusal, RolloutChange, State};
 use std::collections::BTreeMap;
 
 const ACTIONS: [Action; 7] = [
@@ -48,9 +48,9 @@
 }
 
 /// Versions of a service that get requests, by their side.
-fn split(stage: &ControlState, service: &str) -> Vec<(String, Side)> {
+fn split(stage: &ControlState, service: &str) -> Vec<(String, Cohort)> {
     let versions = (1..5).map(|v| format!("v{v}"));
-    let side = |v: &str| stage.rollouts.get(service).map_or(Side::Old, |p| p.side(v));
+    let side = |v: &str| stage.rollouts.get(service).map_or(Cohort::Old, |p| p.cohort(v));
     versions.map(|v| (v.clone(), side(&v))).collect()
 }
 
@@ -72,7 +72,7 @@
             let action = ACTIONS[m.action];
             let versions = seen.entry(service.clone()).or_default();
             let expected = versions.iter().rev().nth(m.stale).copied().unwrap_or(0);
-            let change = PreviewChange {
+            let change = RolloutChange {
                 service: service.clone(),
                 action: action as i32,
                 expected,
@@ -80,8 +80,8 @@
                     target: format!("v{}", m.target),
                     duration_ms: 9000,
                 }),
-                showings: rollout::showings(9000, 0.1),
-                before: vec!["v1".into()],
+                stages: rollout::stages(9000, 0.1),
+                previous_versions: vec!["v1".into()],
                 ..Default::default()
             };
             let before = stage.rollouts.get(&service).cloned();
@@ -101,20 +101,20 @@
                         let before = before.expect("there");
                         prop_assert_eq!(before.version, expected, "who was late has lost");
                         prop_assert!(before.is_active(), "an end is final");
-                        prop_assert_eq!(&before.before, &after.before, "the snapshot stays");
+                        prop_assert_eq!(&before.previous_versions, &after.previous_versions, "the snapshot stays");
                     }
                     match after.state_now() {
                         State::RolledBack | State::Cancelled => {
                             for (version, side) in split(&stage, &service) {
                                 let new = version == after.target;
-                                prop_assert_eq!(side, if new { Side::Neither } else { Side::Old });
+                                prop_assert_eq!(side, if new { Cohort::Excluded } else { Cohort::Old });
                             }
                             prop_assert_eq!(after.share(), 0.0);
                         }
                         State::Completed => {
                             let gone = split(&stage, &service);
-                            prop_assert!(gone.contains(&("v1".into(), Side::Neither)));
-                            prop_assert!(gone.contains(&(after.target.clone(), Side::Old)));
+                            prop_assert!(gone.contains(&("v1".into(), Cohort::Excluded)));
+                            prop_assert!(gone.contains(&(after.target.clone(), Cohort::Old)));
                         }
                         _ => {}
                     }
@@ -126,7 +126,7 @@
                 }
                 Outcome::RolloutRejected(refusal) => {
                     prop_assert_eq!(&before, &after, "what is refused changes nothing");
-                    if let Refusal::Held { target, .. } = refusal {
+                    if let Refusal::Active { target, .. } = refusal {
                         prop_assert_eq!(target, before.expect("there").target.clone());
                     }
                 }
--- a/crates/simulation/tests/rollouts.rs
+++ b/crates/simulation/tests/rollouts.rs
@@ -25,7 +25,10 @@
 use protocol::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use rollout::{Action, Create, Critic, Facts, Level, Levels, PreviewChange, Side, State, Trial};
+use rollout::{
+    Action, Cohort, CohortSample, Conditions, Create, EmergencyLevel, EmergencyTracker, RolloutChange, State,
+    Watchdog,
+};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -87,11 +90,11 @@
     workers: BTreeMap<String, StandIn>,
     log: Vec<(u64, Arc<ControlState>)>,
     flights: Vec<Flight>,
-    reports: Vec<(u64, Vec<Trial>, u64, u64)>,
-    critic: Critic,
+    reports: Vec<(u64, Vec<CohortSample>, u64, u64)>,
+    critic: Watchdog,
     /// Another voter's, which follows the log only.
-    standby: Critic,
-    levels: Levels,
+    standby: Watchdog,
+    levels: EmergencyTracker,
     reported_at: u64,
     leads_from: u64,
     core_cut_until: u64,
@@ -126,9 +129,9 @@
             log: vec![(0, Arc::new(ControlState::default()))],
             flights: Vec::new(),
             reports: Vec::new(),
-            critic: Critic::default(),
-            standby: Critic::default(),
-            levels: Levels::default(),
+            critic: Watchdog::default(),
+            standby: Watchdog::default(),
+            levels: EmergencyTracker::default(),
             reported_at: 0,
             leads_from: 0,
             core_cut_until: 0,
@@ -242,7 +245,7 @@
     }
 
     fn begin(&mut self, target: &str, duration_ms: u64) {
-        let change = PreviewChange {
+        let change = RolloutChange {
             service: "s".into(),
             action: Action::Create as i32,
             who: "test".into(),
@@ -250,8 +253,8 @@
                 target: target.into(),
                 duration_ms,
             }),
-            showings: rollout::showings(duration_ms, SHARE),
-            before: vec!["v1".into()],
+            stages: rollout::stages(duration_ms, SHARE),
+            previous_versions: vec!["v1".into()],
             ..Default::default()
         };
         match self.change(ChangeKind::Rollout(change)) {
@@ -267,7 +270,7 @@
     fn say(&mut self, action: Action) {
         let stage = self.stage();
         let p = &stage.rollouts["s"];
-        let change = PreviewChange {
+        let change = RolloutChange {
             service: "s".into(),
             action: action as i32,
             expected: p.version,
@@ -276,7 +279,7 @@
             ..Default::default()
         };
         let facts = self.facts(&stage);
-        if action == Action::Promote && Critic::gate(self.now, &facts).is_err() {
+        if action == Action::Promote && Watchdog::check_gate(self.now, &facts).is_err() {
             self.refused = Some("gate".into());
             return;
         }
@@ -285,24 +288,24 @@
         }
     }
 
-    fn facts(&mut self, stage: &ControlState) -> Facts {
+    fn facts(&mut self, stage: &ControlState) -> Conditions {
         let able = |w: &&Arc<Worker>| !stage.evacuated.contains_key(&w.zone);
         let p = stage.rollouts.get("s");
-        let of = |side: Side| {
+        let of = |side: Cohort| {
             let workers = stage.workers.values().filter(able);
             workers
-                .filter(|w| p.is_some_and(|p| p.side(&w.version) == side))
+                .filter(|w| p.is_some_and(|p| p.cohort(&w.version) == side))
                 .count()
         };
         let newest = self.log.len() - 1;
         let behind = |n: &Node| n.up_at <= self.now && n.cut_until <= self.now && n.seen < newest;
-        Facts {
-            ready: of(Side::New),
-            old: of(Side::Old),
-            behind: self.nodes.iter().any(behind),
-            keys_left: false,
+        Conditions {
+            ready: of(Cohort::New),
+            old: of(Cohort::Old),
+            is_behind: self.nodes.iter().any(behind),
+            keys_remain: false,
             reported_at: self.reported_at,
-            level: self.levels.clone().look(),
+            level: self.levels.clone().check(),
             kill_switch: stage.kill_switch.as_ref().is_some_and(|k| k.on),
         }
     }
@@ -322,15 +325,15 @@
         self.reports = rest;
         for (_, trials, served, failed) in due {
             self.reported_at = now;
-            self.levels.take(served, failed);
-            self.critic.take(&trials, name_hash);
+            self.levels.add(served, failed);
+            self.critic.add(&trials, name_hash);
         }
         if now % 260 >= STEP {
             return;
         }
-        let level = self.levels.look();
+        let level = self.levels.check();
         for p in stage.rollouts.values().filter(|p| p.is_active()) {
-            let facts = Facts {
+            let facts = Conditions {
                 level,
                 ..self.facts(&stage)
             };
@@ -339,7 +342,7 @@
                 self.change(ChangeKind::Rollout(change));
             }
         }
-        let ended = |p: &Arc<rollout::Preview>| p.state_now() == State::Completed;
+        let ended = |p: &Arc<rollout::Rollout>| p.state_now() == State::Completed;
         if self.ended_at == 0 && self.stage().rollouts.values().any(ended) {
             self.ended_at = now;
         }
@@ -575,7 +578,7 @@
             "lead" => {
                 fleet.leads_from = fleet.now + 900;
                 fleet.critic = std::mem::take(&mut fleet.standby);
-                fleet.levels = Levels::default();
+                fleet.levels = EmergencyTracker::default();
                 fleet.reported_at = 0;
             }
             "core-cut" => fleet.core_cut_until = fleet.now + number::<u64>(rest.first()),
@@ -628,11 +631,11 @@
                         continue;
                     }
                     "phase" => p.map_or("", |p| p.state_now().name()),
-                    _ => p.map_or("", |p| p.state_now().on_the_wire()),
+                    _ => p.map_or("", |p| p.state_now().protocol_name()),
                 };
                 let elapsed = fleet.now - fleet.ordered_at;
                 assert_eq!(Some(&got), rest.last(), "`{line}` at {elapsed}, level {:?}", {
-                    let level: Level = fleet.levels.clone().look();
+                    let level: EmergencyLevel = fleet.levels.clone().check();
                     level
                 });
             }
--- a/crates/simulation/tests/wire.rs
+++ b/crates/simulation/tests/wire.rs
@@ -7,7 +7,7 @@
 use prost::Message;
 use protocol::*;
 use raft::{Entry, Membership, Snapshot, Voter};
-use rollout::{Audit, Create, Preview, PreviewChange, Review, Showing, Trial};
+use rollout::{AnalysisCriteria, Audit, CohortSample, Create, Rollout, RolloutChange, RolloutStage};
 
 /// Messages in `wire.hex`.
 const MESSAGES: usize = 67;
@@ -35,13 +35,13 @@
             "Cue" => decoded_and_encoded::<raft::Message>(&bytes),
             "Member" => decoded_and_encoded::<Member>(&bytes),
             "Notice" => decoded_and_encoded::<gossip::Message>(&bytes),
-            "Review" => decoded_and_encoded::<Review>(&bytes),
-            "Showing" => decoded_and_encoded::<Showing>(&bytes),
+            "Review" => decoded_and_encoded::<AnalysisCriteria>(&bytes),
+            "Showing" => decoded_and_encoded::<RolloutStage>(&bytes),
             "Audit" => decoded_and_encoded::<Audit>(&bytes),
-            "Preview" => decoded_and_encoded::<Preview>(&bytes),
+            "Preview" => decoded_and_encoded::<Rollout>(&bytes),
             "Create" => decoded_and_encoded::<Create>(&bytes),
-            "PreviewChange" => decoded_and_encoded::<PreviewChange>(&bytes),
-            "Trial" => decoded_and_encoded::<Trial>(&bytes),
+            "PreviewChange" => decoded_and_encoded::<RolloutChange>(&bytes),
+            "Trial" => decoded_and_encoded::<CohortSample>(&bytes),
             "Letter" => decoded_and_encoded::<PeerMessage>(&bytes),
             "ControlCall" => decoded_and_encoded::<CommandRequest>(&bytes),
             "BeginOrder" => decoded_and_encoded::<BeginRollout>(&bytes),
