--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -15,14 +15,14 @@
     /// All bytes went out.
     Sent,
     /// The head of its answer has come.
-    Begun,
+    ResponseStarted,
     /// Its answer has come whole.
-    Ended,
+    Complete,
 }
 
 /// What an answer says of the attempt that it belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Echo {
+pub enum IdEcho {
     /// It echoes the id of this attempt.
     Ours,
     /// It echoes another id, or several.
@@ -32,9 +32,9 @@
 
 /// The head of an answer, as far as it matters here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Head {
+pub struct HeadSummary {
     pub status: u16,
-    pub echo: Echo,
+    pub echo: IdEcho,
     /// It says that the worker did not run the request.
     pub not_executed: bool,
     /// It has what a worker's success bears: the stamp, and a body of which one
@@ -42,7 +42,7 @@
     pub sealed: bool,
 }
 
-impl Head {
+impl HeadSummary {
     fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
@@ -56,11 +56,11 @@
 
 /// What to do with a head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Taken {
+pub enum HeadAction {
     /// It is this attempt's: read the body, then tell [`Attempt::ended`].
     Ours,
     /// It belongs to somebody else: pass over its body and read on.
-    Stranger,
+    Unmatched,
     /// An interim answer (1xx): read on.
     Interim,
     /// No answer to this attempt can be told from others any more.
@@ -84,7 +84,7 @@
 pub const PROMISES: [u16; 4] = [408, 421, 429, 503];
 
 /// Heads that are not ours, passed over before a connection is given up, heads.
-const STRANGERS: u32 = config::constants::MAX_UNMATCHED_RESPONSES;
+const MAX_UNMATCHED: u32 = config::constants::MAX_UNMATCHED_RESPONSES;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Attempt {
@@ -93,31 +93,31 @@
     named: bool,
     /// The answer before on this connection bore no id, and a doubled one could
     /// not be told from ours.
-    nameless: bool,
+    follows_no_id: bool,
     all_sent: bool,
-    strangers: u32,
-    head: Option<Head>,
+    unmatched: u32,
+    head: Option<HeadSummary>,
     /// The connection broke or time is up: nothing more is read or sent.
-    over: bool,
+    is_over: bool,
 }
 
 impl Attempt {
     /// An attempt at a request with an id, on a connection on which the answer
     /// before bore none, or not.
-    pub fn named(nameless: bool) -> Attempt {
+    pub fn named(follows_no_id: bool) -> Attempt {
         Attempt {
             phase: Phase::Unsent,
             named: true,
-            nameless,
+            follows_no_id,
             all_sent: false,
-            strangers: 0,
+            unmatched: 0,
             head: None,
-            over: false,
+            is_over: false,
         }
     }
 
     /// A call whose answers bear no id: the connection alone pairs them.
-    pub fn unnamed() -> Attempt {
+    pub fn without_id() -> Attempt {
         Attempt {
             named: false,
             ..Attempt::named(false)
@@ -129,65 +129,65 @@
     }
 
     /// Bytes went out; `all` if they were the last.
-    pub fn wrote(&mut self, all: bool) {
+    pub fn on_written(&mut self, all: bool) {
         self.all_sent |= all;
-        if self.phase < Phase::Begun {
+        if self.phase < Phase::ResponseStarted {
             self.phase = if all { Phase::Sent } else { Phase::Partial };
         }
     }
 
     /// The head of an answer has come.
-    pub fn head(&mut self, head: Head) -> Taken {
+    pub fn head(&mut self, head: HeadSummary) -> HeadAction {
         let before_us = self.phase == Phase::Unsent;
-        if self.over || before_us || self.phase >= Phase::Begun || head.status == 101 {
-            self.over = true;
-            return Taken::Broken;
+        if self.is_over || before_us || self.phase >= Phase::ResponseStarted || head.status == 101 {
+            self.is_over = true;
+            return HeadAction::Broken;
         }
-        let stranger = match head.echo {
+        let is_unmatched = match head.echo {
             _ if head.status < 200 => true,
             _ if !self.named => false,
-            Echo::Ours => false,
-            Echo::Other => true,
-            Echo::Missing => head.is_success(),
+            IdEcho::Ours => false,
+            IdEcho::Other => true,
+            IdEcho::Missing => head.is_success(),
         };
-        if stranger {
-            self.strangers += 1;
-            if self.strangers > STRANGERS {
-                self.over = true;
-                return Taken::Broken;
+        if is_unmatched {
+            self.unmatched += 1;
+            if self.unmatched > MAX_UNMATCHED {
+                self.is_over = true;
+                return HeadAction::Broken;
             }
             return if head.status < 200 {
-                Taken::Interim
+                HeadAction::Interim
             } else {
-                Taken::Stranger
+                HeadAction::Unmatched
             };
         }
         if self.named && head.is_success() && !head.sealed {
-            self.over = true;
-            return Taken::Broken;
+            self.is_over = true;
+            return HeadAction::Broken;
         }
-        self.phase = Phase::Begun;
+        self.phase = Phase::ResponseStarted;
         self.head = Some(head);
-        Taken::Ours
+        HeadAction::Ours
     }
 
     /// The answer has come whole.
-    pub fn ended(&mut self) {
-        if self.phase == Phase::Begun && !self.over {
-            self.phase = Phase::Ended;
+    pub fn on_complete(&mut self) {
+        if self.phase == Phase::ResponseStarted && !self.is_over {
+            self.phase = Phase::Complete;
         }
     }
 
     /// The connection broke, the answer was no answer, or time is up.
-    pub fn broke(&mut self) {
-        self.over = true;
+    pub fn on_broken(&mut self) {
+        self.is_over = true;
     }
 
     /// Whether the answer taken can be nobody else's. One without an id can be
     /// only ours if the answer before on the connection bore one, and nothing
     /// strange has come: a doubled answer repeats the id it had.
-    fn is_attributable(&self, head: &Head) -> bool {
-        !self.named || head.echo == Echo::Ours || !self.nameless && self.strangers == 0
+    fn is_attributable(&self, head: &HeadSummary) -> bool {
+        !self.named || head.echo == IdEcho::Ours || !self.follows_no_id && self.unmatched == 0
     }
 
     /// What it has come to so far.
@@ -195,17 +195,17 @@
         if self.phase == Phase::Unsent {
             return Outcome::NotRun;
         }
-        let said = self.head.as_ref().map(|head| self.says(head));
-        match (self.phase, said) {
-            (Phase::Ended, Some(said)) => said,
+        let proven_by_head = self.head.as_ref().map(|head| self.proves(head));
+        match (self.phase, proven_by_head) {
+            (Phase::Complete, Some(proven_by_head)) => proven_by_head,
             // A long answer is passed on as it comes; what cuts it shows.
-            (Phase::Begun, Some(Outcome::Answered)) if !self.over => Outcome::Answered,
+            (Phase::ResponseStarted, Some(Outcome::Answered)) if !self.is_over => Outcome::Answered,
             _ => Outcome::MayHaveRun,
         }
     }
 
     /// What an answer proves, once it is whole.
-    fn says(&self, head: &Head) -> Outcome {
+    fn proves(&self, head: &HeadSummary) -> Outcome {
         let proven = self.is_attributable(head);
         // What is wrong with the request itself is the client's to hear.
         let elsewhere = head.turns_away() && (head.status == 421 || head.status >= 429);
@@ -220,42 +220,43 @@
 
     /// Whether another request may go out on the connection: this one went out
     /// whole, its answer came whole, and nothing else came.
-    pub fn may_pool(&self) -> bool {
-        self.phase == Phase::Ended && self.all_sent && !self.over && self.strangers == 0
+    pub fn may_reuse_connection(&self) -> bool {
+        self.phase == Phase::Complete && self.all_sent && !self.is_over && self.unmatched == 0
     }
 
     /// Whether the last answer on the connection bore no id: what doubles it
     /// follows it before the next.
-    pub fn is_nameless(&self) -> bool {
-        self.head.map_or(self.nameless, |h| h.echo == Echo::Missing)
+    pub fn lacks_id(&self) -> bool {
+        self.head
+            .map_or(self.follows_no_id, |h| h.echo == IdEcho::Missing)
     }
 }
 
 /// All attempts at one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Tries {
+pub struct AttemptHistory {
     /// It must not run twice.
-    once: bool,
+    is_non_idempotent: bool,
     may_have_run: bool,
 }
 
-impl Tries {
-    pub fn new(once: bool) -> Tries {
-        Tries {
-            once,
+impl AttemptHistory {
+    pub fn new(is_non_idempotent: bool) -> AttemptHistory {
+        AttemptHistory {
+            is_non_idempotent,
             may_have_run: false,
         }
     }
 
     /// Takes note of how an attempt ended.
-    pub fn note(&mut self, outcome: Outcome) {
-        let proven = outcome == Outcome::NotRun || outcome == Outcome::TurnedAway && !self.once;
+    pub fn note_outcome(&mut self, outcome: Outcome) {
+        let proven = outcome == Outcome::NotRun || outcome == Outcome::TurnedAway && !self.is_non_idempotent;
         self.may_have_run |= !proven;
     }
 
     /// Whether it may be sent again.
     pub fn may_repeat(&self) -> bool {
-        !self.once || !self.may_have_run
+        !self.is_non_idempotent || !self.may_have_run
     }
 
     /// Whether the client may be told that it has not run and never will.
--- a/crates/balancer/tests/attempt.rs
+++ b/crates/balancer/tests/attempt.rs
@@ -3,7 +3,7 @@
 //! No request that must not run twice runs twice, none that is promised not to
 //! run has run or ever will, and nobody gets another's answer.
 
-use balancer::{Attempt, Echo, Head, Outcome, Phase, Taken, Tries};
+use balancer::{Attempt, AttemptHistory, HeadAction, HeadSummary, IdEcho, Outcome, Phase};
 use std::collections::{HashSet, VecDeque};
 
 /// What may be wrong in the rules, planted to see that the search finds it.
@@ -65,7 +65,7 @@
 struct World {
     lines: Vec<Line>,
     steps: [Step; 2],
-    tries: [Tries; 2],
+    tries: [AttemptHistory; 2],
     sends: [u8; 2],
     runs: [u8; 2],
     doubled: bool,
@@ -106,15 +106,15 @@
     }
 
     fn may_pool(&self, a: &Attempt, timed_out: bool) -> bool {
-        let whole = a.phase() == Phase::Ended;
+        let whole = a.phase() == Phase::Complete;
         match self.fault {
-            Fault::PooledAfterTimeout => a.may_pool() || timed_out && a.phase() == Phase::Sent,
+            Fault::PooledAfterTimeout => a.may_reuse_connection() || timed_out && a.phase() == Phase::Sent,
             Fault::PooledBeforeAllWasSent => whole,
-            _ => a.may_pool(),
+            _ => a.may_reuse_connection(),
         }
     }
 
-    fn may_promise(&self, tries: &Tries) -> bool {
+    fn may_promise(&self, tries: &AttemptHistory) -> bool {
         tries.may_promise() || self.fault == Fault::PromiseAfterSomeBytes
     }
 
@@ -125,9 +125,9 @@
         };
         let line = &mut w.lines[at];
         line.pooled = self.may_pool(&a, timed_out) && !line.broken;
-        line.nameless = a.is_nameless() && self.fault != Fault::NamelessReused;
+        line.nameless = a.lacks_id() && self.fault != Fault::NamelessReused;
         let outcome = self.outcome(&a);
-        w.tries[r].note(outcome);
+        w.tries[r].note_outcome(outcome);
         let again = matches!(
             outcome,
             Outcome::NotRun | Outcome::TurnedAway | Outcome::MayHaveRun
@@ -156,32 +156,32 @@
             return false;
         };
         let echo = match answer.echo {
-            false => Echo::Missing,
-            true if answer.of == r || self.fault == Fault::IdIgnored => Echo::Ours,
-            true if answer.not_executed && self.fault == Fault::NotExecutedOfAnyId => Echo::Ours,
-            true => Echo::Other,
+            false => IdEcho::Missing,
+            true if answer.of == r || self.fault == Fault::IdIgnored => IdEcho::Ours,
+            true if answer.not_executed && self.fault == Fault::NotExecutedOfAnyId => IdEcho::Ours,
+            true => IdEcho::Other,
         };
-        let head = Head {
+        let head = HeadSummary {
             status: answer.status,
             echo,
             not_executed: answer.not_executed,
             sealed: answer.status == 200,
         };
         match a.head(head) {
-            Taken::Ours => {
-                a.ended();
+            HeadAction::Ours => {
+                a.on_complete();
                 if self.outcome(a) == Outcome::Answered {
                     let a = a.clone();
-                    w.tries[r].note(Outcome::Answered);
+                    w.tries[r].note_outcome(Outcome::Answered);
                     w.lines[at].pooled = self.may_pool(&a, false);
-                    w.lines[at].nameless = a.is_nameless();
+                    w.lines[at].nameless = a.lacks_id();
                     w.steps[r] = Step::Done(Reply::Answer(answer.of));
                 } else {
                     self.conclude(w, r, false);
                 }
             }
-            Taken::Stranger | Taken::Interim => {}
-            Taken::Broken => self.conclude(w, r, false),
+            HeadAction::Unmatched | HeadAction::Interim => {}
+            HeadAction::Broken => self.conclude(w, r, false),
         }
         true
     }
@@ -234,21 +234,21 @@
                     return false;
                 }
                 if w.lines[*at].broken {
-                    a.broke();
+                    a.on_broken();
                     self.conclude(w, r, false);
                     return true;
                 }
                 if !all && a.phase() == Phase::Partial {
                     return false;
                 }
-                a.wrote(all);
+                a.on_written(all);
                 w.lines[*at].up.push_back((r, all));
             }
             Move::TimeOut(r) => {
                 let Step::Trying(_, a) = &mut w.steps[r] else {
                     return false;
                 };
-                a.broke();
+                a.on_broken();
                 self.conclude(w, r, true);
             }
             Move::Run(at, answer) => {
@@ -300,7 +300,7 @@
                 let user = (0..2).find(|r| matches!(&w.steps[*r], Step::Trying(l, _) if *l == at));
                 if let Some(r) = user {
                     if let Step::Trying(_, a) = &mut w.steps[r] {
-                        a.broke();
+                        a.on_broken();
                     }
                     self.conclude(w, r, false);
                 }
@@ -374,7 +374,7 @@
     let world = World {
         lines: Vec::new(),
         steps: [Step::Idle, Step::Idle],
-        tries: once.map(Tries::new),
+        tries: once.map(AttemptHistory::new),
         sends: [0; 2],
         runs: [0; 2],
         doubled: false,
@@ -435,8 +435,8 @@
     }
 }
 
-fn head(status: u16, echo: Echo, not_executed: bool) -> Head {
-    Head {
+fn head(status: u16, echo: IdEcho, not_executed: bool) -> HeadSummary {
+    HeadSummary {
         status,
         echo,
         not_executed,
@@ -445,18 +445,18 @@
 }
 
 /// Plays the heads that come in after the request went out, and then the end.
-fn after(nameless: bool, all_sent: bool, heads: &[Head]) -> (Vec<Taken>, Outcome, bool) {
+fn after(nameless: bool, all_sent: bool, heads: &[HeadSummary]) -> (Vec<HeadAction>, Outcome, bool) {
     let mut a = Attempt::named(nameless);
-    a.wrote(all_sent);
+    a.on_written(all_sent);
     let taken = heads.iter().map(|h| a.head(*h)).collect();
-    a.ended();
-    (taken, a.outcome(), a.may_pool())
+    a.on_complete();
+    (taken, a.outcome(), a.may_reuse_connection())
 }
 
 #[test]
 fn what_an_answer_proves() {
     use Outcome::*;
-    let (ours, other, none) = (Echo::Ours, Echo::Other, Echo::Missing);
+    let (ours, other, none) = (IdEcho::Ours, IdEcho::Other, IdEcho::Missing);
     let interim = head(100, none, false);
     let stranger = head(200, other, false);
     // On a connection that carried an answer without an id or not; the heads;
@@ -467,7 +467,7 @@
         (false, vec![head(200, none, false)], MayHaveRun, false),
         (
             false,
-            vec![Head {
+            vec![HeadSummary {
                 sealed: false,
                 ..head(200, ours, false)
             }],
@@ -498,23 +498,23 @@
     let early = after(false, false, &[head(200, ours, false)]);
     assert_eq!(
         early,
-        (vec![Taken::Ours], Answered, false),
+        (vec![HeadAction::Ours], Answered, false),
         "before the whole body went out"
     );
     let mut unsent = Attempt::named(false);
     assert_eq!(
         unsent.head(head(503, ours, true)),
-        Taken::Broken,
+        HeadAction::Broken,
         "an answer to nothing"
     );
-    assert_eq!((unsent.outcome(), unsent.may_pool()), (NotRun, false));
+    assert_eq!((unsent.outcome(), unsent.may_reuse_connection()), (NotRun, false));
     let mut late = Attempt::named(false);
-    late.wrote(true);
-    late.broke();
+    late.on_written(true);
+    late.on_broken();
     assert_eq!(
         late.head(head(200, ours, false)),
-        Taken::Broken,
+        HeadAction::Broken,
         "after the time was up"
     );
-    assert_eq!((late.outcome(), late.may_pool()), (MayHaveRun, false));
+    assert_eq!((late.outcome(), late.may_reuse_connection()), (MayHaveRun, false));
 }
--- a/crates/pebblepond/src/balancer_actor.rs
+++ b/crates/pebblepond/src/balancer_actor.rs
@@ -6,7 +6,7 @@
 use crate::reports::RelayedReport;
 use crate::upstream::Upstream;
 use actix::prelude::*;
-use balancer::{Found, LoadBalancer, Neighbours, Observed, Place, Request, Ticket};
+use balancer::{AttemptResult, LoadBalancer, Locality, PeerInfo, SampleLabel, Selection, SelectionRequest};
 use config::{constants as c, Route};
 use control_state::ControlState;
 use protocol::{name_hash, Demand, KeyCounts, Payload, Report, RoundTrip, WorkerStats};
@@ -48,13 +48,13 @@
 
 /// Asks for a worker.
 #[derive(Message)]
-#[rtype(result = "Found")]
+#[rtype(result = "Selection")]
 pub struct ChooseWorker {
     pub route: Arc<Route>,
     pub service: Arc<str>,
     pub key: Option<u32>,
     pub tried: Vec<String>,
-    pub left_ms: u64,
+    pub remaining_ms: u64,
     pub client: Option<IpAddr>,
 }
 
@@ -68,8 +68,8 @@
 #[rtype(result = "()")]
 pub struct ObserveAttempt {
     pub id: String,
-    pub observed: Observed,
-    pub ticket: Option<Ticket>,
+    pub result: AttemptResult,
+    pub label: Option<SampleLabel>,
 }
 
 /// A client of a zone has asked the directory here.
@@ -116,11 +116,11 @@
     /// Looks at the newest control state before anything is decided.
     fn refresh(&mut self) {
         let state = self.context.state.get();
-        self.balancer.set_contact(self.context.last_contact.get());
+        self.balancer.set_last_contact(self.context.last_contact.get());
         if Arc::ptr_eq(&state, &self.state) {
             return;
         }
-        for id in self.balancer.set_stage(self.context.now(), state.clone()) {
+        for id in self.balancer.set_state(self.context.now(), state.clone()) {
             if let Some(w) = self.state.workers.get(&id) {
                 self.upstream.forget(&w.address);
             }
@@ -133,16 +133,16 @@
         let own = &self.context.settings.get().own_entity;
         let edges = || members.iter().filter(|m| !m.client_address.is_empty());
         let here = || edges().filter(|m| m.zone == own.zone);
-        let place = Place {
-            edges: edges().count().max(1),
+        let place = Locality {
+            nodes: edges().count().max(1),
             number: edges().filter(|m| m.name < own.node_name).count(),
-            in_zone: here().count().max(1),
+            nodes_in_zone: here().count().max(1),
             number_in_zone: here().filter(|m| m.name < own.node_name).count(),
         };
-        self.balancer.set_neighbours(Neighbours {
-            place,
-            me: self.context.status.get().id,
-            rtt: (*self.context.round_trips.get()).clone(),
+        self.balancer.set_peers(PeerInfo {
+            locality: place,
+            own_id: self.context.status.get().id,
+            round_trips: (*self.context.round_trips.get()).clone(),
         });
     }
 
@@ -204,13 +204,13 @@
                 .collect(),
             workers: self
                 .balancer
-                .take_observed()
+                .take_observations()
                 .into_iter()
-                .map(|(worker, answer_ms, served, failed)| WorkerStats {
-                    worker: name_hash(&worker),
-                    response_ms: answer_ms as f32,
-                    served,
-                    failed,
+                .map(|observation| WorkerStats {
+                    worker: name_hash(&observation.worker),
+                    response_ms: observation.mean_response_ms as f32,
+                    served: observation.served,
+                    failed: observation.failed,
                 })
                 .collect(),
             round_trips: self
@@ -225,7 +225,7 @@
                 .collect(),
             forwarding_rate: settings.own_entity.limits.cpu_fraction * 1000.0 / c::FORWARDING_CPU_MS,
             keys,
-            rollout_samples: self.balancer.take_trials(),
+            rollout_samples: self.balancer.take_samples(),
         };
         let mut reports = std::mem::take(&mut self.passed_on);
         if let Some(others) = reports.remove(&report.site) {
@@ -264,12 +264,12 @@
             }
         }
         let zone = self.draw_zone(&msg.service, msg.key);
-        let request = Request {
+        let request = SelectionRequest {
             route: &msg.route,
             key: msg.key,
             service: &msg.service,
             tried: &msg.tried,
-            left_ms: msg.left_ms,
+            remaining_ms: msg.remaining_ms,
             zone: zone.as_deref(),
         };
         MessageResult(self.balancer.choose(self.context.now(), &request))
@@ -279,10 +279,10 @@
 impl Handler<ObserveAttempt> for BalancerActor {
     type Result = ();
     fn handle(&mut self, msg: ObserveAttempt, _: &mut Self::Context) {
-        if let Some(ticket) = &msg.ticket {
-            self.balancer.observe_trial(ticket, msg.observed);
+        if let Some(label) = &msg.label {
+            self.balancer.observe_sample(label, msg.result);
         }
-        self.balancer.observe(self.context.now(), &msg.id, msg.observed);
+        self.balancer.observe(self.context.now(), &msg.id, msg.result);
     }
 }
 
--- a/crates/pebblepond/src/proxy.rs
+++ b/crates/pebblepond/src/proxy.rs
@@ -14,7 +14,7 @@
     ConnectionType, HttpMessage, HttpService, Method, Request, RequestHead, Response, StatusCode, Uri,
 };
 use actix_service::{boxed, fn_service, Service, ServiceFactory};
-use balancer::{Choice, Found, Observed, Outcome, Ticket, Tries};
+use balancer::{AttemptHistory, AttemptResult, Outcome, SampleLabel, SelectedWorker, Selection};
 use bytes::{Bytes, BytesMut};
 use config::{constants as c, ClientLimits, Configuration, Route, RouteKind};
 use futures_util::StreamExt;
@@ -239,7 +239,7 @@
         let mut tried: Vec<String> = Vec::new();
         // Two workers may share an address, one of them gone.
         let mut addresses: Vec<String> = Vec::new();
-        let mut tries = Tries::new(task.route.kind == RouteKind::NonIdempotent);
+        let mut tries = AttemptHistory::new(task.route.kind == RouteKind::NonIdempotent);
         // What the first worker answered, if it was an error and nobody else
         // can do better.
         let mut erred: Option<Response<BoxBody>> = None;
@@ -253,15 +253,15 @@
                 service: task.service.clone(),
                 key: task.key,
                 tried: tried.clone(),
-                left_ms: left.as_millis() as u64,
+                remaining_ms: left.as_millis() as u64,
                 client: task.client,
             };
             let choice = match self.balancer_actor.send(choose).await {
-                Ok(Found::Worker(choice)) => choice,
-                Ok(Found::Nobody(wait)) if tries.may_promise() => {
+                Ok(Selection::Worker(choice)) => choice,
+                Ok(Selection::Unavailable(wait)) if tries.may_promise() => {
                     return Err(self.give_up("refused_nobody", wait))
                 }
-                Ok(Found::Spent) if tries.may_promise() => {
+                Ok(Selection::BudgetSpent) if tries.may_promise() => {
                     return Err(self.give_up("refused_budget", c::RETRY_AFTER_MS))
                 }
                 _ => return erred.ok_or_else(|| plain(StatusCode::BAD_GATEWAY, "the worker failed")),
@@ -269,7 +269,7 @@
             let seat = Seat {
                 balancer_actor: self.balancer_actor.clone(),
                 id: choice.id.clone(),
-                ticket: choice.ticket,
+                ticket: choice.label,
                 open: Cell::new(true),
             };
             let sending = match &mut body {
@@ -285,16 +285,16 @@
             match self.one_try(request, &task, &choice, sending, seat, fresh).await {
                 Try::Answered(response) => return Ok(response),
                 Try::Late => {
-                    tries.note(Outcome::MayHaveRun);
+                    tries.note_outcome(Outcome::MayHaveRun);
                     return Err(self.too_late(tries));
                 }
                 Try::Erred(response) if last => return Ok(response),
                 Try::Erred(response) => {
-                    tries.note(Outcome::Answered);
+                    tries.note_outcome(Outcome::Answered);
                     erred = Some(response);
                 }
                 Try::Failed(outcome) => {
-                    tries.note(outcome);
+                    tries.note_outcome(outcome);
                     if last || !tries.may_repeat() {
                         if outcome == Outcome::MayHaveRun {
                             self.context.counters.add("worker_failed");
@@ -312,7 +312,7 @@
         }
     }
 
-    fn too_late(&self, tries: Tries) -> Response<BoxBody> {
+    fn too_late(&self, tries: AttemptHistory) -> Response<BoxBody> {
         if tries.may_promise() {
             self.give_up("refused_late", c::RETRY_AFTER_MS)
         } else {
@@ -325,7 +325,7 @@
         &self,
         request: &Request,
         task: &Task,
-        choice: &Choice,
+        choice: &SelectedWorker,
         sending: Sending,
         seat: Seat,
         fresh: bool,
@@ -339,8 +339,8 @@
                 () if once => c::IDLE_REUSE_NON_IDEMPOTENT_MS,
                 () => c::IDLE_REUSE_MS,
             },
-            connect_ms: c::WORKER_CONNECT_TIMEOUT_MS + 2 * choice.rtt_ms as u64,
-            silence_ms: c::WORKER_USER_TIMEOUT_MS + 2 * choice.rtt_ms as u64,
+            connect_ms: c::WORKER_CONNECT_TIMEOUT_MS + 2 * choice.round_trip_ms as u64,
+            silence_ms: c::WORKER_USER_TIMEOUT_MS + 2 * choice.round_trip_ms as u64,
             pairing: if once { Pairing::IdOnce } else { Pairing::Id },
         };
         let begun = Instant::now();
@@ -348,7 +348,7 @@
         let answer = match tokio::time::timeout(left, call).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(fault)) => {
-                seat.end(Observed::Failed);
+                seat.end(AttemptResult::Failed);
                 self.context.counters.add("tries_failed");
                 return Try::Failed(match fault {
                     Fault::NotSent => Outcome::NotRun,
@@ -356,7 +356,7 @@
                 });
             }
             Err(_) => {
-                seat.end(Observed::Late);
+                seat.end(AttemptResult::TimedOut);
                 return Try::Late;
             }
         };
@@ -364,25 +364,29 @@
             Outcome::Answered => {}
             // The worker did not say that it has not run, or another may have.
             Outcome::MayHaveRun => {
-                seat.end(Observed::Failed);
+                seat.end(AttemptResult::Failed);
                 return Try::Failed(Outcome::MayHaveRun);
             }
             outcome if answer.status == StatusCode::MISDIRECTED_REQUEST => {
                 let other = answer.headers.get("Instance-Id").and_then(|v| v.to_str().ok());
                 let gone = other.is_some_and(|id| id != choice.id);
-                seat.end(if gone { Observed::Gone } else { Observed::Elsewhere });
+                seat.end(if gone {
+                    AttemptResult::Replaced
+                } else {
+                    AttemptResult::WrongWorker
+                });
                 self.context.counters.add("elsewhere");
                 return Try::Failed(outcome);
             }
             outcome => {
-                seat.end(Observed::TurnedAway);
+                seat.end(AttemptResult::Rejected);
                 self.context.counters.add("turned_away");
                 return Try::Failed(outcome);
             }
         }
-        let took = begun.elapsed().as_secs_f64() * 1000.0 - choice.rtt_ms;
+        let took = begun.elapsed().as_secs_f64() * 1000.0 - choice.round_trip_ms;
         if answer.status.is_server_error() && matches!(answer.body, AnswerBody::Whole(_)) {
-            seat.end(Observed::Erred(took.max(1.0)));
+            seat.end(AttemptResult::Errored(took.max(1.0)));
             if !once {
                 let is_head = request.method() == Method::HEAD;
                 return Try::Erred(client_answer(answer, is_head, seat, took.max(1.0), task.ends));
@@ -426,17 +430,17 @@
 struct Seat {
     balancer_actor: Addr<BalancerActor>,
     id: String,
-    ticket: Option<Ticket>,
+    ticket: Option<SampleLabel>,
     open: Cell<bool>,
 }
 
 impl Seat {
-    fn end(&self, observed: Observed) {
+    fn end(&self, observed: AttemptResult) {
         if self.open.replace(false) {
             self.balancer_actor.do_send(ObserveAttempt {
                 id: self.id.clone(),
-                observed,
-                ticket: self.ticket,
+                result: observed,
+                label: self.ticket,
             });
         }
     }
@@ -444,7 +448,7 @@
 
 impl Drop for Seat {
     fn drop(&mut self) {
-        self.end(Observed::Abandoned);
+        self.end(AttemptResult::Abandoned);
     }
 }
 
@@ -513,7 +517,7 @@
         .collect()
 }
 
-fn worker_head(request: &Request, choice: &Choice, left: Duration) -> RequestHead {
+fn worker_head(request: &Request, choice: &SelectedWorker, left: Duration) -> RequestHead {
     let mut head = RequestHead::default();
     head.method = request.method().clone();
     head.uri = match request.uri().path_and_query() {
@@ -541,7 +545,7 @@
     let named = named_hops(&answer.headers);
     let mut response = match answer.body {
         AnswerBody::Whole(bytes) => {
-            seat.end(Observed::Answered(took));
+            seat.end(AttemptResult::Answered(took));
             if is_head {
                 let length = number(&answer.headers, "Content-Length").unwrap_or(0);
                 Response::with_body(answer.status, BoxBody::new(HeadOnly(length)))
@@ -559,11 +563,11 @@
                     match tokio::time::timeout(left, parts.next()).await {
                         Ok(Some(Ok(part))) => Some((Ok(part), (parts, Some(seat)))),
                         Ok(Some(Err(e))) => {
-                            seat.end(Observed::Failed);
+                            seat.end(AttemptResult::Failed);
                             Some((Err(e), (parts, None)))
                         }
                         Ok(None) => {
-                            seat.end(Observed::Answered(took));
+                            seat.end(AttemptResult::Answered(took));
                             None
                         }
                         Err(_) => Some((Err(std::io::Error::other("out of time")), (parts, None))),
--- a/crates/pebblepond/src/upstream.rs
+++ b/crates/pebblepond/src/upstream.rs
@@ -8,7 +8,7 @@
 use actix_http::h1::{ClientCodec, ClientPayloadCodec, Message, MessageType};
 use actix_http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use actix_http::{Method, RequestHead, RequestHeadType, ResponseHead, ServiceConfig, StatusCode};
-use balancer::{Attempt, Echo, Head, Outcome, Phase, Taken};
+use balancer::{Attempt, HeadAction, HeadSummary, IdEcho, Outcome, Phase};
 use bytes::{Bytes, BytesMut};
 use config::constants as c;
 use futures_util::future::{select, Either};
@@ -224,7 +224,7 @@
         let mut exchange = Exchange {
             attempt: match id {
                 Some(_) => Attempt::named(line.nameless),
-                None => Attempt::unnamed(),
+                None => Attempt::without_id(),
             },
             id,
             bodiless: head.method == Method::HEAD,
@@ -239,7 +239,7 @@
             return Err(fault);
         };
         let mut attempt = exchange.attempt;
-        line.nameless = attempt.is_nameless();
+        line.nameless = attempt.lacks_id();
         let framed = exchange.bodiless || is_framed(&head);
         let idle_ms = if alone || !framed || says_close(&head.headers) {
             0
@@ -254,7 +254,7 @@
         };
         let kind = line.codec.message_type();
         if kind == MessageType::None {
-            attempt.ended();
+            attempt.on_complete();
             answer.outcome = attempt.outcome();
             self.finish(address, line, idle_ms, &attempt);
             return Ok(answer);
@@ -266,7 +266,7 @@
                 Ok(Some(part)) if whole.is_empty() => whole = BytesMut::from(part),
                 Ok(Some(part)) => whole.extend_from_slice(&part),
                 Ok(None) => {
-                    attempt.ended();
+                    attempt.on_complete();
                     answer.outcome = attempt.outcome();
                     self.finish_reader(address, reader, idle_ms, &attempt);
                     answer.body = AnswerBody::Whole(whole.freeze());
@@ -295,7 +295,7 @@
 
     /// Keeps the connection if the attempt lets another request use it.
     fn finish(&self, address: &str, line: Line, idle_ms: u64, attempt: &Attempt) {
-        let usable = attempt.may_pool() && line.codec.keep_alive() && line.buf.is_empty();
+        let usable = attempt.may_reuse_connection() && line.codec.keep_alive() && line.buf.is_empty();
         if idle_ms > 0 && usable {
             self.keep(address, line, idle_ms);
         }
@@ -328,7 +328,7 @@
             match rest.reader.next().await {
                 Ok(Some(part)) => Some((Ok(part), Some(rest))),
                 Ok(None) => {
-                    rest.attempt.ended();
+                    rest.attempt.on_complete();
                     rest.upstream
                         .finish_reader(&rest.address, rest.reader, rest.idle_ms, &rest.attempt);
                     None
@@ -361,7 +361,7 @@
             _ => return Err(()),
         };
         let all = taken == out.len() && rest.is_none();
-        self.attempt.wrote(all);
+        self.attempt.on_written(all);
         if !all {
             let Line { io, buf, codec, .. } = line;
             let (mut reading, mut writing) = io.split();
@@ -373,26 +373,26 @@
                     Either::Right((sent, _)) => break sent?,
                 };
                 match self.attempt.head(judge(&head, self.id.as_ref(), self.bodiless)) {
-                    Taken::Ours => return Ok(head),
-                    Taken::Interim => {}
+                    HeadAction::Ours => return Ok(head),
+                    HeadAction::Interim => {}
                     // Its body would have to be passed over meanwhile.
-                    Taken::Stranger | Taken::Broken => return Err(()),
+                    HeadAction::Unmatched | HeadAction::Broken => return Err(()),
                 }
             }
-            self.attempt.wrote(true);
+            self.attempt.on_written(true);
         }
         loop {
             let Line { io, buf, codec, .. } = self.line.as_mut().ok_or(())?;
             let head = read_head(io, buf, codec).await?;
             match self.attempt.head(judge(&head, self.id.as_ref(), self.bodiless)) {
-                Taken::Ours => return Ok(head),
-                Taken::Interim => {}
+                HeadAction::Ours => return Ok(head),
+                HeadAction::Interim => {}
                 // A surplus answer to somebody else stands where ours is due.
-                Taken::Stranger => {
+                HeadAction::Unmatched => {
                     let line = self.line.take().ok_or(())?;
                     self.line = Some(pass_over(line).await?);
                 }
-                Taken::Broken => return Err(()),
+                HeadAction::Broken => return Err(()),
             }
         }
     }
@@ -405,7 +405,7 @@
             Outcome::NotRun => Fault::NotSent,
             _ => Fault::Unclear,
         };
-        (fault, silent && self.attempt.phase() < Phase::Begun)
+        (fault, silent && self.attempt.phase() < Phase::ResponseStarted)
     }
 }
 
@@ -427,14 +427,14 @@
 }
 
 /// What a head says of the request of this id.
-fn judge(head: &ResponseHead, id: Option<&HeaderValue>, bodiless: bool) -> Head {
+fn judge(head: &ResponseHead, id: Option<&HeaderValue>, bodiless: bool) -> HeadSummary {
     let headers = &head.headers;
-    Head {
+    HeadSummary {
         status: head.status.as_u16(),
         echo: match (id, single(headers, ATTEMPT)) {
-            (Some(ours), Some(theirs)) if ours == theirs => Echo::Ours,
-            _ if headers.contains_key(ATTEMPT) => Echo::Other,
-            _ => Echo::Missing,
+            (Some(ours), Some(theirs)) if ours == theirs => IdEcho::Ours,
+            _ if headers.contains_key(ATTEMPT) => IdEcho::Other,
+            _ => IdEcho::Missing,
         },
         not_executed: headers.contains_key("not-executed"),
         sealed: headers.contains_key("server-seal") && (bodiless || is_framed(head)),
--- a/crates/simulation/examples/capacity.rs
+++ b/crates/simulation/examples/capacity.rs
@@ -10,7 +10,7 @@
 //! target size. Processor time is that of this thread. Ends by itself in about two
 //! minutes and a few hundred megabytes.
 
-use balancer::{LoadBalancer, Neighbours, Observed, Place, Request};
+use balancer::{AttemptResult, LoadBalancer, Locality, PeerInfo, SelectionRequest};
 use config::{constants as c, settings::Bounds, Configuration, RouteKind};
 use control_state::{ControlState, KEY_SPACE};
 use gossip::{Config, Member, MembershipProtocol, Message};
@@ -298,16 +298,16 @@
             .map(|z| (format!("zone-{z}"), format!("region-{}", z % 16)))
             .collect();
         let mut balancer = LoadBalancer::new("zone-1", zones, Bounds::default(), 1);
-        balancer.set_stage(1, held.clone());
-        balancer.set_neighbours(Neighbours {
-            place: Place {
-                edges: 6900,
+        balancer.set_state(1, held.clone());
+        balancer.set_peers(PeerInfo {
+            locality: Locality {
+                nodes: 6900,
                 number: 3,
-                in_zone: 186,
+                nodes_in_zone: 186,
                 number_in_zone: 3,
             },
-            me: 1,
-            rtt: BTreeMap::new(),
+            own_id: 1,
+            round_trips: BTreeMap::new(),
         });
         let config = stage.configuration.clone().expect("there");
         let route = config.route("h1.example", "/a1/x").expect("there").clone();
@@ -318,16 +318,16 @@
             "us",
             micros(|| {
                 now += 1;
-                let ask = Request {
+                let ask = SelectionRequest {
                     route: &route,
                     key: None,
                     service: "service-1",
                     tried: &[],
-                    left_ms: 2000,
+                    remaining_ms: 2000,
                     zone: None,
                 };
-                if let balancer::Found::Worker(w) = balancer.choose(now, &ask) {
-                    balancer.observe(now, &w.id, Observed::Answered(90.0));
+                if let balancer::Selection::Worker(w) = balancer.choose(now, &ask) {
+                    balancer.observe(now, &w.id, AttemptResult::Answered(90.0));
                 }
             }),
         );
@@ -336,7 +336,7 @@
             "us a node",
             micros(|| {
                 word_of_one(&mut held);
-                balancer.set_stage(now, held.clone());
+                balancer.set_state(now, held.clone());
             }),
         );
         // The leader's duties.
--- a/crates/simulation/tests/cold.rs
+++ b/crates/simulation/tests/cold.rs
@@ -1,7 +1,7 @@
 //! Whatever comes at a cold worker, all nodes together stay within its bound:
 //! arbitrary arrivals, joins, restarts, leaders and views that lag behind.
 
-use balancer::{Found, LoadBalancer, Neighbours, Observed, Place, Request};
+use balancer::{AttemptResult, LoadBalancer, Locality, PeerInfo, Selection, SelectionRequest};
 use config::{constants as c, settings::Bounds};
 use control_state::{ControlState, KEY_SPACE};
 use placement::{Caller, Casting, Listed, Scene};
@@ -290,7 +290,7 @@
             if self.nodes[node].id == id {
                 self.nodes[node]
                     .balancer
-                    .observe(now, &worker, Observed::Answered(60.0));
+                    .observe(now, &worker, AttemptResult::Answered(60.0));
             }
         }
         for i in 0..self.nodes.len() {
@@ -309,7 +309,7 @@
         let newest = log.partition_point(|(at, _)| at + node.lag_ms <= now).max(1) - 1;
         if node.seen < newest {
             node.seen = newest;
-            node.balancer.set_stage(now, log[newest].1.clone());
+            node.balancer.set_state(now, log[newest].1.clone());
         }
         // Who has just begun knows nobody.
         let alone = now < node.up_at + 1000;
@@ -318,15 +318,15 @@
         } else {
             (edges, edges / ZONES as usize)
         };
-        node.balancer.set_neighbours(Neighbours {
-            place: Place {
-                edges,
+        node.balancer.set_peers(PeerInfo {
+            locality: Locality {
+                nodes: edges,
                 number: 0,
-                in_zone: in_zone.max(1),
+                nodes_in_zone: in_zone.max(1),
                 number_in_zone: 0,
             },
-            me: node.id,
-            rtt: BTreeMap::new(),
+            own_id: node.id,
+            round_trips: BTreeMap::new(),
         });
         let Some(config) = log[node.seen].1.configuration.clone() else {
             return;
@@ -340,15 +340,15 @@
                     continue;
                 };
                 let tried: Vec<String> = Vec::new();
-                let ask = Request {
+                let ask = SelectionRequest {
                     route,
                     key: (service == "k").then(|| self.rng.gen_range(0..KEY_SPACE)),
                     service,
                     tried: &tried,
-                    left_ms: 8000,
+                    remaining_ms: 8000,
                     zone: None,
                 };
-                if let Found::Worker(found) = node.balancer.choose(now, &ask) {
+                if let Selection::Worker(found) = node.balancer.choose(now, &ask) {
                     let answer = (now + 60, i, node.id, found.id.clone());
                     self.answers.push(answer);
                     if let Some(w) = self.workers.get_mut(&found.id) {
--- a/crates/simulation/tests/rollouts.rs
+++ b/crates/simulation/tests/rollouts.rs
@@ -19,7 +19,7 @@
 //! At the end of each: a bad version had no more than it may have, lost its traffic
 //! in time, and what was said to have ended has ended everywhere.
 
-use balancer::{Found, LoadBalancer, Neighbours, Observed, Place, Request, Ticket};
+use balancer::{AttemptResult, LoadBalancer, Locality, PeerInfo, SampleLabel, Selection, SelectionRequest};
 use config::settings::Bounds;
 use control_state::{ControlState, Outcome};
 use protocol::*;
@@ -79,8 +79,8 @@
     node: usize,
     life: u64,
     worker: String,
-    ticket: Option<Ticket>,
-    end: Observed,
+    ticket: Option<SampleLabel>,
+    end: AttemptResult,
 }
 
 struct Fleet {
@@ -361,7 +361,10 @@
             if let Some(w) = worker {
                 w.inflight = w.inflight.saturating_sub(1);
             }
-            let bad = matches!(f.end, Observed::Erred(_) | Observed::Answered(900.0..));
+            let bad = matches!(
+                f.end,
+                AttemptResult::Errored(_) | AttemptResult::Answered(900.0..)
+            );
             if new && bad && self.kind != Kind::Good {
                 self.bad_answers += 1;
                 if self.bad_answers == 50 {
@@ -371,7 +374,7 @@
             let node = &mut self.nodes[f.node];
             if node.id == f.life {
                 if let Some(ticket) = &f.ticket {
-                    node.balancer.observe_trial(ticket, f.end);
+                    node.balancer.observe_sample(ticket, f.end);
                 }
                 node.balancer.observe(now, &f.worker, f.end);
             }
@@ -383,14 +386,14 @@
             for i in 0..self.nodes.len() {
                 let delay = self.rng.gen_range(100..700);
                 let node = &mut self.nodes[i];
-                let trials = node.balancer.take_trials();
+                let trials = node.balancer.take_samples();
                 let sums = node
                     .balancer
-                    .take_observed()
+                    .take_observations()
                     .iter()
-                    .filter(|(id, ..)| id.starts_with("v1"))
-                    .fold((0, 0), |sum, (_, _, served, failed)| {
-                        (sum.0 + served, sum.1 + failed)
+                    .filter(|observation| observation.worker.starts_with("v1"))
+                    .fold((0, 0), |sum, observation| {
+                        (sum.0 + observation.served, sum.1 + observation.failed)
                     });
                 if node.up_at <= now && node.cut_until <= now && now >= self.core_cut_until {
                     self.reports.push((now + delay, trials, sums.0, sums.1));
@@ -409,23 +412,23 @@
         }
         let hears = node.cut_until <= now && now >= self.core_cut_until;
         if hears {
-            node.balancer.set_contact(now);
+            node.balancer.set_last_contact(now);
             node.heard_at = now;
             let newest = self.log.partition_point(|(at, _)| at + node.lag_ms <= now).max(1) - 1;
             if node.seen < newest {
                 node.seen = newest;
-                node.balancer.set_stage(now, self.log[newest].1.clone());
+                node.balancer.set_state(now, self.log[newest].1.clone());
             }
         }
-        node.balancer.set_neighbours(Neighbours {
-            place: Place {
-                edges: count,
+        node.balancer.set_peers(PeerInfo {
+            locality: Locality {
+                nodes: count,
                 number: i,
-                in_zone: count / ZONES as usize,
+                nodes_in_zone: count / ZONES as usize,
                 number_in_zone: i / ZONES as usize,
             },
-            me: node.id,
-            rtt: BTreeMap::new(),
+            own_id: node.id,
+            round_trips: BTreeMap::new(),
         });
         let Some(config) = self.log[node.seen].1.configuration.clone() else {
             return;
@@ -440,16 +443,16 @@
         };
         let mut tried: Vec<String> = Vec::new();
         for _ in 0..2 {
-            let ask = Request {
+            let ask = SelectionRequest {
                 route,
                 key: None,
                 service: "s",
                 tried: &tried,
-                left_ms: 4000,
+                remaining_ms: 4000,
                 zone: None,
             };
             let node = &mut self.nodes[i];
-            let Found::Worker(found) = node.balancer.choose(now, &ask) else {
+            let Selection::Worker(found) = node.balancer.choose(now, &ask) else {
                 return;
             };
             let in_term = now >= self.ordered_at && now < self.term && self.ordered_at > 0;
@@ -488,11 +491,11 @@
                 if self.kind == Kind::Slow {
                     ms *= 8.0;
                 } else {
-                    end = Some(Observed::Erred(ms));
+                    end = Some(AttemptResult::Errored(ms));
                 }
             }
             if dark {
-                end = Some(Observed::Failed);
+                end = Some(AttemptResult::Failed);
                 ms = 300.0;
             }
             self.flights.push(Flight {
@@ -500,8 +503,8 @@
                 node: i,
                 life: self.nodes[i].id,
                 worker: found.id.clone(),
-                ticket: found.ticket,
-                end: end.unwrap_or(Observed::Answered(ms)),
+                ticket: found.label,
+                end: end.unwrap_or(AttemptResult::Answered(ms)),
             });
             // What failed is tried once more, on the old version.
             if end.is_none() {
