--- a/crates/pebblepond/src/admin_http.rs
+++ b/crates/pebblepond/src/admin_http.rs
@@ -303,5 +303,5 @@
         .collect();
     let service = services.choose(rng)?;
     let usable = |site: &str| up.iter().any(|m| m.region == site);
-    placement::draw(&state.fractions, service, &asked.zone, rng.gen(), usable).map(str::to_string)
+    placement::draw_site(&state.fractions, service, &asked.zone, rng.gen(), usable).map(str::to_string)
 }
--- a/crates/pebblepond/src/balancer_actor.rs
+++ b/crates/pebblepond/src/balancer_actor.rs
@@ -155,7 +155,7 @@
         }
         let chance = rand::thread_rng().gen();
         let group = &settings.own_entity.zone;
-        placement::draw(&self.state.fractions, service, group, chance, |_| true).map(str::to_string)
+        placement::draw_site(&self.state.fractions, service, group, chance, |_| true).map(str::to_string)
     }
 
     fn report(&mut self) {
--- a/crates/pebblepond/src/discovery/listing.rs
+++ b/crates/pebblepond/src/discovery/listing.rs
@@ -1,5 +1,5 @@
 //! The pages of one reading of the platform's list. They are put together only
-//! if they belong together, and go by only in the duty in which they were asked for.
+//! if they belong together, and go by only while the node leads without a break since they were asked for.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,16 +15,16 @@
 
 /// A reading under way, of entries by their identifier.
 pub struct Listing<T> {
-    /// The duty in which it was begun: since when the node has led.
-    duty: u64,
+    /// Since when the node had led as it was begun, ms.
+    leader_since: u64,
     asked: BTreeSet<String>,
     entries: BTreeMap<String, T>,
 }
 
 impl<T> Listing<T> {
-    pub fn begin(duty: u64) -> Listing<T> {
+    pub fn new(leader_since: u64) -> Listing<T> {
         Listing {
-            duty,
+            leader_since,
             asked: BTreeSet::new(),
             entries: BTreeMap::new(),
         }
@@ -32,7 +32,7 @@
 
     /// Takes the page that was asked for. A page that leads to one that was asked
     /// for before is the answer to an earlier call.
-    pub fn page(&mut self, entries: BTreeMap<String, T>, token: Option<String>) -> Next {
+    pub fn add_page(&mut self, entries: BTreeMap<String, T>, token: Option<String>) -> Next {
         self.entries.extend(entries);
         match token {
             Some(token) if !token.is_empty() => {
@@ -46,10 +46,10 @@
         }
     }
 
-    /// All entries, if the duty is still the one in which the reading was begun:
-    /// in between, another leader may have read a newer list.
-    pub fn finish(self, duty: Option<u64>) -> Option<BTreeMap<String, T>> {
-        (duty == Some(self.duty)).then_some(self.entries)
+    /// All entries, if the node has led all the time since the reading began: in between,
+    /// another leader may have read a newer list.
+    pub fn finish(self, leader_since: Option<u64>) -> Option<BTreeMap<String, T>> {
+        (leader_since == Some(self.leader_since)).then_some(self.entries)
     }
 }
 
--- a/crates/pebblepond/src/discovery/mod.rs
+++ b/crates/pebblepond/src/discovery/mod.rs
@@ -9,7 +9,7 @@
 use actix::prelude::*;
 use config::{constants as c, DurationText};
 use listing::{Listing, Next};
-use placement::{is_nothing, Caller, Casting, Scene};
+use placement::{is_empty_change, DiscoveryInput, ProxyNode, WarmupAdmission};
 use protocol::{ChangeKind, Worker};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -27,8 +27,8 @@
         let mut discovery = Discovery {
             context,
             upstream: Upstream::new(),
-            casting: Casting::default(),
-            since: None,
+            warmup: WarmupAdmission::default(),
+            leader_since: None,
         };
         loop {
             let pause = discovery.round().await;
@@ -41,13 +41,13 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Page {
-    instances: BTreeMap<String, Listed>,
+    instances: BTreeMap<String, ListedInstance>,
     next_token: Option<String>,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct Listed {
+struct ListedInstance {
     service: String,
     address: String,
     zone: String,
@@ -60,7 +60,7 @@
     cold_left: DurationText,
 }
 
-impl Listed {
+impl ListedInstance {
     fn into_row(self, id: String) -> Worker {
         Worker {
             id,
@@ -83,9 +83,9 @@
 struct Discovery {
     context: Rc<NodeContext>,
     upstream: Rc<Upstream>,
-    casting: Casting,
+    warmup: WarmupAdmission,
     /// Since when this node leads, as far as the list goes.
-    since: Option<u64>,
+    leader_since: Option<u64>,
 }
 
 impl Discovery {
@@ -101,32 +101,30 @@
         let Ok(Some(since)) = driver.send(LeaderLease).await else {
             return IDLE_MS;
         };
-        if self.since != Some(since) {
-            self.since = Some(since);
-            self.casting.begin();
+        if self.leader_since != Some(since) {
+            self.leader_since = Some(since);
+            self.warmup.reset();
         }
         let begun = self.context.now();
         let as_of = self.context.state.get().index;
         let mut pages = 0;
         if let Some(listing) = self.read_list(since, &mut pages).await {
-            let duty = driver.send(LeaderLease).await.ok().flatten();
-            let Some(listed) = listing.finish(duty) else {
-                self.context.counters.add("listings_of_another_duty");
+            let lease = driver.send(LeaderLease).await.ok().flatten();
+            let Some(listed) = listing.finish(lease) else {
+                self.context.counters.add("listings_of_another_lease");
                 return IDLE_MS;
             };
             let listed = listed.into_iter().map(|(id, l)| (id.clone(), l.into_row(id)));
             let settings = self.context.settings.get();
-            let scene = Scene {
-                stage: &self.context.state.get(),
+            let input = DiscoveryInput {
+                state: &self.context.state.get(),
                 as_of,
-                callers: &self.callers(),
+                nodes: &self.proxy_nodes(),
                 bounds: &settings.terms.bounds,
                 lag_ms: settings.platform.cloud_api.lag.ms,
             };
-            let change = self
-                .casting
-                .compare(self.context.now(), &listed.collect(), &scene);
-            if !is_nothing(&change) {
+            let change = self.warmup.compare(self.context.now(), &listed.collect(), &input);
+            if !is_empty_change(&change) {
                 let _ = driver.send(Propose(ChangeKind::Workers(change))).await;
             }
         } else {
@@ -138,20 +136,20 @@
     }
 
     /// The nodes that take clients.
-    fn callers(&self) -> Vec<Caller> {
+    fn proxy_nodes(&self) -> Vec<ProxyNode> {
         let members = self.context.members.get();
         let serving = members.iter().filter(|m| m.is_alive() && m.is_ready && m.id != 0);
         serving
-            .map(|m| Caller {
+            .map(|m| ProxyNode {
                 id: m.id,
                 zone: m.zone.clone(),
             })
             .collect()
     }
 
-    async fn read_list(&self, duty: u64, pages: &mut u64) -> Option<Listing<Listed>> {
+    async fn read_list(&self, leader_since: u64, pages: &mut u64) -> Option<Listing<ListedInstance>> {
         let address = self.context.settings.get().platform.cloud_api.address.to_string();
-        let mut listing = Listing::begin(duty);
+        let mut listing = Listing::new(leader_since);
         let mut path = "/instances".to_string();
         loop {
             *pages += 1;
@@ -170,7 +168,7 @@
                 return None;
             }
             let page: Page = serde_json::from_slice(&body).ok()?;
-            match listing.page(page.instances, page.next_token) {
+            match listing.add_page(page.instances, page.next_token) {
                 Next::Page(token) => path = format!("/instances?PageToken={token}"),
                 Next::Done => return Some(listing),
                 Next::Broken => return None,
--- /dev/null
+++ b/crates/placement/src/demand.rs
@@ -0,0 +1,253 @@
+//! What the reports of the nodes add up to: demand, capacities and distances.
+
+use crate::assignment::{GroupSite, PlacementInput, ServiceGroup, ServiceSite};
+use config::{constants as c, WeightedService};
+use control_state::ControlState;
+use protocol::{name_hash, Report};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// What a site forwards of which nobody says how much it can, requests/s.
+const UNBOUNDED_RATE: f64 = 1e6;
+/// Below this many outcomes a worker is forgotten.
+const FORGET_BELOW: f64 = 0.1;
+
+/// The last report of a node.
+struct LatestReport {
+    at: u64,
+    report: Report,
+}
+
+/// Outcomes of a worker; all fade.
+#[derive(Clone, Copy, Default)]
+struct WorkerOutcomes {
+    /// Sum of the response times of those served, ms.
+    response_ms: f64,
+    served: f64,
+    failed: f64,
+}
+
+impl WorkerOutcomes {
+    fn fade(&mut self) {
+        self.response_ms *= 1.0 - c::RATE_SMOOTHING;
+        self.served *= 1.0 - c::RATE_SMOOTHING;
+        self.failed *= 1.0 - c::RATE_SMOOTHING;
+    }
+
+    fn mean_response_ms(&self) -> f64 {
+        if self.served > 0.5 {
+            (self.response_ms / self.served).max(1.0)
+        } else {
+            c::DEFAULT_RESPONSE_MS
+        }
+    }
+}
+
+/// The hash of a service's name, and a client group.
+type DemandKey = (u32, String);
+
+/// Rates, capacities and distances as the leader knows them.
+#[derive(Default)]
+pub struct DemandTracker {
+    /// Requests counted since the last decision.
+    counted: BTreeMap<DemandKey, f64>,
+    /// When the period under way began, ms.
+    since: Option<u64>,
+    /// Smoothed rates, requests/s.
+    rates: BTreeMap<DemandKey, f64>,
+    /// Reports by node and site: a node passes on those of its followers.
+    latest: BTreeMap<(u64, String), LatestReport>,
+    /// By the hash of the worker's name.
+    outcomes: BTreeMap<u32, WorkerOutcomes>,
+}
+
+impl DemandTracker {
+    /// Counts a node's report.
+    pub fn record(&mut self, now: u64, node: u64, report: Report) {
+        self.since.get_or_insert(now.saturating_sub(report.interval_ms));
+        for demand in &report.demand {
+            let group = if demand.group.is_empty() {
+                &report.zone
+            } else {
+                &demand.group
+            };
+            *self.counted.entry((demand.service, group.clone())).or_default() += demand.count as f64;
+        }
+        for worker in &report.workers {
+            let outcomes = self.outcomes.entry(worker.worker).or_default();
+            outcomes.response_ms += f64::from(worker.response_ms) * worker.served as f64;
+            outcomes.served += worker.served as f64;
+            outcomes.failed += worker.failed as f64;
+        }
+        self.latest
+            .insert((node, report.site.clone()), LatestReport { at: now, report });
+    }
+
+    /// Closes the period that ends now: smooths the rates and returns what a
+    /// decision rests on. A group that nobody reports of keeps a rate that
+    /// fades, and never falls below the threshold for deletion, so that
+    /// silence alone takes no site from it. `sites_up` are the sites whose
+    /// proxies are up; without it, no proxies stand before a site's workers.
+    pub fn close_period(
+        &mut self,
+        now: u64,
+        state: &ControlState,
+        zones: &BTreeMap<String, String>,
+        sites_up: Option<&BTreeSet<String>>,
+    ) -> PlacementInput {
+        self.smooth(now);
+        self.latest
+            .retain(|_, latest| now.saturating_sub(latest.at) < c::REPORT_STALE_MS);
+        let sites: BTreeSet<String> = zones.values().cloned().collect();
+        let mut input = PlacementInput {
+            sites: sites.into_iter().collect(),
+            ..Default::default()
+        };
+        let Some(config) = &state.configuration else {
+            return input;
+        };
+        for service in config.services.keys() {
+            for zone in zones.keys() {
+                let key = ServiceGroup {
+                    service: service.to_string(),
+                    group: zone.clone(),
+                };
+                input.demand.insert(key, self.rate(service, zone));
+            }
+        }
+        self.add_worker_capacity(state, zones, &mut input);
+        for site in &input.sites {
+            let rate = self.forwarding_rate(site, sites_up);
+            input.forwarding_capacity.insert(site.clone(), rate);
+        }
+        for (zone, home) in zones {
+            for site in &input.sites {
+                let key = GroupSite {
+                    group: zone.clone(),
+                    site: site.clone(),
+                };
+                input.distance.insert(key, self.round_trip_ms(home, site));
+            }
+        }
+        input
+    }
+
+    /// The smoothed rate of a service's requests from a zone, requests/s.
+    fn rate(&self, service: &str, zone: &str) -> f64 {
+        let known = self.rates.get(&(name_hash(service), zone.to_string()));
+        known.copied().unwrap_or(0.0).max(c::DELETION_THRESHOLD)
+    }
+
+    /// What a site's proxies can forward, requests/s.
+    fn forwarding_rate(&self, site: &str, sites_up: Option<&BTreeSet<String>>) -> f64 {
+        let reports = self.latest.values().filter(|l| l.report.site == *site);
+        let reported: f64 = reports.map(|l| l.report.forwarding_rate).sum();
+        match sites_up.map(|up| up.contains(site)) {
+            Some(false) => 0.0,
+            Some(true) if reported > 0.0 => reported,
+            // A site that is up but whose reports are missing counts as able.
+            Some(true) | None => UNBOUNDED_RATE,
+        }
+    }
+
+    fn smooth(&mut self, now: u64) {
+        let Some(since) = self.since.replace(now) else {
+            return;
+        };
+        let seconds = now.saturating_sub(since) as f64 / 1000.0;
+        if seconds <= 0.0 {
+            return;
+        }
+        self.outcomes.values_mut().for_each(WorkerOutcomes::fade);
+        self.outcomes
+            .retain(|_, outcomes| outcomes.served + outcomes.failed > FORGET_BELOW);
+        for rate in self.rates.values_mut() {
+            *rate *= 1.0 - c::RATE_SMOOTHING;
+        }
+        for (key, count) in std::mem::take(&mut self.counted) {
+            let fresh = count / seconds;
+            match self.rates.get_mut(&key) {
+                Some(rate) => *rate += c::RATE_SMOOTHING * fresh,
+                None => {
+                    self.rates.insert(key, fresh);
+                }
+            }
+        }
+    }
+
+    /// Slots over response time, for workers that are listed as ready, may be
+    /// used and do not mostly fail.
+    fn add_worker_capacity(
+        &self,
+        state: &ControlState,
+        zones: &BTreeMap<String, String>,
+        input: &mut PlacementInput,
+    ) {
+        let homes = home_regions(state);
+        for worker in state.workers.values() {
+            let Some(site) = zones.get(&worker.zone) else {
+                continue;
+            };
+            if worker.draining
+                || state.evacuated.contains_key(&worker.zone)
+                || state.ejected.contains(&worker.id)
+            {
+                continue;
+            }
+            if let Some(Some(allowed)) = homes.get(worker.service.as_str()) {
+                if !allowed.contains(site.as_str()) {
+                    continue;
+                }
+            }
+            let outcomes = self.outcomes.get(&name_hash(&worker.id));
+            let outcomes = outcomes.copied().unwrap_or_default();
+            if outcomes.failed > outcomes.served {
+                continue;
+            }
+            let key = ServiceSite {
+                service: worker.service.clone(),
+                site: site.clone(),
+            };
+            *input.worker_capacity.entry(key).or_default() +=
+                f64::from(worker.slots.max(1)) * 1000.0 / outcomes.mean_response_ms();
+        }
+    }
+
+    /// Mean round trip between two sites as nodes report it, ms.
+    fn round_trip_ms(&self, from: &str, to: &str) -> f64 {
+        if from == to {
+            return c::LOCAL_RTT_MS;
+        }
+        let reported: Vec<f64> = self
+            .latest
+            .values()
+            .filter(|latest| latest.report.site == from)
+            .flat_map(|latest| &latest.report.round_trips)
+            .filter(|trip| trip.site == name_hash(to) && trip.rtt_ms > 0.0)
+            .map(|trip| f64::from(trip.rtt_ms))
+            .collect();
+        if reported.is_empty() {
+            c::DEFAULT_RTT_MS
+        } else {
+            reported.iter().sum::<f64>() / reported.len() as f64
+        }
+    }
+}
+
+/// The regions that the routes to a service are bound to; `None` if one of them is free.
+fn home_regions(state: &ControlState) -> BTreeMap<&str, Option<BTreeSet<&str>>> {
+    let mut homes: BTreeMap<&str, Option<BTreeSet<&str>>> = BTreeMap::new();
+    let Some(config) = &state.configuration else {
+        return homes;
+    };
+    for route in config.hosts.values().flatten() {
+        for WeightedService { service, .. } in &route.split {
+            let known = homes.entry(service).or_insert_with(|| Some(BTreeSet::new()));
+            if route.home_regions.is_empty() {
+                *known = None;
+            } else if let Some(regions) = known {
+                regions.extend(route.home_regions.iter().map(String::as_str));
+            }
+        }
+    }
+    homes
+}
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,20 +1,29 @@
 //! Placement: which sites the directory points the clients of each group at,
-//! for each service.
+//! for each service; which workers are ejected; which nodes may call a warming worker.
 //!
-//! A site is a region, a client group is a client zone. The method is that of
-//! the project's design: a watermark-capped min-cost flow over merged groups,
-//! then a second flow that removes tiny flows, with hysteresis.
+//! A site is a region, a client group is a client zone. The method is that of the project's
+//! design: a watermark-capped min-cost flow over merged groups, then a second flow that removes
+//! tiny flows, with hysteresis. All of it is pure computation, run by the leader under its lease.
+//!
+//! - [`DemandTracker`] sums up the reports of the nodes to a [`PlacementInput`];
+//! - [`compute_placement`] turns that into a [`Placement`];
+//! - [`draw_site`] applies a placement to one client;
+//! - [`OutlierDetector`] decides which workers are ejected;
+//! - [`WarmupAdmission`] compares the platform's list of workers with the control state.
 
-mod bench;
-mod casting;
-mod draw;
-mod flow;
-mod ledger;
-mod place;
+mod assignment;
+mod consolidation;
+mod demand;
+mod min_cost_flow;
+mod outlier;
+mod warmup_admission;
+mod weighted_choice;
 
-pub use bench::Bench;
-pub use casting::{is_nothing, Caller, Casting, Listed, Scene};
-pub use draw::draw;
-pub use flow::Network;
-pub use ledger::{differs, Ledger};
-pub use place::{place, Inputs, Options, Placement};
+pub use assignment::{
+    compute_placement, differs, GroupSite, Options, Placement, PlacementInput, ServiceGroup, ServiceSite,
+};
+pub use demand::DemandTracker;
+pub use min_cost_flow::{Network, Solution};
+pub use outlier::OutlierDetector;
+pub use warmup_admission::{is_empty_change, DiscoveryInput, ProxyNode, WarmupAdmission};
+pub use weighted_choice::draw_site;
--- a/crates/simulation/examples/capacity.rs
+++ b/crates/simulation/examples/capacity.rs
@@ -15,7 +15,7 @@
 use control_state::{ControlState, KEY_SPACE};
 use gossip::{Config, Member, MembershipProtocol, Message};
 use key_ownership::{Action, GrantResult, OwnershipManager};
-use placement::{Bench, Caller, Casting, Scene};
+use placement::{DiscoveryInput, OutlierDetector, ProxyNode, WarmupAdmission};
 use prost::Message as _;
 use protocol::*;
 use simulation::world::World;
@@ -340,8 +340,8 @@
             }),
         );
         // The leader's duties.
-        let callers: Vec<Caller> = (0..NODES as u64)
-            .map(|id| Caller {
+        let callers: Vec<ProxyNode> = (0..NODES as u64)
+            .map(|id| ProxyNode {
                 id,
                 zone: format!("zone-{}", id % 37),
             })
@@ -352,23 +352,23 @@
             .map(|(id, w)| (id.clone(), (**w).clone()))
             .collect();
         let bounds = Bounds::default();
-        let mut casting = Casting::default();
+        let mut warmup = WarmupAdmission::default();
         note(
             "leader: the list against the state",
             "us a look",
             micros(|| {
-                let scene = Scene {
-                    stage: &stage,
+                let input = DiscoveryInput {
+                    state: &stage,
                     as_of: stage.index,
-                    callers: &callers,
+                    nodes: &callers,
                     bounds: &bounds,
                     lag_ms: 800,
                 };
-                casting.compare(now, &listed, &scene);
+                warmup.compare(now, &listed, &input);
             }),
         );
-        let mut bench = Bench::default();
-        bench.begin(0);
+        let mut bench = OutlierDetector::default();
+        bench.reset(0);
         let seen: Vec<WorkerStats> = stage
             .workers
             .keys()
@@ -383,8 +383,8 @@
             "leader: who fails",
             "us a look",
             micros(|| {
-                bench.take(&seen);
-                bench.decide(20_000, &stage);
+                bench.record(&seen);
+                bench.evaluate(20_000, &stage);
             }),
         );
         let mut ownership = OwnershipManager::new(10_000, 300);
--- a/crates/simulation/tests/cold.rs
+++ b/crates/simulation/tests/cold.rs
@@ -4,7 +4,7 @@
 use balancer::{AttemptResult, LoadBalancer, Locality, PeerInfo, Selection, SelectionRequest};
 use config::{constants as c, settings::Bounds};
 use control_state::{ControlState, KEY_SPACE};
-use placement::{Caller, Casting, Listed, Scene};
+use placement::{DiscoveryInput, ProxyNode, WarmupAdmission};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use protocol::*;
@@ -70,7 +70,7 @@
 }
 
 struct Worker {
-    row: Listed,
+    row: protocol::Worker,
     cold_until: u64,
     /// It is cold from then on; the list shows it later.
     cold_from: u64,
@@ -84,7 +84,7 @@
     workers: BTreeMap<String, Worker>,
     /// The log: when each state was reached.
     log: Vec<(u64, Arc<ControlState>)>,
-    casting: Casting,
+    warmup: WarmupAdmission,
     bounds: Bounds,
     per_s: f64,
     next_id: u64,
@@ -107,7 +107,7 @@
             nodes: Vec::new(),
             workers: BTreeMap::new(),
             log: vec![(0, Arc::new(ControlState::default()))],
-            casting: Casting::default(),
+            warmup: WarmupAdmission::default(),
             bounds,
             per_s: 100.0,
             next_id: 1,
@@ -147,7 +147,7 @@
     }
 
     fn worker(&mut self, id: &str, service: &str, zone: u64, cold_ms: u64) {
-        let row = Listed {
+        let row = protocol::Worker {
             id: id.into(),
             service: service.into(),
             zone: format!("z{zone}"),
@@ -215,7 +215,7 @@
                 self.evacuate(zone, true);
                 self.back.push((self.now + for_ms, zone));
             }
-            Event::NewLeader => self.casting.begin(),
+            Event::NewLeader => self.warmup.reset(),
         }
     }
 
@@ -236,25 +236,25 @@
             }
             listed.insert(id.clone(), row);
         }
-        let callers: Vec<Caller> = self
+        let callers: Vec<ProxyNode> = self
             .nodes
             .iter()
             .filter(|n| n.up_at <= now)
-            .map(|n| Caller {
+            .map(|n| ProxyNode {
                 id: n.id,
                 zone: format!("z{}", n.zone),
             })
             .collect();
         let stage = self.stage();
-        let scene = Scene {
-            stage: &stage,
+        let input = DiscoveryInput {
+            state: &stage,
             as_of: stage.index,
-            callers: &callers,
+            nodes: &callers,
             bounds: &self.bounds,
             lag_ms: LAG_MS,
         };
-        let change = self.casting.compare(now, &listed, &scene);
-        if !placement::is_nothing(&change) {
+        let change = self.warmup.compare(now, &listed, &input);
+        if !placement::is_empty_change(&change) {
             self.change(ChangeKind::Workers(change));
         }
     }
