--- a/crates/pebblepond/src/answers_tests.rs
+++ b/crates/pebblepond/src/answers_tests.rs
@@ -2,7 +2,7 @@
 //! interim, nameless, late or cut, on fresh and on used connections.
 
 use crate::forwarding_tests::{get, node, post, proxy, raw, status, CONFIG};
-use crate::upstream::{simple, Simple, Upstream};
+use crate::upstream::{call_api, ApiCall, Upstream};
 use protocol::{Change, ChangeKind, ConfigurationCommand};
 use socket2::SockRef;
 use std::cell::RefCell;
@@ -388,16 +388,16 @@
     let upstream = Upstream::new();
     let mut told = Vec::new();
     for (path, fresh) in [("/grant", false), ("/release", false), ("/release", true)] {
-        let call = Simple {
+        let call = ApiCall {
             method: actix_http::Method::POST,
             address: &address,
             path,
             worker: Some("i-1"),
             body: Some("{}".into()),
-            wait_ms: 5000,
-            fresh,
+            timeout_ms: 5000,
+            on_new_connection: fresh,
         };
-        let (status, _, _) = simple(&upstream, call).await.expect("an answer");
+        let status = call_api(&upstream, call).await.expect("an answer").status;
         told.push(status.as_u16());
     }
     assert_eq!(told, [200, 200, 503], "used again, it tells a lie");
--- a/crates/pebblepond/src/discovery/mod.rs
+++ b/crates/pebblepond/src/discovery/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::control::{LeaderLease, Propose, RaftDriver};
 use crate::kernel::{Component, NodeContext, StartError};
-use crate::upstream::{simple, Simple, Upstream};
+use crate::upstream::{call_api, ApiCall, Upstream};
 use actix::prelude::*;
 use config::{constants as c, DurationText};
 use listing::{Listing, Next};
@@ -154,20 +154,20 @@
         loop {
             *pages += 1;
             self.context.counters.add("platform_calls");
-            let call = Simple {
+            let call = ApiCall {
                 method: actix_http::Method::GET,
                 address: &address,
                 path: &path,
                 worker: None,
                 body: None,
-                wait_ms: c::LIST_TIMEOUT_MS,
-                fresh: false,
+                timeout_ms: c::LIST_TIMEOUT_MS,
+                on_new_connection: false,
             };
-            let (status, _, body) = simple(&self.upstream, call).await.ok()?;
-            if status != 200 {
+            let response = call_api(&self.upstream, call).await.ok()?;
+            if response.status != 200 {
                 return None;
             }
-            let page: Page = serde_json::from_slice(&body).ok()?;
+            let page: Page = serde_json::from_slice(&response.body).ok()?;
             match listing.add_page(page.instances, page.next_token) {
                 Next::Page(token) => path = format!("/instances?PageToken={token}"),
                 Next::Done => return Some(listing),
--- a/crates/pebblepond/src/ownership_controller.rs
+++ b/crates/pebblepond/src/ownership_controller.rs
@@ -4,7 +4,7 @@
 use crate::control::{LeaderLease, Propose, RaftDriver};
 use crate::kernel::{Component, NodeContext, StartError};
 use crate::reports::KeyLoads;
-use crate::upstream::{simple, Fault, Simple, Upstream};
+use crate::upstream::{call_api, ApiCall, ApiResponse, CallError, Upstream};
 use actix::prelude::*;
 use bytes::Bytes;
 use config::constants as c;
@@ -25,7 +25,7 @@
         context: context.clone(),
         upstream: Upstream::new(),
         ownership,
-        since: None,
+        leader_since: None,
     };
     let controller = controller.start();
     *context.report_handlers.key_loads.borrow_mut() = Some(controller.clone().recipient());
@@ -40,57 +40,62 @@
     }
 }
 
+/// Path of a worker's interface that takes keys back.
 const RELEASE: &str = "/release";
 
-/// A worker's answer, read whole.
-type Answered = Result<(actix_http::StatusCode, actix_http::header::HeaderMap, Bytes), Fault>;
-
 /// The owner of the grants.
 pub struct OwnershipController {
     context: Rc<NodeContext>,
     upstream: Rc<Upstream>,
     ownership: OwnershipManager,
     /// Since when this node leads, as far as the grants go.
-    since: Option<u64>,
+    leader_since: Option<u64>,
 }
 
 impl Actor for OwnershipController {
     type Context = Context<Self>;
     fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.run_interval(Duration::from_millis(c::KEY_CHECK_INTERVAL_MS), |me, ctx| {
-            me.round(ctx)
-        });
-        ctx.run_interval(Duration::from_millis(c::IDLE_SWEEP_INTERVAL_MS), |me, _| {
-            me.upstream.sweep()
-        });
+        ctx.run_interval(
+            Duration::from_millis(c::KEY_CHECK_INTERVAL_MS),
+            |controller, ctx| controller.round(ctx),
+        );
+        ctx.run_interval(
+            Duration::from_millis(c::IDLE_SWEEP_INTERVAL_MS),
+            |controller, _| controller.upstream.sweep(),
+        );
     }
 }
 
 impl OwnershipController {
     fn round(&mut self, ctx: &mut Context<Self>) {
         if !self.context.status.get().is_leader {
-            self.since = None;
+            self.leader_since = None;
             return;
         }
         let Some(driver) = self.context.get::<Addr<RaftDriver>>() else {
             return;
         };
-        ctx.spawn(driver.send(LeaderLease).into_actor(self).map(|lease, me, ctx| {
-            let Ok(Some(since)) = lease else { return };
-            let now = me.context.now();
-            let state = me.context.state.get();
-            if me.since != Some(since) {
-                me.since = Some(since);
-                me.ownership.begin(now, &state);
-            }
-            for act in me.ownership.tick(now, &state) {
-                me.act(act, ctx);
-            }
-        }));
+        ctx.spawn(
+            driver
+                .send(LeaderLease)
+                .into_actor(self)
+                .map(|lease, controller, ctx| {
+                    let Ok(Some(since)) = lease else { return };
+                    let now = controller.context.now();
+                    let state = controller.context.state.get();
+                    if controller.leader_since != Some(since) {
+                        controller.leader_since = Some(since);
+                        controller.ownership.begin(now, &state);
+                    }
+                    for action in controller.ownership.tick(now, &state) {
+                        controller.perform(action, ctx);
+                    }
+                }),
+        );
     }
 
-    fn act(&mut self, act: Action, ctx: &mut Context<Self>) {
-        match act {
+    fn perform(&mut self, action: Action, ctx: &mut Context<Self>) {
+        match action {
             Action::Log(put) => self.log(put, ctx),
             Action::Grant(call) => self.grant(call, ctx),
             Action::Release(call) => self.release(call, ctx),
@@ -101,29 +106,29 @@
         let Some(driver) = self.context.get::<Addr<RaftDriver>>() else {
             return;
         };
-        for h in &put {
+        for lease in &put {
             log::info!(
                 "event=keys service={} from={} to={} worker={} fence={} leaving={}",
-                h.service,
-                h.from,
-                h.to,
-                h.worker,
-                h.fencing_token,
-                h.revoking
+                lease.service,
+                lease.from,
+                lease.to,
+                lease.worker,
+                lease.fencing_token,
+                lease.revoking
             );
         }
         let change = ChangeKind::KeyLeases(KeyLeaseChange { put });
-        let duty = self.since;
+        let leader_since = self.leader_since;
         ctx.spawn(
             driver
                 .send(Propose(change))
                 .into_actor(self)
-                .map(move |_, me, ctx| {
-                    // Word of a change that was made in an earlier duty says nothing
-                    // of one that this duty waits for.
-                    if me.since == duty {
-                        me.ownership.on_logged();
-                        me.round(ctx);
+                .map(move |_, controller, ctx| {
+                    // The end of a proposal that was made under an earlier lease says nothing
+                    // of one that is awaited under this one.
+                    if controller.leader_since == leader_since {
+                        controller.ownership.on_logged();
+                        controller.round(ctx);
                     }
                 }),
         );
@@ -132,14 +137,14 @@
     /// A call to a worker with a JSON body. A release must be heard from that
     /// worker alone, since the keys go to another on its word: a doubled answer
     /// on a connection used again would be taken for it.
-    fn ask(
+    fn call_worker(
         &self,
         address: String,
         worker: String,
         path: &'static str,
         body: serde_json::Value,
-        wait_ms: u64,
-    ) -> impl std::future::Future<Output = Answered> + 'static {
+        timeout_ms: u64,
+    ) -> impl std::future::Future<Output = Result<ApiResponse, CallError>> + 'static {
         let upstream = self.upstream.clone();
         let body = Bytes::from(body.to_string());
         if path == RELEASE {
@@ -147,89 +152,92 @@
             upstream.forget(&address);
         }
         async move {
-            let call = Simple {
+            let call = ApiCall {
                 method: actix_http::Method::POST,
                 address: &address,
                 path,
                 worker: Some(&worker),
                 body: Some(body),
-                wait_ms,
-                fresh: path == RELEASE,
+                timeout_ms,
+                on_new_connection: path == RELEASE,
             };
-            simple(&upstream, call).await
+            call_api(&upstream, call).await
         }
     }
 
     fn grant(&self, call: GrantCall, ctx: &mut Context<Self>) {
-        let h = &call.lease;
+        let lease = &call.lease;
         let mut body = serde_json::json!({
-            "Source": h.from, "TargetVersion": h.to, "fence": h.fencing_token, "Hold": format!("{}ms", call.lease_ms),
+            "Source": lease.from, "TargetVersion": lease.to, "fence": lease.fencing_token, "Hold": format!("{}ms", call.lease_ms),
         });
-        if !h.handover.is_empty() {
-            body["Handover"] = h.handover.clone().into();
+        if !lease.handover.is_empty() {
+            body["Handover"] = lease.handover.clone().into();
         }
-        let (address, worker) = (call.address.clone(), h.worker.clone());
-        let work = self.ask(address, worker, "/grant", body, c::GRANT_TIMEOUT_MS);
-        ctx.spawn(work.into_actor(self).map(move |result, me, _| {
-            let (now, h) = (me.context.now(), &call.lease);
+        let (address, worker) = (call.address.clone(), lease.worker.clone());
+        let work = self.call_worker(address, worker, "/grant", body, c::GRANT_TIMEOUT_MS);
+        ctx.spawn(work.into_actor(self).map(move |result, controller, _| {
+            let (now, lease) = (controller.context.now(), &call.lease);
             let granted = match result {
-                Ok((status, _, _)) if status.is_success() => GrantResult::Accepted,
-                Ok((status, _, body)) if status == 409 => {
+                Ok(response) if response.status.is_success() => GrantResult::Accepted,
+                Ok(response) if response.status == 409 => {
                     log::warn!(
                         "event=grant_outrun worker={} fence={} answer={:?}",
-                        h.worker,
-                        h.fencing_token,
-                        body
+                        lease.worker,
+                        lease.fencing_token,
+                        response.body
                     );
                     GrantResult::Fenced
                 }
-                Ok(_) | Err(Fault::Unclear) => GrantResult::Unknown,
-                Err(Fault::NotSent) => GrantResult::NotSent,
+                Ok(_) | Err(CallError::Unclear) => GrantResult::Unknown,
+                Err(CallError::NotSent) => GrantResult::NotSent,
             };
-            let unknown = me.ownership.unmatched_answers();
-            me.ownership.on_grant_result(now, &call, granted);
-            me.count_unknown(unknown);
+            let before = controller.ownership.unmatched_answers();
+            controller.ownership.on_grant_result(now, &call, granted);
+            controller.count_unmatched(before);
             if granted != GrantResult::Accepted {
-                me.context.counters.add("grants_failed");
+                controller.context.counters.add("grants_failed");
             }
         }));
     }
 
-    /// Counts an answer that came to nobody.
-    fn count_unknown(&self, before: u64) {
+    /// Counts an answer that no call waits for.
+    fn count_unmatched(&self, before: u64) {
         if self.ownership.unmatched_answers() != before {
             self.context.counters.add("unknown_key_answers");
         }
     }
 
     fn release(&self, call: ReleaseCall, ctx: &mut Context<Self>) {
-        let h = &call.lease;
-        let body = serde_json::json!({ "Source": h.from, "TargetVersion": h.to, "fence": h.fencing_token });
-        let (address, worker) = (call.address.clone(), h.worker.clone());
-        let work = self.ask(address, worker, RELEASE, body, c::RELEASE_TIMEOUT_MS);
-        ctx.spawn(work.into_actor(self).map(move |result, me, ctx| {
+        let lease = &call.lease;
+        let body = serde_json::json!({ "Source": lease.from, "TargetVersion": lease.to, "fence": lease.fencing_token });
+        let (address, worker) = (call.address.clone(), lease.worker.clone());
+        let work = self.call_worker(address, worker, RELEASE, body, c::RELEASE_TIMEOUT_MS);
+        ctx.spawn(work.into_actor(self).map(move |result, controller, ctx| {
             let released = match result {
-                Ok((status, headers, _)) if status.is_success() => {
-                    let token = headers
+                Ok(response) if response.status.is_success() => {
+                    let token = response
+                        .headers
                         .get("Duty-Handover")
                         .and_then(|v| v.to_str().ok())
                         .unwrap_or("");
                     ReleaseResult::Released(token.to_string())
                 }
                 other => {
-                    me.context.counters.add("releases_failed");
+                    controller.context.counters.add("releases_failed");
                     log::info!(
                         "event=release_failed worker={} answer={:?}",
                         call.lease.worker,
-                        other.map(|r| r.0)
+                        other.map(|response| response.status)
                     );
                     ReleaseResult::Failed
                 }
             };
-            let unknown = me.ownership.unmatched_answers();
-            me.ownership.on_release_result(me.context.now(), &call, released);
-            me.count_unknown(unknown);
-            me.round(ctx);
+            let before = controller.ownership.unmatched_answers();
+            controller
+                .ownership
+                .on_release_result(controller.context.now(), &call, released);
+            controller.count_unmatched(before);
+            controller.round(ctx);
         }));
     }
 }
--- /dev/null
+++ b/crates/pebblepond/src/proxy/listener.rs
@@ -0,0 +1,102 @@
+//! Accepts clients' connections. One HTTP service is built for each set of timeouts that the
+//! configuration lays down.
+
+use super::Proxy;
+use crate::sockets;
+use actix_http::error::DispatchError;
+use actix_http::{HttpService, Request};
+use actix_service::{boxed, fn_service, Service, ServiceFactory};
+use config::constants as c;
+use std::cell::Cell;
+use std::convert::Infallible;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+
+/// Pause after a connection could not be accepted, ms.
+const ACCEPT_RETRY_MS: u64 = 10;
+
+type HttpConnections = boxed::BoxService<TcpStream, (), DispatchError>;
+
+/// Whether a client's connection has been told to end: what the client sent
+/// ahead (pipelined) behind that is not run, since it may have gone elsewhere.
+#[derive(Clone, Default)]
+pub(super) struct ClosingConnection(Rc<Cell<bool>>);
+
+impl ClosingConnection {
+    pub(super) fn is_closing(&self) -> bool {
+        self.0.get()
+    }
+
+    pub(super) fn set_closing(&self, is_closing: bool) {
+        self.0.set(is_closing);
+    }
+}
+
+/// What a client has to keep to on its connection.
+#[derive(Clone, Copy, PartialEq)]
+struct Timeouts {
+    /// Time for the head of a request, ms.
+    header_ms: u64,
+    /// Time between two requests, ms.
+    idle_ms: u64,
+}
+
+/// Accepts connections as long as the process runs.
+pub(super) async fn accept(proxy: Rc<Proxy>, listener: TcpListener) {
+    let mut timeouts = current_timeouts(&proxy);
+    let Some(mut service) = build_service(proxy.clone(), timeouts).await else {
+        return;
+    };
+    loop {
+        let Ok((stream, _)) = listener.accept().await else {
+            actix_rt::time::sleep(Duration::from_millis(ACCEPT_RETRY_MS)).await;
+            continue;
+        };
+        let newest = current_timeouts(&proxy);
+        if newest != timeouts {
+            if let Some(fresh) = build_service(proxy.clone(), newest).await {
+                (timeouts, service) = (newest, fresh);
+            }
+        }
+        if sockets::set_options(&stream).is_ok() {
+            let service = service.clone();
+            actix_rt::spawn(async move {
+                // How a client's connection ends is the client's affair.
+                let _ = service.call(stream).await;
+            });
+        }
+    }
+}
+
+fn current_timeouts(proxy: &Proxy) -> Timeouts {
+    match &proxy.context.state.get().configuration {
+        Some(config) => Timeouts {
+            header_ms: config.limits.header_timeout_ms,
+            idle_ms: config.limits.idle_timeout_ms,
+        },
+        None => Timeouts {
+            header_ms: c::CONNECT_TIMEOUT_MS * 5,
+            idle_ms: c::CONNECT_TIMEOUT_MS * 15,
+        },
+    }
+}
+
+async fn build_service(proxy: Rc<Proxy>, timeouts: Timeouts) -> Option<Rc<HttpConnections>> {
+    let service = fn_service(move |request: Request| {
+        let proxy = proxy.clone();
+        async move { Ok::<_, Infallible>(proxy.serve(request).await) }
+    });
+    let factory = HttpService::build()
+        .keep_alive(Duration::from_millis(timeouts.idle_ms))
+        .client_request_timeout(Duration::from_millis(timeouts.header_ms))
+        .client_disconnect_timeout(Duration::from_millis(c::CONNECT_TIMEOUT_MS))
+        .h1_allow_half_closed(false)
+        .on_connect_ext(|_: &TcpStream, data| {
+            data.insert(ClosingConnection::default());
+        })
+        .h1(service)
+        .tcp();
+    let service = factory.new_service(()).await.ok()?;
+    Some(Rc::new(boxed::service(service)))
+}
--- a/crates/pebblepond/src/upstream/tests.rs
+++ b/crates/pebblepond/src/upstream/tests.rs
@@ -1,4 +1,8 @@
+use super::connection::Connection;
 use super::*;
+use std::time::{Duration, Instant};
+use tokio::io::AsyncReadExt;
+use tokio::net::TcpStream;
 
 #[actix_rt::test]
 async fn once_a_peer_forgot_a_rested_connection_none_that_rested_half_as_long_is_used() {
@@ -8,14 +12,10 @@
     let address = listener.local_addr().expect("an address").to_string();
     let upstream = Upstream::new();
     let rest = |upstream: &Upstream, io, s: u64| {
-        let line = Line {
-            io,
-            buf: BytesMut::new(),
-            codec: ClientCodec::new(ServiceConfig::default()),
-            nameless: false,
-        };
-        upstream.keep(&address, line, 100_000);
+        let connection = Connection::new(io, ServiceConfig::default());
+        upstream.pool.put(&address, connection, 100_000);
         if let Some(idle) = upstream
+            .pool
             .idle
             .borrow_mut()
             .get_mut(&address)
@@ -29,9 +29,14 @@
         let io = TcpStream::connect(&address).await.expect("connects");
         rest(&upstream, io, rested);
         if forgot {
-            upstream.forgotten(Duration::from_secs(40));
+            upstream.pool.note_stale(Duration::from_secs(40));
         }
-        used.push(upstream.take_idle(&address, 60_000, Pairing::IdOnce).is_some());
+        used.push(
+            upstream
+                .pool
+                .take(&address, 60_000, ResponseMatching::IdNonIdempotent)
+                .is_some(),
+        );
     }
     assert_eq!(used, [true, false, true]);
 }
@@ -64,26 +69,25 @@
         .await
         .expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
-    for (nameless, pairing, used, left) in [
-        ([true, true], Pairing::Id, true, 1),
-        ([true, true], Pairing::IdOnce, false, 1),
-        ([false, true], Pairing::IdOnce, true, 1),
-        ([true, false], Pairing::IdOnce, true, 1),
+    for (lack_ids, matching, used, left) in [
+        ([true, true], ResponseMatching::Id, true, 1),
+        ([true, true], ResponseMatching::IdNonIdempotent, false, 1),
+        ([false, true], ResponseMatching::IdNonIdempotent, true, 1),
+        ([true, false], ResponseMatching::IdNonIdempotent, true, 1),
     ] {
         let upstream = Upstream::new();
-        for nameless in nameless {
-            let line = Line {
-                io: TcpStream::connect(&address).await.expect("connects"),
-                buf: BytesMut::new(),
-                codec: ClientCodec::new(ServiceConfig::default()),
-                nameless,
-            };
-            upstream.keep(&address, line, 100_000);
+        for lacks_id in lack_ids {
+            let io = TcpStream::connect(&address).await.expect("connects");
+            let mut connection = Connection::new(io, ServiceConfig::default());
+            connection.lacks_id = lacks_id;
+            upstream.pool.put(&address, connection, 100_000);
         }
-        let taken = upstream.take_idle(&address, 60_000, pairing);
+        let taken = upstream.pool.take(&address, 60_000, matching);
         assert_eq!(taken.is_some(), used);
-        assert!(!taken.is_some_and(|(l, _)| l.nameless && pairing == Pairing::IdOnce));
-        assert_eq!(upstream.idle.borrow()[&address].len(), left);
+        assert!(!taken.is_some_and(
+            |(connection, _)| connection.lacks_id && matching == ResponseMatching::IdNonIdempotent
+        ));
+        assert_eq!(upstream.pool.idle.borrow()[&address].len(), left);
     }
 }
 
@@ -96,17 +100,17 @@
         .expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     let upstream = Upstream::new();
-    let call = Simple {
+    let call = ApiCall {
         method: Method::POST,
         address: &address,
         path: "/grant",
         worker: None,
         body: Some(Bytes::from_static(b"{}")),
-        wait_ms: 60,
-        fresh: false,
+        timeout_ms: 60,
+        on_new_connection: false,
     };
-    let (peer, given_up) = tokio::join!(listener.accept(), simple(&upstream, call));
-    assert!(matches!(given_up, Err(Fault::Unclear)));
+    let (peer, given_up) = tokio::join!(listener.accept(), call_api(&upstream, call));
+    assert!(matches!(given_up, Err(CallError::Unclear)));
     let (mut peer, _) = peer.expect("a connection");
     let mut got = Vec::new();
     let end = peer.read_to_end(&mut got).await;
