--- a/crates/anti-entropy/src/lib.rs
+++ b/crates/anti-entropy/src/lib.rs
@@ -1,85 +1,98 @@
-//! Repair: a data-plane copy is compared with another by digests over ranges
-//! of its rows, and ranges that differ are repaired from the newer copy.
+//! Anti-entropy: a copy of the control state is compared with another by digests over ranges of
+//! its rows, and ranges that differ are repaired from the newer copy.
+//!
+//! A node sends [`digests`] of its copy; a peer whose copy is not older answers with
+//! [`repair_for`] them; the node applies the answer with [`repaired_since`].
 
 use control_state::ControlState;
 use prost::Message;
 use protocol::{ControlStateImage, RangeDigests, Repair};
 
-/// Ranges that hold one table each: configuration, evacuations, fractions,
-/// allowances with all that is small.
-const TABLES: usize = 4;
-/// Ranges over which the workers are spread, and the same for the holdings.
-const SPREAD: usize = 6;
+/// Range of the configuration and the history of commands.
+const CONFIGURATION: usize = 0;
+/// Range of the evacuations.
+const EVACUATIONS: usize = 1;
+/// Range of the placement.
+const PLACEMENT: usize = 2;
+/// Range of the retry allowances and of all that is small.
+const SMALL_TABLES: usize = 3;
+/// Ranges that hold whole tables.
+const TABLE_RANGES: usize = 4;
+/// Ranges over which the workers are spread, and the same for the key leases.
+const SPREAD_RANGES: usize = 6;
 /// All ranges of a copy.
-pub const RANGES: usize = TABLES + 2 * SPREAD;
+pub const RANGES: usize = TABLE_RANGES + 2 * SPREAD_RANGES;
 
-fn mix(mut hash: u64, bytes: &[u8]) -> u64 {
-    for b in bytes {
-        hash = (hash ^ u64::from(*b)).wrapping_mul(0x0000_0100_0000_01b3);
+/// Initial value of the hash (that of FNV-1a).
+const HASH_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// Multiplier of the hash (that of FNV-1a).
+const HASH_PRIME: u64 = 0x0000_0100_0000_01b3;
+
+/// FNV-1a with a last mixing. Nodes compare its values, so that it never changes.
+fn hash(mut hash: u64, bytes: &[u8]) -> u64 {
+    for byte in bytes {
+        hash = (hash ^ u64::from(*byte)).wrapping_mul(HASH_PRIME);
     }
     hash ^ (hash >> 29)
 }
 
-const BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-
 fn range_of_worker(id: &str) -> usize {
-    TABLES + (mix(BASIS, id.as_bytes()) % SPREAD as u64) as usize
+    TABLE_RANGES + (hash(HASH_BASIS, id.as_bytes()) % SPREAD_RANGES as u64) as usize
 }
 
-fn range_of_holding(service: &str, from: u32) -> usize {
-    let hash = mix(mix(BASIS, service.as_bytes()), &from.to_le_bytes());
-    TABLES + SPREAD + (hash % SPREAD as u64) as usize
+fn range_of_key_lease(service: &str, from: u32) -> usize {
+    let hash = hash(hash(HASH_BASIS, service.as_bytes()), &from.to_le_bytes());
+    TABLE_RANGES + SPREAD_RANGES + (hash % SPREAD_RANGES as u64) as usize
 }
 
-/// Keeps of an image only the rows of the given ranges.
-fn pick(image: &ControlStateImage, wanted: impl Fn(usize) -> bool) -> ControlStateImage {
-    let mut part = ControlStateImage {
-        index: image.index,
-        ..Default::default()
-    };
-    if wanted(0) {
-        part.version = image.version;
-        part.command_history = image.command_history.clone();
-        part.configuration = image.configuration.clone();
+/// Copies the tables whose ranges are wanted.
+fn copy_tables(from: &ControlStateImage, to: &mut ControlStateImage, wanted: &impl Fn(usize) -> bool) {
+    if wanted(CONFIGURATION) {
+        to.version = from.version;
+        to.command_history = from.command_history.clone();
+        to.configuration = from.configuration.clone();
     }
-    if wanted(1) {
-        part.evacuated = image.evacuated.clone();
-        part.ended_evacuations = image.ended_evacuations.clone();
+    if wanted(EVACUATIONS) {
+        to.evacuated = from.evacuated.clone();
+        to.ended_evacuations = from.ended_evacuations.clone();
     }
-    if wanted(2) {
-        part.fractions = image.fractions.clone();
+    if wanted(PLACEMENT) {
+        to.fractions = from.fractions.clone();
     }
-    if wanted(3) {
-        part.retry_allowances = image.retry_allowances.clone();
-        part.retry_slack = image.retry_slack;
-        part.ejected = image.ejected.clone();
-        part.warmup_groups = image.warmup_groups.clone();
-        part.rollouts = image.rollouts.clone();
-        part.kill_switch = image.kill_switch.clone();
+    if wanted(SMALL_TABLES) {
+        to.retry_allowances = from.retry_allowances.clone();
+        to.retry_slack = from.retry_slack;
+        to.ejected = from.ejected.clone();
+        to.warmup_groups = from.warmup_groups.clone();
+        to.rollouts = from.rollouts.clone();
+        to.kill_switch = from.kill_switch.clone();
     }
-    part.workers = image
-        .workers
-        .iter()
-        .filter(|w| wanted(range_of_worker(&w.id)))
-        .cloned()
-        .collect();
-    part.key_leases = image
-        .key_leases
-        .iter()
-        .filter(|h| wanted(range_of_holding(&h.service, h.from)))
-        .cloned()
-        .collect();
+}
+
+/// The rows of the given ranges of an image.
+fn select_ranges(image: &ControlStateImage, wanted: impl Fn(usize) -> bool) -> ControlStateImage {
+    let mut part = ControlStateImage {
+        index: image.index,
+        ..Default::default()
+    };
+    copy_tables(image, &mut part, &wanted);
+    let workers = image.workers.iter();
+    let workers = workers.filter(|worker| wanted(range_of_worker(&worker.id)));
+    part.workers = workers.cloned().collect();
+    let key_leases = image.key_leases.iter();
+    let key_leases = key_leases.filter(|lease| wanted(range_of_key_lease(&lease.service, lease.from)));
+    part.key_leases = key_leases.cloned().collect();
     part
 }
 
 /// The digests of a copy.
-pub fn digests(stage: &ControlState) -> RangeDigests {
-    let image = stage.image();
+pub fn digests(state: &ControlState) -> RangeDigests {
+    let image = state.image();
     let ranges = (0..RANGES)
         .map(|range| {
-            let mut part = pick(&image, |r| r == range);
+            let mut part = select_ranges(&image, |r| r == range);
             part.index = 0;
-            mix(BASIS, &part.encode_to_vec())
+            hash(HASH_BASIS, &part.encode_to_vec())
         })
         .collect();
     RangeDigests {
@@ -91,21 +104,21 @@
 
 /// What a peer that sent its digests lacks of this copy; `None` if this copy is
 /// not the newer one or nothing differs.
-pub fn repair_for(stage: &ControlState, theirs: &RangeDigests) -> Option<Repair> {
-    if stage.index < theirs.index {
+pub fn repair_for(state: &ControlState, theirs: &RangeDigests) -> Option<Repair> {
+    if state.index < theirs.index {
         return None;
     }
-    let mine = digests(stage);
+    let ours = digests(state);
     let ranges: Vec<u32> = (0..RANGES)
-        .filter(|r| theirs.ranges.get(*r) != mine.ranges.get(*r))
-        .map(|r| r as u32)
+        .filter(|range| theirs.ranges.get(*range) != ours.ranges.get(*range))
+        .map(|range| range as u32)
         .collect();
-    if ranges.is_empty() && stage.index == theirs.index {
+    if ranges.is_empty() && state.index == theirs.index {
         return None;
     }
-    let image = pick(&stage.image(), |r| ranges.contains(&(r as u32)));
+    let image = select_ranges(&state.image(), |range| ranges.contains(&(range as u32)));
     Some(Repair {
-        index: stage.index,
+        index: state.index,
         ranges,
         image: Some(image),
         incarnation: theirs.incarnation,
@@ -113,45 +126,26 @@
     })
 }
 
-/// The copy with the ranges of a mend put in place of its own; `None` if the
-/// mend is not newer or cannot be read.
-pub fn repaired(stage: &ControlState, mend: &Repair) -> Option<ControlState> {
-    let newer = mend.image.as_ref()?;
-    if mend.index < stage.index {
+/// The copy with the ranges of a repair put in place of its own; `None` if the
+/// repair is older or cannot be read.
+pub fn repaired(state: &ControlState, repair: &Repair) -> Option<ControlState> {
+    let newer = repair.image.as_ref()?;
+    if repair.index < state.index {
         return None;
     }
-    let given = |r: usize| mend.ranges.contains(&(r as u32));
-    let mut image = pick(&stage.image(), |r| !given(r));
-    image.index = mend.index;
-    if given(0) {
-        image.version = newer.version;
-        image.command_history = newer.command_history.clone();
-        image.configuration = newer.configuration.clone();
-    }
-    if given(1) {
-        image.evacuated = newer.evacuated.clone();
-        image.ended_evacuations = newer.ended_evacuations.clone();
-    }
-    if given(2) {
-        image.fractions = newer.fractions.clone();
-    }
-    if given(3) {
-        image.retry_allowances = newer.retry_allowances.clone();
-        image.retry_slack = newer.retry_slack;
-        image.ejected = newer.ejected.clone();
-        image.warmup_groups = newer.warmup_groups.clone();
-        image.rollouts = newer.rollouts.clone();
-        image.kill_switch = newer.kill_switch.clone();
-    }
+    let is_repaired = |range: usize| repair.ranges.contains(&(range as u32));
+    let mut image = select_ranges(&state.image(), |range| !is_repaired(range));
+    image.index = repair.index;
+    copy_tables(newer, &mut image, &is_repaired);
     image.workers.extend(newer.workers.iter().cloned());
     image.key_leases.extend(newer.key_leases.iter().cloned());
     ControlState::from_image(image).ok()
 }
 
-/// The same, of a mend that answers digests which this node has sent: `None` also
-/// if the copy has changed since. What a mend leaves out is equal to the copy
+/// The same, of a repair that answers digests which this node has sent: `None` also
+/// if the copy has changed since. What a repair leaves out is equal to the copy
 /// that was asked about, and to no other.
-pub fn repaired_since(stage: &ControlState, asked: &RangeDigests, mend: &Repair) -> Option<ControlState> {
-    let unchanged = digests(stage) == *asked;
-    unchanged.then(|| repaired(stage, mend))?
+pub fn repaired_since(state: &ControlState, asked: &RangeDigests, repair: &Repair) -> Option<ControlState> {
+    let is_unchanged = digests(state) == *asked;
+    is_unchanged.then(|| repaired(state, repair))?
 }
--- a/crates/pebblepond/src/admin_http.rs
+++ b/crates/pebblepond/src/admin_http.rs
@@ -26,7 +26,7 @@
 inventory::submit! { Component { name: "admin_http", order: 90, start } }
 
 /// Largest body that control takes, bytes: a configuration of many thousand routes.
-const CONTROL_BODY: usize = 8 * 1024 * 1024;
+const MAX_CONTROL_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 fn start(context: &Rc<NodeContext>) -> Result<(), StartError> {
     let points = context.settings.get().network.listen_points.clone();
@@ -48,7 +48,7 @@
     let data = web::Data::new(Shared(context));
     let app = App::new()
         .app_data(data)
-        .app_data(web::PayloadConfig::new(CONTROL_BODY))
+        .app_data(web::PayloadConfig::new(MAX_CONTROL_BODY_BYTES))
         .route("/readiness", web::get().to(readiness))
         .route("/resolution", web::get().to(resolution))
         .route("/configuration/replace", web::post().to(replace))
@@ -59,7 +59,7 @@
         .route("/rollouts/list", web::get().to(rollouts::list))
         .route("/rollouts/kill-switch", web::post().to(rollouts::kill_switch))
         .route("/rollouts/{service}/read", web::get().to(rollouts::read))
-        .route("/rollouts/{service}/{action}", web::post().to(rollouts::steer))
+        .route("/rollouts/{service}/{action}", web::post().to(rollouts::change))
         .route("/status", web::get().to(status));
     let factory = HttpService::build()
         .keep_alive(Duration::from_secs(5))
@@ -88,7 +88,7 @@
     Ok(())
 }
 
-/// The house, for handlers; everything runs on one thread.
+/// The node's context, for handlers; everything runs on one thread.
 struct Shared(Rc<NodeContext>);
 
 async fn readiness(context: web::Data<Shared>) -> HttpResponse {
@@ -99,12 +99,13 @@
     }
 }
 
-async fn order(context: &NodeContext, request: &HttpRequest, order: Command) -> HttpResponse {
+/// Runs a command and answers with what came of it.
+async fn run_command(context: &NodeContext, request: &HttpRequest, command: Command) -> HttpResponse {
     let Some(driver) = context.get::<Addr<RaftDriver>>() else {
         return HttpResponse::ServiceUnavailable().finish();
     };
     let answer = driver
-        .send(ExecuteCommand(order))
+        .send(ExecuteCommand(command))
         .await
         .unwrap_or(CommandResponse {
             status: 503,
@@ -126,18 +127,19 @@
     response.content_type("application/json").body(answer.body)
 }
 
-fn fault(status: StatusCode, text: &str) -> HttpResponse {
+/// An answer that says what is wrong.
+fn error_response(status: StatusCode, text: &str) -> HttpResponse {
     HttpResponse::build(status).json(serde_json::json!({ "ErrorText": text }))
 }
 
 /// A body, or why it could not be read.
-type Bytes = Result<web::Bytes, actix_web::Error>;
+type Body = Result<web::Bytes, actix_web::Error>;
 
-async fn replace(context: web::Data<Shared>, request: HttpRequest, body: Bytes) -> HttpResponse {
+async fn replace(context: web::Data<Shared>, request: HttpRequest, body: Body) -> HttpResponse {
     change(&context.0, &request, body, Command::Replace).await
 }
 
-async fn modify(context: web::Data<Shared>, request: HttpRequest, body: Bytes) -> HttpResponse {
+async fn modify(context: web::Data<Shared>, request: HttpRequest, body: Body) -> HttpResponse {
     change(&context.0, &request, body, Command::Modify).await
 }
 
@@ -145,57 +147,75 @@
 async fn change(
     context: &NodeContext,
     request: &HttpRequest,
-    body: Bytes,
+    body: Body,
     kind: fn(ConfigurationCommand) -> Command,
 ) -> HttpResponse {
     let base = match base_version(request.headers()) {
         Ok(base) => base,
-        Err(what) => return fault(StatusCode::BAD_REQUEST, &format!("Base-Version {what}")),
+        Err(e) => return error_response(StatusCode::BAD_REQUEST, &format!("Base-Version {e}")),
     };
     let body = match body {
         Ok(body) => body,
         Err(e) if e.as_response_error().status_code() == StatusCode::PAYLOAD_TOO_LARGE => {
-            let text = format!("the body is larger than {CONTROL_BODY} bytes");
-            return fault(StatusCode::PAYLOAD_TOO_LARGE, &text);
+            let text = format!("the body is larger than {MAX_CONTROL_BODY_BYTES} bytes");
+            return error_response(StatusCode::PAYLOAD_TOO_LARGE, &text);
         }
-        Err(e) => return fault(StatusCode::BAD_REQUEST, &format!("the body cannot be read: {e}")),
+        Err(e) => return error_response(StatusCode::BAD_REQUEST, &format!("the body cannot be read: {e}")),
     };
     let change = ConfigurationCommand {
         base,
         body: body.to_vec(),
         ..Default::default()
     };
-    order(context, request, kind(change)).await
+    run_command(context, request, kind(change)).await
 }
 
 /// Digits of the largest number of a version.
-const VERSION_DIGITS: usize = 20;
+const MAX_VERSION_DIGITS: usize = 20;
+
+/// What is wrong with a `Base-Version` header.
+#[derive(Debug, PartialEq, thiserror::Error)]
+enum BaseVersionError {
+    /// There is none.
+    #[error("is missing")]
+    Missing,
+    /// There are several.
+    #[error("is given more than once")]
+    Repeated,
+    /// It is no whole number.
+    #[error("is no number")]
+    NoNumber,
+    /// It has more digits than a version can have.
+    #[error("is too long")]
+    TooLong,
+    /// No version is so large.
+    #[error("is too large")]
+    TooLarge,
+}
 
 /// The version that a change builds on: one whole number, given once.
-fn base_version(headers: &header::HeaderMap) -> Result<u64, &'static str> {
-    let mut all = headers.get_all("Base-Version");
-    let Some(value) = all.next() else {
-        return Err("is missing");
-    };
-    if all.next().is_some() {
-        return Err("is given more than once");
+fn base_version(headers: &header::HeaderMap) -> Result<u64, BaseVersionError> {
+    let mut values = headers.get_all("Base-Version");
+    let value = values.next().ok_or(BaseVersionError::Missing)?;
+    if values.next().is_some() {
+        return Err(BaseVersionError::Repeated);
     }
-    let text = value.to_str().map_err(|_| "is no number")?.trim();
+    let text = value.to_str().map_err(|_| BaseVersionError::NoNumber)?.trim();
     if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
-        return Err("is no number");
+        return Err(BaseVersionError::NoNumber);
     }
-    if text.len() > VERSION_DIGITS {
-        return Err("is too long");
+    if text.len() > MAX_VERSION_DIGITS {
+        return Err(BaseVersionError::TooLong);
     }
-    text.parse().map_err(|_| "is too large")
+    text.parse().map_err(|_| BaseVersionError::TooLarge)
 }
 
 async fn read(context: web::Data<Shared>, request: HttpRequest) -> HttpResponse {
-    order(&context.0, &request, Command::ReadConfiguration(true)).await
+    run_command(&context.0, &request, Command::ReadConfiguration(true)).await
 }
 
 async fn status(context: web::Data<Shared>, request: HttpRequest) -> HttpResponse {
-    order(&context.0, &request, Command::Status(true)).await
+    run_command(&context.0, &request, Command::Status(true)).await
 }
 
 async fn evacuate(
@@ -207,18 +227,18 @@
     let begin = match what.as_str() {
         "begin" => true,
         "finish" => false,
-        _ => return fault(StatusCode::NOT_FOUND, "an evacuation can begin and finish"),
+        _ => return error_response(StatusCode::NOT_FOUND, "an evacuation can begin and finish"),
     };
     if !context.0.settings.get().network.zones.contains_key(&zone) {
-        return fault(StatusCode::NOT_FOUND, "no such zone");
+        return error_response(StatusCode::NOT_FOUND, "no such zone");
     }
     let change = EvacuationChange { zone, begin };
-    order(&context.0, &request, Command::Evacuate(change)).await
+    run_command(&context.0, &request, Command::Evacuate(change)).await
 }
 
 #[derive(serde::Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct Asked {
+struct ResolutionQuery {
     #[serde(default)]
     name: String,
     #[serde(default)]
@@ -228,12 +248,12 @@
 }
 
 /// Where a client should go: the site is drawn by the placement, and all its
-/// ready edges are the answer. Those of the client's own zone alone would leave
+/// ready proxies are the answer. Those of the client's own zone alone would leave
 /// it with nothing when the zone loses power and the directory with it.
 async fn resolution(
     context: web::Data<Shared>,
     request: HttpRequest,
-    asked: web::Query<Asked>,
+    query: web::Query<ResolutionQuery>,
 ) -> HttpResponse {
     let context = &context.0;
     if let (Some(ip), Some(balancer_actor)) = (
@@ -242,7 +262,7 @@
     ) {
         balancer_actor.do_send(ClientZone {
             client: ip,
-            zone: asked.zone.clone(),
+            zone: query.zone.clone(),
         });
     }
     let members = context.members.get();
@@ -250,7 +270,7 @@
         .iter()
         .filter(|m| m.is_alive() && m.is_ready && !m.client_address.is_empty())
         .collect();
-    let addresses = choose_edges(context, &asked, &up);
+    let addresses = choose_proxies(context, &query, &up);
     if addresses.is_empty() {
         return HttpResponse::ServiceUnavailable()
             .insert_header((header::RETRY_AFTER, "0.2"))
@@ -261,15 +281,15 @@
         .json(serde_json::json!({ "Addresses": addresses, "Validity": format!("{validity}ms") }))
 }
 
-fn choose_edges(context: &NodeContext, asked: &Asked, up: &[&Member]) -> Vec<String> {
+fn choose_proxies(context: &NodeContext, query: &ResolutionQuery, up: &[&Member]) -> Vec<String> {
     let state = context.state.get();
     let mut rng = rand::thread_rng();
-    let site = draw_site(&state, asked, up, &mut rng);
-    let known = up.iter().any(|m| m.region == asked.region);
+    let site = draw_site(&state, query, up, &mut rng);
+    let known = up.iter().any(|m| m.region == query.region);
     let site = site.unwrap_or_else(|| {
         // No figures: the client's own region, or anywhere if none is up there.
         if known {
-            asked.region.clone()
+            query.region.clone()
         } else {
             String::new()
         }
@@ -289,12 +309,12 @@
 
 fn draw_site(
     state: &control_state::ControlState,
-    asked: &Asked,
+    query: &ResolutionQuery,
     up: &[&Member],
     rng: &mut impl Rng,
 ) -> Option<String> {
     let config = state.configuration.as_ref()?;
-    let routes = config.hosts.get(&asked.name.to_ascii_lowercase())?;
+    let routes = config.hosts.get(&query.name.to_ascii_lowercase())?;
     let services: Vec<&str> = routes
         .iter()
         .flat_map(|r| &r.split)
@@ -303,5 +323,5 @@
         .collect();
     let service = services.choose(rng)?;
     let usable = |site: &str| up.iter().any(|m| m.region == site);
-    placement::draw_site(&state.fractions, service, &asked.zone, rng.gen(), usable).map(str::to_string)
+    placement::draw_site(&state.fractions, service, &query.zone, rng.gen(), usable).map(str::to_string)
 }
--- a/crates/pebblepond/src/admin_http/rollouts.rs
+++ b/crates/pebblepond/src/admin_http/rollouts.rs
@@ -1,6 +1,6 @@
 //! The operator's interface to rollouts.
 
-use super::{fault, order, Shared};
+use super::{error_response, run_command, Shared};
 use actix_web::http::StatusCode;
 use actix_web::{web, HttpRequest, HttpResponse};
 use config::DurationText;
@@ -9,10 +9,13 @@
 use serde::Deserialize;
 use validator::Validate;
 
-/// An order to begin; fields that are not known are passed over.
+/// Who is taken for the author of a change that names none.
+const UNNAMED_OPERATOR: &str = "operator";
+
+/// The body of a request to begin; fields that are not known are passed over.
 #[derive(Deserialize, Validate)]
 #[serde(rename_all = "PascalCase")]
-struct Begin {
+struct BeginBody {
     #[validate(length(min = 1, max = 256, message = "must have 1 to 256 letters"))]
     service: String,
     #[validate(length(min = 1, max = 256, message = "must have 1 to 256 letters"))]
@@ -24,10 +27,10 @@
     why: String,
 }
 
-/// An order of the operator to a rollout.
+/// The body of a request to change a rollout.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
-struct Steer {
+struct ChangeBody {
     who: String,
     why: String,
     /// The version of the rollout that it rests on; 0 for whichever is newest.
@@ -35,9 +38,10 @@
     bypass: bool,
 }
 
+/// The body of a request to turn the kill switch.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct Switch {
+struct KillSwitchBody {
     on: bool,
     #[serde(default)]
     who: String,
@@ -46,7 +50,7 @@
 }
 
 /// The first thing that is wrong with a body, with its field.
-fn wrong(errors: &validator::ValidationErrors) -> String {
+fn first_error(errors: &validator::ValidationErrors) -> String {
     let fields = errors.field_errors();
     let first = fields.iter().next();
     first.map_or_else(String::new, |(field, list)| {
@@ -59,13 +63,14 @@
     })
 }
 
+/// Begins a rollout.
 pub async fn begin(context: web::Data<Shared>, request: HttpRequest, body: web::Bytes) -> HttpResponse {
-    let begin: Begin = match serde_json::from_slice(&body) {
+    let begin: BeginBody = match serde_json::from_slice(&body) {
         Ok(begin) => begin,
-        Err(e) => return fault(StatusCode::BAD_REQUEST, &format!("the body cannot be read: {e}")),
+        Err(e) => return error_response(StatusCode::BAD_REQUEST, &format!("the body cannot be read: {e}")),
     };
     if let Err(errors) = begin.validate() {
-        return fault(StatusCode::BAD_REQUEST, &wrong(&errors));
+        return error_response(StatusCode::BAD_REQUEST, &first_error(&errors));
     }
     let begin = BeginRollout {
         service: begin.service,
@@ -74,28 +79,31 @@
             duration_ms: begin.duration.ms,
         }),
         who: if begin.who.is_empty() {
-            "operator".into()
+            UNNAMED_OPERATOR.into()
         } else {
             begin.who
         },
         why: begin.why,
     };
-    order(&context.0, &request, Command::BeginRollout(begin)).await
+    run_command(&context.0, &request, Command::BeginRollout(begin)).await
 }
 
+/// One rollout.
 pub async fn read(
     context: web::Data<Shared>,
     request: HttpRequest,
     service: web::Path<String>,
 ) -> HttpResponse {
-    order(&context.0, &request, Command::ReadRollout(service.into_inner())).await
+    run_command(&context.0, &request, Command::ReadRollout(service.into_inner())).await
 }
 
+/// All rollouts.
 pub async fn list(context: web::Data<Shared>, request: HttpRequest) -> HttpResponse {
-    order(&context.0, &request, Command::ReadRollouts(true)).await
+    run_command(&context.0, &request, Command::ReadRollouts(true)).await
 }
 
-pub async fn steer(
+/// Promotes, pauses, resumes, rolls back or cancels a rollout.
+pub async fn change(
     context: web::Data<Shared>,
     request: HttpRequest,
     path: web::Path<(String, String)>,
@@ -104,41 +112,44 @@
     let (service, action) = path.into_inner();
     let Some(action) = Action::from_name(&action).filter(|a| *a != Action::Start) else {
         let text = "a rollout can be promoted, paused, resumed, rolled back and cancelled";
-        return fault(StatusCode::NOT_FOUND, text);
+        return error_response(StatusCode::NOT_FOUND, text);
     };
-    let steer: Steer = if body.is_empty() {
-        Steer::default()
+    let asked: ChangeBody = if body.is_empty() {
+        ChangeBody::default()
     } else {
         match serde_json::from_slice(&body) {
-            Ok(steer) => steer,
-            Err(e) => return fault(StatusCode::BAD_REQUEST, &format!("the body cannot be read: {e}")),
+            Ok(asked) => asked,
+            Err(e) => {
+                return error_response(StatusCode::BAD_REQUEST, &format!("the body cannot be read: {e}"))
+            }
         }
     };
     let change = RolloutChange {
         service,
         action: action as i32,
-        expected: steer.expected,
-        who: if steer.who.is_empty() {
-            "operator".into()
+        expected: asked.expected,
+        who: if asked.who.is_empty() {
+            UNNAMED_OPERATOR.into()
         } else {
-            steer.who
+            asked.who
         },
-        why: steer.why,
-        bypass: steer.bypass,
+        why: asked.why,
+        bypass: asked.bypass,
         ..Default::default()
     };
-    order(&context.0, &request, Command::ChangeRollout(change)).await
+    run_command(&context.0, &request, Command::ChangeRollout(change)).await
 }
 
+/// Turns the kill switch, which stops all rollouts, on or off.
 pub async fn kill_switch(context: web::Data<Shared>, request: HttpRequest, body: web::Bytes) -> HttpResponse {
-    let switch: Switch = match serde_json::from_slice(&body) {
+    let switch: KillSwitchBody = match serde_json::from_slice(&body) {
         Ok(switch) => switch,
-        Err(e) => return fault(StatusCode::BAD_REQUEST, &format!("the body cannot be read: {e}")),
+        Err(e) => return error_response(StatusCode::BAD_REQUEST, &format!("the body cannot be read: {e}")),
     };
     let switch = KillSwitch {
         on: switch.on,
         who: switch.who,
         why: switch.why,
     };
-    order(&context.0, &request, Command::KillSwitch(switch)).await
+    run_command(&context.0, &request, Command::KillSwitch(switch)).await
 }
--- a/crates/pebblepond/src/balancer_actor.rs
+++ b/crates/pebblepond/src/balancer_actor.rs
@@ -1,5 +1,5 @@
-//! The owner of this node's view of the workers: hands out choices, takes
-//! note of outcomes, and reports to the leader.
+//! Drives the balancer: hands out choices of workers, takes note of outcomes, and reports to the
+//! leader.
 
 use crate::kernel::{Component, NodeContext, StartError};
 use crate::peer_transport::{PeerTransport, SendToPeer};
@@ -36,9 +36,9 @@
         state: Arc::default(),
         demand: BTreeMap::new(),
         keys: BTreeMap::new(),
-        groups: HashMap::new(),
-        reported: context.now(),
-        passed_on: BTreeMap::new(),
+        client_zones: HashMap::new(),
+        reported_at: context.now(),
+        relayed: BTreeMap::new(),
     };
     let balancer_actor = balancer_actor.start();
     *context.report_handlers.relayed.borrow_mut() = Some(balancer_actor.clone().recipient());
@@ -50,11 +50,17 @@
 #[derive(Message)]
 #[rtype(result = "Selection")]
 pub struct ChooseWorker {
+    /// Route of the request.
     pub route: Arc<Route>,
+    /// Service that was drawn for it.
     pub service: Arc<str>,
+    /// Key, for a partitioned service.
     pub key: Option<u32>,
+    /// Workers that were tried.
     pub tried: Vec<String>,
+    /// Time until the deadline, ms.
     pub remaining_ms: u64,
+    /// Address of the client.
     pub client: Option<IpAddr>,
 }
 
@@ -63,12 +69,15 @@
 #[rtype(result = "String")]
 pub struct DrawService(pub Arc<Route>);
 
-/// Says how a try ended.
+/// Says how an attempt ended.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct ObserveAttempt {
+    /// The worker.
     pub id: String,
+    /// How it ended.
     pub result: AttemptResult,
+    /// What it counts for in a rollout.
     pub label: Option<SampleLabel>,
 }
 
@@ -76,39 +85,48 @@
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct ClientZone {
+    /// Address of the client.
     pub client: IpAddr,
+    /// Its zone.
     pub zone: String,
 }
 
+/// Messages that wait for the actor, messages.
+const MAILBOX: usize = 1024;
 /// Client addresses remembered with their zone, addresses.
-const GROUPS_KEPT: usize = 4096;
+const MAX_CLIENT_ZONES: usize = 4096;
 
+/// Owner of the balancer and of what this node counts.
 pub struct BalancerActor {
     context: Rc<NodeContext>,
     upstream: Rc<Upstream>,
     balancer: LoadBalancer,
     state: Arc<ControlState>,
+    /// Requests by service and client group.
     demand: BTreeMap<(Arc<str>, String), u64>,
     /// Requests by service and key.
     keys: BTreeMap<(Arc<str>, u32), u32>,
     /// The zone of clients, as the directory learned it.
-    groups: HashMap<IpAddr, String>,
-    reported: u64,
-    /// What nodes that follow this one have reported since, by their region.
-    passed_on: BTreeMap<String, Report>,
+    client_zones: HashMap<IpAddr, String>,
+    /// When it last reported, ms.
+    reported_at: u64,
+    /// What nodes that follow this one have reported since, by their site.
+    relayed: BTreeMap<String, Report>,
 }
 
 impl Actor for BalancerActor {
     type Context = Context<Self>;
     fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.set_mailbox_capacity(1024);
-        ctx.run_interval(Duration::from_millis(c::IDLE_SWEEP_INTERVAL_MS), |me, _| {
-            me.upstream.sweep();
-            me.refresh();
-            me.balancer.sweep(me.context.now());
-            me.neighbours();
+        ctx.set_mailbox_capacity(MAILBOX);
+        ctx.run_interval(Duration::from_millis(c::IDLE_SWEEP_INTERVAL_MS), |actor, _| {
+            actor.upstream.sweep();
+            actor.refresh();
+            actor.balancer.sweep(actor.context.now());
+            actor.update_peers();
+        });
+        ctx.run_interval(Duration::from_millis(c::REPORT_INTERVAL_MS), |actor, _| {
+            actor.report()
         });
-        ctx.run_interval(Duration::from_millis(c::REPORT_INTERVAL_MS), |me, _| me.report());
     }
 }
 
@@ -128,19 +146,20 @@
         self.state = state;
     }
 
-    fn neighbours(&mut self) {
+    /// Tells the balancer of the other nodes.
+    fn update_peers(&mut self) {
         let members = self.context.members.get();
         let own = &self.context.settings.get().own_entity;
-        let edges = || members.iter().filter(|m| !m.client_address.is_empty());
-        let here = || edges().filter(|m| m.zone == own.zone);
-        let place = Locality {
-            nodes: edges().count().max(1),
-            number: edges().filter(|m| m.name < own.node_name).count(),
-            nodes_in_zone: here().count().max(1),
-            number_in_zone: here().filter(|m| m.name < own.node_name).count(),
+        let proxies = || members.iter().filter(|m| !m.client_address.is_empty());
+        let in_zone = || proxies().filter(|m| m.zone == own.zone);
+        let locality = Locality {
+            nodes: proxies().count().max(1),
+            number: proxies().filter(|m| m.name < own.node_name).count(),
+            nodes_in_zone: in_zone().count().max(1),
+            number_in_zone: in_zone().filter(|m| m.name < own.node_name).count(),
         };
         self.balancer.set_peers(PeerInfo {
-            locality: place,
+            locality,
             own_id: self.context.status.get().id,
             round_trips: (*self.context.round_trips.get()).clone(),
         });
@@ -158,87 +177,110 @@
         placement::draw_site(&self.state.fractions, service, group, chance, |_| true).map(str::to_string)
     }
 
+    /// Sends the leader what this node has counted since the last report, and what the nodes that
+    /// follow it have.
     fn report(&mut self) {
         let now = self.context.now();
-        let span_ms = now - self.reported;
-        self.reported = now;
-        let status = self.context.status.get();
-        let members = self.context.members.get();
-        // A node that follows a voter reports to it.
-        let source = (*self.context.upstream.get()).clone();
-        let leader = members.iter().find(|m| m.id == status.leader_id && m.id != 0);
-        let Some(to) = source.or_else(|| leader.map(|m| m.address.clone())) else {
+        let interval_ms = now - self.reported_at;
+        self.reported_at = now;
+        let Some(to) = self.report_destination() else {
+            return;
+        };
+        let mut report = self.own_report(interval_ms);
+        let mut relayed = std::mem::take(&mut self.relayed);
+        if let Some(others) = relayed.remove(&report.site) {
+            report.merge(others);
+        }
+        let Some(transport) = self.context.get::<Addr<PeerTransport>>() else {
             return;
         };
+        for report in std::iter::once(report).chain(relayed.into_values()) {
+            transport.do_send(SendToPeer {
+                to: to.clone(),
+                payload: Payload::Report(report),
+            });
+        }
+    }
+
+    /// The voter that this node takes the log from, or the leader.
+    fn report_destination(&self) -> Option<String> {
+        let upstream = (*self.context.upstream.get()).clone();
+        let leader_id = self.context.status.get().leader_id;
+        let members = self.context.members.get();
+        let leader = members.iter().find(|m| m.id == leader_id && m.id != 0);
+        upstream.or_else(|| leader.map(|m| m.address.clone()))
+    }
+
+    fn own_report(&mut self, interval_ms: u64) -> Report {
         let settings = self.context.settings.get();
-        let mut keys: Vec<KeyCounts> = Vec::new();
-        for ((service, bucket), count) in std::mem::take(&mut self.keys) {
-            if keys.last().is_none_or(|k| k.service != name_hash(&service)) {
-                keys.push(KeyCounts {
-                    service: name_hash(&service),
+        let own = &settings.own_entity;
+        let site = settings.site(&own.zone, &own.region).to_string();
+        Report {
+            zone: own.zone.clone(),
+            site,
+            interval_ms,
+            demand: self.take_demand(&own.zone),
+            workers: self.take_worker_stats(),
+            round_trips: self.round_trips(),
+            forwarding_rate: own.limits.cpu_fraction * 1000.0 / c::FORWARDING_CPU_MS,
+            keys: self.take_key_counts(),
+            rollout_samples: self.balancer.take_samples(),
+        }
+    }
+
+    /// Requests by service and client group; the node's own zone is left out as a group's name.
+    fn take_demand(&mut self, own_zone: &str) -> Vec<Demand> {
+        std::mem::take(&mut self.demand)
+            .into_iter()
+            .map(|((service, group), count)| Demand {
+                service: name_hash(&service),
+                group: if group == own_zone { String::new() } else { group },
+                count,
+            })
+            .collect()
+    }
+
+    fn take_worker_stats(&mut self) -> Vec<WorkerStats> {
+        self.balancer
+            .take_observations()
+            .into_iter()
+            .map(|observation| WorkerStats {
+                worker: name_hash(&observation.worker),
+                response_ms: observation.mean_response_ms as f32,
+                served: observation.served,
+                failed: observation.failed,
+            })
+            .collect()
+    }
+
+    fn round_trips(&self) -> Vec<RoundTrip> {
+        let round_trips = self.context.round_trips.get();
+        round_trips
+            .iter()
+            .map(|(site, rtt_ms)| RoundTrip {
+                site: name_hash(site),
+                rtt_ms: *rtt_ms as f32,
+            })
+            .collect()
+    }
+
+    /// Requests by key, one row for each service.
+    fn take_key_counts(&mut self) -> Vec<KeyCounts> {
+        let mut rows: Vec<KeyCounts> = Vec::new();
+        for ((service, key), count) in std::mem::take(&mut self.keys) {
+            let service = name_hash(&service);
+            if rows.last().is_none_or(|row| row.service != service) {
+                rows.push(KeyCounts {
+                    service,
                     ..Default::default()
                 });
             }
-            if let Some(row) = keys.last_mut() {
-                row.buckets.push(bucket);
+            if let Some(row) = rows.last_mut() {
+                row.buckets.push(key);
                 row.counts.push(count);
             }
         }
-        let mut report = Report {
-            zone: settings.own_entity.zone.clone(),
-            site: settings
-                .site(&settings.own_entity.zone, &settings.own_entity.region)
-                .to_string(),
-            interval_ms: span_ms,
-            demand: std::mem::take(&mut self.demand)
-                .into_iter()
-                .map(|((service, group), count)| Demand {
-                    service: name_hash(&service),
-                    group: if group == settings.own_entity.zone {
-                        String::new()
-                    } else {
-                        group
-                    },
-                    count,
-                })
-                .collect(),
-            workers: self
-                .balancer
-                .take_observations()
-                .into_iter()
-                .map(|observation| WorkerStats {
-                    worker: name_hash(&observation.worker),
-                    response_ms: observation.mean_response_ms as f32,
-                    served: observation.served,
-                    failed: observation.failed,
-                })
-                .collect(),
-            round_trips: self
-                .context
-                .round_trips
-                .get()
-                .iter()
-                .map(|(region, rtt_ms)| RoundTrip {
-                    site: name_hash(region),
-                    rtt_ms: *rtt_ms as f32,
-                })
-                .collect(),
-            forwarding_rate: settings.own_entity.limits.cpu_fraction * 1000.0 / c::FORWARDING_CPU_MS,
-            keys,
-            rollout_samples: self.balancer.take_samples(),
-        };
-        let mut reports = std::mem::take(&mut self.passed_on);
-        if let Some(others) = reports.remove(&report.site) {
-            report.merge(others);
-        }
-        if let Some(transport) = self.context.get::<Addr<PeerTransport>>() {
-            for report in std::iter::once(report).chain(reports.into_values()) {
-                transport.do_send(SendToPeer {
-                    to: to.clone(),
-                    payload: Payload::Report(report),
-                });
-            }
-        }
+        rows
     }
 }
 
@@ -256,7 +298,7 @@
         if msg.tried.is_empty() {
             let group = msg
                 .client
-                .and_then(|ip| self.groups.get(&ip).cloned())
+                .and_then(|ip| self.client_zones.get(&ip).cloned())
                 .unwrap_or_else(|| self.context.settings.get().own_entity.zone.clone());
             *self.demand.entry((msg.service.clone(), group)).or_default() += 1;
             if let Some(key) = msg.key {
@@ -289,10 +331,10 @@
 impl Handler<RelayedReport> for BalancerActor {
     type Result = ();
     fn handle(&mut self, RelayedReport(report): RelayedReport, _: &mut Self::Context) {
-        match self.passed_on.get_mut(&report.site) {
+        match self.relayed.get_mut(&report.site) {
             Some(sum) => sum.merge(report),
             None => {
-                self.passed_on.insert(report.site.clone(), report);
+                self.relayed.insert(report.site.clone(), report);
             }
         }
     }
@@ -301,9 +343,9 @@
 impl Handler<ClientZone> for BalancerActor {
     type Result = ();
     fn handle(&mut self, msg: ClientZone, _: &mut Self::Context) {
-        if self.groups.len() >= GROUPS_KEPT {
-            self.groups.clear();
+        if self.client_zones.len() >= MAX_CLIENT_ZONES {
+            self.client_zones.clear();
         }
-        self.groups.insert(msg.client, msg.zone);
+        self.client_zones.insert(msg.client, msg.zone);
     }
 }
--- a/crates/pebblepond/src/forwarding_tests.rs
+++ b/crates/pebblepond/src/forwarding_tests.rs
@@ -134,7 +134,7 @@
     node(workers).await.1
 }
 
-/// The same, with the house that it stands in.
+/// The same, with its context.
 pub(crate) async fn node(workers: &[String]) -> (Rc<NodeContext>, SocketAddrV4) {
     let port = free_port();
     let text = format!(
--- a/crates/pebblepond/src/gossip_driver.rs
+++ b/crates/pebblepond/src/gossip_driver.rs
@@ -199,7 +199,7 @@
         let from = received.from.to_string();
         self.protocol.receive(self.context.now(), &from, received.message);
         if self.protocol.unmatched_acks() != before {
-            self.context.counters.add("unknown_acks");
+            self.context.counters.add("unmatched_acks");
         }
         self.flush();
     }
--- a/crates/pebblepond/src/ownership_controller.rs
+++ b/crates/pebblepond/src/ownership_controller.rs
@@ -108,7 +108,7 @@
         };
         for lease in &put {
             log::info!(
-                "event=keys service={} from={} to={} worker={} fence={} leaving={}",
+                "event=keys service={} from={} to={} worker={} fencing_token={} revoking={}",
                 lease.service,
                 lease.from,
                 lease.to,
@@ -181,7 +181,7 @@
                 Ok(response) if response.status.is_success() => GrantResult::Accepted,
                 Ok(response) if response.status == 409 => {
                     log::warn!(
-                        "event=grant_outrun worker={} fence={} answer={:?}",
+                        "event=grant_fenced worker={} fencing_token={} answer={:?}",
                         lease.worker,
                         lease.fencing_token,
                         response.body
@@ -203,7 +203,7 @@
     /// Counts an answer that no call waits for.
     fn count_unmatched(&self, before: u64) {
         if self.ownership.unmatched_answers() != before {
-            self.context.counters.add("unknown_key_answers");
+            self.context.counters.add("unmatched_key_answers");
         }
     }
 
--- a/crates/pebblepond/src/peer_transport.rs
+++ b/crates/pebblepond/src/peer_transport.rs
@@ -170,7 +170,7 @@
         });
         // A full queue drops the newest: whatever matters is sent again.
         if connection.try_send(frame).is_err() {
-            self.context.counters.add("letters_dropped");
+            self.context.counters.add("messages_dropped");
         }
     }
 }
@@ -180,7 +180,7 @@
     fn handle(&mut self, PeerReceived(message): PeerReceived, _: &mut Self::Context) {
         let cluster = self.context.status.get().cluster;
         if cluster != 0 && message.cluster != 0 && message.cluster != cluster {
-            self.context.counters.add("letters_of_another_cluster");
+            self.context.counters.add("messages_of_another_cluster");
             return;
         }
         let kind = message.payload.as_ref().and_then(PayloadKind::of);
--- a/crates/pebblepond/src/rollout_controller.rs
+++ b/crates/pebblepond/src/rollout_controller.rs
@@ -24,7 +24,7 @@
         emergency: EmergencyTracker::default(),
         emergency_level: EmergencyLevel::Calm,
         reported_at: 0,
-        busy: false,
+        is_checking: false,
     };
     let controller = controller.start();
     *context.report_handlers.rollout_outcomes.borrow_mut() = Some(controller.clone().recipient());
@@ -32,12 +32,16 @@
     Ok(())
 }
 
-/// Whether an operator's change of a rollout may pass; the time since its order.
+/// Whether an operator's change of a rollout passes the gate; answered with how long the rollout
+/// has run, ms, or what stands against it.
 #[derive(Message)]
 #[rtype(result = "Result<u64, String>")]
 pub struct CheckGate {
+    /// The service that is rolled out.
     pub service: String,
+    /// What the operator wants.
     pub action: Action,
+    /// Passes over the gate.
     pub bypass: bool,
 }
 
@@ -46,13 +50,16 @@
 #[rtype(result = "serde_json::Value")]
 pub struct RolloutFigures;
 
+/// Owner of the watchdog.
 pub struct RolloutController {
     context: Rc<NodeContext>,
     watchdog: Watchdog,
     emergency: EmergencyTracker,
     emergency_level: EmergencyLevel,
+    /// When a report last came in, ms.
     reported_at: u64,
-    busy: bool,
+    /// A check is under way.
+    is_checking: bool,
 }
 
 impl Actor for RolloutController {
@@ -69,19 +76,19 @@
     fn round(&mut self, ctx: &mut Context<Self>) {
         let state = self.context.state.get();
         self.watchdog.follow(self.context.now(), &state.rollouts);
-        if !self.context.status.get().is_leader || self.busy {
+        if !self.context.status.get().is_leader || self.is_checking {
             return;
         }
         self.emergency_level = self.emergency.check();
-        if state.rollouts.values().all(|p| !p.is_active()) {
+        if state.rollouts.values().all(|rollout| !rollout.is_active()) {
             return;
         }
         let Some(driver) = self.context.get::<Addr<RaftDriver>>() else {
             return;
         };
-        self.busy = true;
-        let active = state.rollouts.values().filter(|p| p.is_active());
-        let versions: Vec<u64> = active.map(|p| p.version).collect();
+        self.is_checking = true;
+        let active = state.rollouts.values().filter(|rollout| rollout.is_active());
+        let versions: Vec<u64> = active.map(|rollout| rollout.version).collect();
         let conditions = async move {
             let lease = driver.send(LeaderLease).await;
             let mut behind = Vec::new();
@@ -93,7 +100,7 @@
             matches!(lease, Ok(Some(_))).then_some(behind)
         };
         ctx.spawn(conditions.into_actor(self).map(|behind, controller, ctx| {
-            controller.busy = false;
+            controller.is_checking = false;
             if let Some(behind) = behind {
                 controller.decide(&behind, ctx);
             }
@@ -106,17 +113,17 @@
         let Some(driver) = self.context.get::<Addr<RaftDriver>>() else {
             return;
         };
-        for p in state.rollouts.values().filter(|p| p.is_active()) {
-            let conditions = self.conditions(&state, p, behind.contains(&p.version));
-            let Some(change) = self.watchdog.decide(now, p, &conditions) else {
+        for rollout in state.rollouts.values().filter(|rollout| rollout.is_active()) {
+            let conditions = self.conditions(&state, rollout, behind.contains(&rollout.version));
+            let Some(change) = self.watchdog.decide(now, rollout, &conditions) else {
                 continue;
             };
             log::info!(
                 "event=rollout service={} target={} state={} stage={} action={} elapsed={} why={:?}",
-                p.service,
-                p.target,
-                p.state_now().name(),
-                p.stage_index,
+                rollout.service,
+                rollout.target,
+                rollout.state_now().name(),
+                rollout.stage_index,
                 Action::try_from(change.action).map_or("none", |a| a.name()),
                 change.elapsed_ms,
                 change.why
@@ -127,19 +134,19 @@
         }
     }
 
-    fn conditions(&self, state: &ControlState, p: &Rollout, behind: bool) -> Conditions {
+    fn conditions(&self, state: &ControlState, rollout: &Rollout, is_behind: bool) -> Conditions {
         let mut conditions = Conditions {
-            is_behind: behind,
+            is_behind,
             reported_at: self.reported_at,
             level: self.emergency_level,
             kill_switch: state.kill_switch.as_ref().is_some_and(|k| k.on),
             ..Default::default()
         };
         for w in state.workers.values() {
-            if w.service != p.service || w.draining || state.evacuated.contains_key(&w.zone) {
+            if w.service != rollout.service || w.draining || state.evacuated.contains_key(&w.zone) {
                 continue;
             }
-            match p.cohort(&w.version) {
+            match rollout.cohort(&w.version) {
                 Cohort::New if w.warmup_ms == 0 && !state.is_warmup_unknown(w) => conditions.ready += 1,
                 Cohort::Old => conditions.old += 1,
                 _ => {}
@@ -147,9 +154,9 @@
         }
         let old = |worker: &str| {
             let row = state.workers.get(worker);
-            row.is_some_and(|w| p.cohort(&w.version) == Cohort::Old)
+            row.is_some_and(|w| rollout.cohort(&w.version) == Cohort::Old)
         };
-        let table = state.key_leases.get(&p.service);
+        let table = state.key_leases.get(&rollout.service);
         let mut held = table.into_iter().flat_map(|t| t.values());
         conditions.keys_remain = held.any(|lease| old(&lease.worker));
         conditions
@@ -158,7 +165,7 @@
     /// What is counted of new versions is no sign of the system's state.
     fn add_worker_stats(&mut self, workers: &[WorkerStats]) {
         let state = self.context.state.get();
-        let canaries: BTreeSet<u32> = if state.rollouts.values().any(|p| p.is_active()) {
+        let canaries: BTreeSet<u32> = if state.rollouts.values().any(|rollout| rollout.is_active()) {
             let new = state.workers.values().filter(|w| state.cohort(w) == Cohort::New);
             new.map(|w| name_hash(&w.id)).collect()
         } else {
@@ -187,22 +194,22 @@
         let now = self.context.now();
         let state = self.context.state.get();
         self.watchdog.follow(now, &state.rollouts);
-        let p = state.rollouts.get(&msg.service).ok_or("no such rollout")?;
-        let elapsed = self.watchdog.elapsed(now, p);
+        let rollout = state.rollouts.get(&msg.service).ok_or("no such rollout")?;
+        let elapsed = self.watchdog.elapsed(now, rollout);
         if msg.bypass {
             return Ok(elapsed);
         }
-        let conditions = self.conditions(&state, p, false);
+        let conditions = self.conditions(&state, rollout, false);
         match msg.action {
             Action::Promote => {
                 Watchdog::check_gate(now, &conditions)?;
-                match self.watchdog.verdict(p) {
+                match self.watchdog.verdict(rollout) {
                     Some(Verdict::Good) => {}
                     Some(Verdict::Unproven(why)) => return Err(format!("not proven: {why}")),
                     Some(Verdict::Bad(why)) => return Err(format!("the version is bad: {why}")),
                     None => return Err("there are no figures".into()),
                 }
-                if p.is_last() && conditions.keys_remain {
+                if rollout.is_last() && conditions.keys_remain {
                     return Err("keys are still held by workers of the old version".into());
                 }
             }
@@ -221,23 +228,23 @@
         let rows: serde_json::Map<String, serde_json::Value> = state
             .rollouts
             .values()
-            .filter_map(|p| {
-                let metrics = self.watchdog.metrics(&p.service)?;
+            .filter_map(|rollout| {
+                let metrics = self.watchdog.metrics(&rollout.service)?;
                 let totals = metrics.totals();
-                let verdict = match self.watchdog.verdict(p)? {
+                let verdict = match self.watchdog.verdict(rollout)? {
                     Verdict::Good => "good".to_string(),
                     Verdict::Unproven(why) => format!("not proven: {why}"),
                     Verdict::Bad(why) => format!("bad: {why}"),
                 };
-                let cohort = |s: &rollout::OutcomeSums| {
-                    serde_json::json!({"answered": s.answered(), "errors": s.bad, "lost": s.lost,
-                        "mean_ms": if s.served > 0.0 { s.ms / s.served } else { 0.0 }})
+                let cohort = |sums: &rollout::OutcomeSums| {
+                    serde_json::json!({"answered": sums.answered(), "errors": sums.bad, "lost": sums.lost,
+                        "mean_ms": if sums.served > 0.0 { sums.ms / sums.served } else { 0.0 }})
                 };
                 let row = serde_json::json!({
-                    "verdict": verdict, "elapsed_ms": self.watchdog.elapsed(now, p),
+                    "verdict": verdict, "elapsed_ms": self.watchdog.elapsed(now, rollout),
                     "old": cohort(&totals.old), "new": cohort(&totals.new),
                 });
-                Some((p.service.clone(), row))
+                Some((rollout.service.clone(), row))
             })
             .collect();
         MessageResult(serde_json::json!({"level": self.emergency_level as u8, "rollouts": rows}))
--- a/crates/pebblepond/src/shutdown.rs
+++ b/crates/pebblepond/src/shutdown.rs
@@ -20,12 +20,12 @@
         let mut seen = changed_at(&watcher);
         loop {
             let pause = actix_rt::time::sleep(Duration::from_millis(c::SETTINGS_CHECK_INTERVAL_MS));
-            let told = tokio::select! {
+            let is_asked = tokio::select! {
                 _ = hup.recv() => true,
                 () = pause => false,
             };
             let now = changed_at(&watcher);
-            if told || now != seen {
+            if is_asked || now != seen {
                 seen = now;
                 reload(&watcher);
             }
@@ -34,7 +34,7 @@
     let context = context.clone();
     actix_rt::spawn(async move {
         if term.recv().await.is_some() {
-            leave(&context).await;
+            shut_down(&context).await;
             System::current().stop();
         }
     });
@@ -78,39 +78,43 @@
 /// Not ready, out of the directory, leadership passed on, and then whatever
 /// runs may end within the grace period. A voter stays, as long as there is time,
 /// until the others go on with all that it holds.
-async fn leave(context: &Rc<NodeContext>) {
-    log::info!("event=leaving");
+async fn shut_down(context: &Rc<NodeContext>) {
+    log::info!("event=shutdown_begun");
     context.shutting_down.set(true);
     let driver = context.get::<Addr<RaftDriver>>();
     let grace = context.settings.get().terms.bounds.grace_period.ms;
     let begun = context.now();
     let mut quiet_since = begun;
-    let (mut may_end, mut told_at) = (driver.is_none(), None);
+    let mut can_end = driver.is_none();
+    let mut announced_at = None;
     loop {
         let now = context.now();
         if let Some(driver) = &driver {
-            if told_at.is_none_or(|at| now - at >= c::SHUTDOWN_ANNOUNCE_INTERVAL_MS) {
-                told_at = Some(now);
-                may_end = driver.send(AnnounceShutdown).await.unwrap_or(true);
+            if announced_at.is_none_or(|at| now - at >= c::SHUTDOWN_ANNOUNCE_INTERVAL_MS) {
+                announced_at = Some(now);
+                can_end = driver.send(AnnounceShutdown).await.unwrap_or(true);
             }
         }
-        if context.get::<Rc<Proxy>>().is_some_and(|f| f.running() > 0) {
+        if context
+            .get::<Rc<Proxy>>()
+            .is_some_and(|proxy| proxy.running() > 0)
+        {
             quiet_since = now;
         }
-        let gone = now - begun;
+        let elapsed = now - begun;
         // What still comes would be cut off: it is refused while there is time
         // to say so, and what runs may end.
-        context.refusing_requests.set(gone > grace * 7 / 10);
+        context.refusing_requests.set(elapsed > grace * 7 / 10);
         // Clients leave within the life of an answer; who still comes after
         // that is served as long as there is time.
-        let settled = gone > grace / 2 && now - quiet_since > c::SHUTDOWN_QUIET_MS && may_end;
-        if settled || gone > grace * 9 / 10 {
-            if !may_end {
+        let settled = elapsed > grace / 2 && now - quiet_since > c::SHUTDOWN_QUIET_MS && can_end;
+        if settled || elapsed > grace * 9 / 10 {
+            if !can_end {
                 log::warn!(
-                    "event=left_too_few what=\"the other voters in contact are no majority that holds all that is committed: keep this disk, or bring this process back\""
+                    "event=shutdown_without_majority what=\"the other voters in contact are no majority that holds all that is committed: keep this disk, or bring this process back\""
                 );
             }
-            log::info!("event=left after_ms={gone}");
+            log::info!("event=shutdown_complete after_ms={elapsed}");
             return;
         }
         actix_rt::time::sleep(Duration::from_millis(50)).await;
