--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -57,7 +57,7 @@
 /// What to do with a head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum HeadAction {
-    /// It is this attempt's: read the body, then tell [`Attempt::ended`].
+    /// It is this attempt's: read the body, then tell [`Attempt::on_complete`].
     Ours,
     /// It belongs to somebody else: pass over its body and read on.
     Unmatched,
@@ -86,6 +86,7 @@
 /// Heads that are not ours, passed over before a connection is given up, heads.
 const MAX_UNMATCHED: u32 = config::constants::MAX_UNMATCHED_RESPONSES;
 
+/// One attempt at a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Attempt {
     phase: Phase,
@@ -124,6 +125,7 @@
         }
     }
 
+    /// How far it has come.
     pub fn phase(&self) -> Phase {
         self.phase
     }
@@ -241,6 +243,7 @@
 }
 
 impl AttemptHistory {
+    /// No attempts yet, at a request that must not run twice, or may.
     pub fn new(is_non_idempotent: bool) -> AttemptHistory {
         AttemptHistory {
             is_non_idempotent,
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -11,6 +11,7 @@
 mod balancer;
 mod endpoint;
 mod retry_budget;
+mod rollout_cohort;
 mod rollout_samples;
 mod selection;
 mod subset;
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -39,7 +39,8 @@
 }
 
 impl Subset {
-    /// `workers` are those of one service, in the order of their names.
+    /// `workers` are those of one service, in the order of their names. `limit` is the number of
+    /// connections that each of them takes.
     pub fn new(
         workers: &[Arc<Worker>],
         zone: &str,
@@ -51,73 +52,105 @@
         let connections = limit / (all_nodes as u32 + 1);
         let is_scarce = connections < c::MIN_CONNECTIONS_PER_WORKER;
         if is_partitioned || !is_scarce && workers.len() <= c::SUBSET_THRESHOLD {
-            let connections = connections.max(1);
-            let members = workers
-                .iter()
-                .map(|w| Member {
-                    worker: w.clone(),
-                    connections,
-                })
-                .collect();
-            let sharing_nodes = locality.nodes_in_zone.max(1) as f64;
-            return Subset {
-                members,
-                sharing_nodes,
-            };
+            return Subset::of_all(workers, connections.max(1), locality);
         }
-        let mut shared = 1.0;
         let mut zones: Vec<&str> = workers.iter().map(|w| w.zone.as_str()).collect();
         zones.sort_unstable();
         zones.dedup();
-        let mut members = Vec::new();
+        let mut subset = Subset {
+            members: Vec::new(),
+            sharing_nodes: 1.0,
+        };
         for other_zone in zones {
-            let in_this_zone: Vec<Arc<Worker>> = workers
+            let candidates: Vec<Arc<Worker>> = workers
                 .iter()
                 .filter(|w| w.zone == other_zone && !w.draining)
                 .cloned()
                 .collect();
-            if in_this_zone.is_empty() {
+            if candidates.is_empty() {
                 continue;
             }
-            let is_local = other_zone == zone;
-            let within_zone = (locality.number_in_zone, locality.nodes_in_zone.max(1));
-            // Where connections abound, the nodes of each zone spread over all
-            // workers of every other, so that a zone that loses its own workers
-            // weighs evenly on them.
-            let (number, nodes) = if is_local || !is_scarce {
-                within_zone
-            } else {
-                (locality.number, all_nodes)
-            };
-            let room = f64::from(limit)
-                * if is_local {
-                    c::LOCAL_CONNECTION_PART
-                } else {
-                    c::REMOTE_CONNECTION_PART
-                };
-            let size = if is_local {
-                c::LOCAL_SUBSET.min(in_this_zone.len())
-            } else if is_scarce {
-                let fits = (room * in_this_zone.len() as f64 / nodes as f64) as usize;
-                fits.clamp(1, c::REMOTE_SUBSET).min(in_this_zone.len())
-            } else {
-                c::REMOTE_SUBSET.min(in_this_zone.len())
+            let share = ZoneShare {
+                is_local: other_zone == zone,
+                is_scarce,
+                limit,
+                locality,
             };
-            let callers = if is_local { nodes } else { all_nodes };
-            let sharing_nodes = (callers * size).div_ceil(in_this_zone.len());
-            let connections = ((room / sharing_nodes as f64) as u32).max(1);
-            let connections = if is_local || !is_scarce { connections } else { 1 };
-            if is_local {
-                shared = sharing_nodes as f64;
+            let (members, sharing_nodes) = share.of(&candidates);
+            subset.members.extend(members);
+            if share.is_local {
+                subset.sharing_nodes = sharing_nodes as f64;
             }
-            members.extend(
-                window(&in_this_zone, number, nodes, size).map(|worker| Member { worker, connections }),
-            );
         }
-        let sharing_nodes = shared;
+        subset
+    }
+
+    /// All workers, each with so many connections.
+    fn of_all(workers: &[Arc<Worker>], connections: u32, locality: Locality) -> Subset {
+        let member = |worker: &Arc<Worker>| Member {
+            worker: worker.clone(),
+            connections,
+        };
         Subset {
-            members,
-            sharing_nodes,
+            members: workers.iter().map(member).collect(),
+            sharing_nodes: locality.nodes_in_zone.max(1) as f64,
+        }
+    }
+}
+
+/// What a node uses of the workers of one zone.
+struct ZoneShare {
+    /// The zone is the node's own.
+    is_local: bool,
+    /// There are too few connections for every node to use every worker.
+    is_scarce: bool,
+    /// Connections that each worker takes.
+    limit: u32,
+    locality: Locality,
+}
+
+impl ZoneShare {
+    /// The workers that the node uses of a zone's, and how many nodes use each of them.
+    fn of(&self, candidates: &[Arc<Worker>]) -> (Vec<Member>, usize) {
+        let all_nodes = self.locality.nodes.max(1);
+        let nodes_in_zone = self.locality.nodes_in_zone.max(1);
+        // Where connections abound, the nodes of each zone spread over all
+        // workers of every other, so that a zone that loses its own workers
+        // weighs evenly on them.
+        let (number, nodes) = if self.is_local || !self.is_scarce {
+            (self.locality.number_in_zone, nodes_in_zone)
+        } else {
+            (self.locality.number, all_nodes)
+        };
+        let part = if self.is_local {
+            c::LOCAL_CONNECTION_PART
+        } else {
+            c::REMOTE_CONNECTION_PART
+        };
+        let room = f64::from(self.limit) * part;
+        let size = self.size(candidates.len(), room, nodes);
+        let callers = if self.is_local { nodes } else { all_nodes };
+        let sharing_nodes = (callers * size).div_ceil(candidates.len());
+        let connections = ((room / sharing_nodes as f64) as u32).max(1);
+        let connections = if self.is_local || !self.is_scarce {
+            connections
+        } else {
+            1
+        };
+        let chosen = window(candidates, number, nodes, size);
+        let members = chosen.map(|worker| Member { worker, connections });
+        (members.collect(), sharing_nodes)
+    }
+
+    /// How many workers of so many the node uses, if `room` connections of each are shared.
+    fn size(&self, candidates: usize, room: f64, nodes: usize) -> usize {
+        if self.is_local {
+            c::LOCAL_SUBSET.min(candidates)
+        } else if self.is_scarce {
+            let fits = (room * candidates as f64 / nodes as f64) as usize;
+            fits.clamp(1, c::REMOTE_SUBSET).min(candidates)
+        } else {
+            c::REMOTE_SUBSET.min(candidates)
         }
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -2,10 +2,12 @@
 //! services, and the constants that several crates share.
 
 mod configuration;
+/// Constants that several crates share, with unit and reason.
 pub mod constants;
 mod duration_text;
 mod error;
 mod modification;
+/// The settings file of a node.
 pub mod settings;
 
 pub use configuration::{
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -10,76 +10,108 @@
 /// The name of the environment variable that holds the settings file's path.
 pub const SETTINGS_ENV: &str = "PEBBLEPOND_CONFIG";
 
+/// The settings of one node.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "PascalCase")]
 pub struct Settings {
+    /// The node itself.
     #[validate(nested)]
     pub own_entity: OwnEntity,
+    /// Addresses and places.
     #[validate(nested)]
     pub network: Network,
+    /// What it runs on.
     #[validate(nested)]
     pub platform: Platform,
+    /// What the operator has laid down.
     #[validate(nested)]
     pub terms: Terms,
 }
 
+/// What the node itself is.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "PascalCase")]
 pub struct OwnEntity {
+    /// Name of the node, unique in the system.
     #[validate(length(min = 1))]
     pub node_name: String,
+    /// Duties named in the deploy file; for the reader.
     #[serde(default)]
     pub serves: Vec<String>,
+    /// Address that other nodes reach it at.
     pub ip_address: std::net::Ipv4Addr,
+    /// Zone that it is in.
     #[validate(length(min = 1))]
     pub zone: String,
+    /// Region that it is in.
     #[validate(length(min = 1))]
     pub region: String,
+    /// Its loss counts against the tolerance.
     #[serde(default)]
     pub loss_counted: bool,
+    /// The whole system starts for the first time; default `false`.
     #[serde(default)]
     pub initial_start: bool,
+    /// Where it stores its data; without one it does not vote.
     pub data_directory: Option<String>,
+    /// What it may use of its machine.
     #[validate(nested)]
     pub limits: MachineLimits,
 }
 
+/// What the node may use of its machine.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "PascalCase")]
 pub struct MachineLimits {
+    /// Part of a core; more than 1 for several cores.
     #[validate(range(min = 0.001, max = 1024.0))]
     pub cpu_fraction: f64,
+    /// Memory, MB; 0 if not given.
     #[serde(default)]
     pub memory_mb: u64,
+    /// Open files and connections; 0 if not given.
     #[serde(default)]
     pub file_descriptors: u64,
+    /// Disk space, MB; 0 if not given.
     #[serde(default)]
     pub disk_mb: u64,
 }
 
+/// Addresses and places.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "PascalCase")]
 pub struct Network {
+    /// First and last of the ports for other nodes; the first is used, for TCP and UDP.
     pub internal_ports: [u16; 2],
+    /// Addresses of nodes to join by.
     #[serde(default)]
     pub seed_nodes: Vec<SocketAddrV4>,
+    /// Where it listens for others than nodes.
     pub listen_points: ListenPoints,
+    /// Region of each zone.
     #[validate(length(min = 1))]
     pub zones: BTreeMap<String, String>,
 }
 
+/// Where the node listens; a point that is not given is not served.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ListenPoints {
+    /// For requests of clients.
     pub front: Option<SocketAddrV4>,
+    /// For questions whether it is ready.
     pub readiness: Option<SocketAddrV4>,
+    /// For operators.
     pub control: Option<SocketAddrV4>,
+    /// For clients that look for a node.
     pub directory: Option<SocketAddrV4>,
 }
 
+/// What the node runs on.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "PascalCase")]
 pub struct Platform {
+    /// The interface that lists the workers.
     #[validate(nested)]
     pub cloud_api: CloudApi,
     /// How clients arrive: by the `directory`, or at an address of the platform.
@@ -101,23 +133,31 @@
     "global".into()
 }
 
+/// The interface that lists the workers.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "PascalCase")]
 pub struct CloudApi {
+    /// Its address.
     pub address: SocketAddrV4,
+    /// Calls that it allows, calls/s.
     #[validate(range(min = 0.01, max = 1e6))]
     pub rate_per_s: f64,
+    /// How far its list is behind; default 0.
     #[serde(default)]
     pub lag: DurationText,
 }
 
+/// What the operator has laid down for the system.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "PascalCase")]
 pub struct Terms {
+    /// Contracts that the system is run under; for the reader.
     #[serde(default)]
     pub contracts: Vec<String>,
+    /// Losses that the system bears.
     #[serde(default)]
     pub tolerance: Tolerance,
+    /// Bounds of what it may do.
     #[serde(default)]
     #[validate(nested)]
     pub bounds: Bounds,
--- a/crates/key-ownership/src/assignment.rs
+++ b/crates/key-ownership/src/assignment.rs
@@ -33,6 +33,8 @@
 }
 
 impl<'a> Assignment<'a> {
+    /// The key leases of a state as they are, with the loads that were counted. `is_weak` says
+    /// which workers should hold less.
     pub fn new(
         state: &'a ControlState,
         loads: &'a Loads,
--- a/crates/key-ownership/src/load.rs
+++ b/crates/key-ownership/src/load.rs
@@ -27,6 +27,7 @@
 }
 
 impl Loads {
+    /// Counts what a node reports: requests by key, and outcomes by worker.
     pub fn add(&mut self, keys: &[KeyCounts], capacity: &[WorkerStats]) {
         for k in keys {
             let load = self.services.entry(k.service).or_default();
--- a/crates/pebblepond/src/cli/call.rs
+++ b/crates/pebblepond/src/cli/call.rs
@@ -4,16 +4,19 @@
 use std::time::Duration;
 
 /// Wait for one address, ms: the system itself answers within a second.
-const WAIT_MS: u64 = 2000;
+const TIMEOUT_MS: u64 = 2000;
 /// Largest answer read, bytes.
-const ANSWER_BYTES: usize = 64 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-pub struct Answered {
+/// The answer of the control interface.
+pub struct ControlResponse {
+    /// HTTP status.
     pub status: u16,
+    /// Body.
     pub body: Vec<u8>,
 }
 
-impl Answered {
+impl ControlResponse {
     /// What the system said was wrong.
     pub fn error(&self) -> String {
         let value: Option<serde_json::Value> = serde_json::from_slice(&self.body).ok();
@@ -29,10 +32,10 @@
     path: &str,
     base: Option<u64>,
     body: Vec<u8>,
-) -> Result<Answered, Failure> {
+) -> Result<ControlResponse, Failure> {
     actix::System::new().block_on(async {
         let client = awc::Client::builder()
-            .timeout(Duration::from_millis(WAIT_MS))
+            .timeout(Duration::from_millis(TIMEOUT_MS))
             .finish();
         let mut last = String::from("no address given");
         for address in &control.control {
@@ -53,16 +56,16 @@
                     .await
             };
             match sent {
-                Ok(mut answer) => match answer.body().limit(ANSWER_BYTES).await {
+                Ok(mut answer) => match answer.body().limit(MAX_BODY_BYTES).await {
                     Ok(bytes) => {
-                        let answered = Answered {
+                        let response = ControlResponse {
                             status: answer.status().as_u16(),
                             body: bytes.to_vec(),
                         };
-                        if answered.status < 500 {
-                            return Ok(answered);
+                        if response.status < 500 {
+                            return Ok(response);
                         }
-                        last = format!("{address}: {}", answered.error());
+                        last = format!("{address}: {}", response.error());
                     }
                     Err(e) => last = format!("{address}: {e}"),
                 },
--- a/crates/pebblepond/src/cli/check.rs
+++ b/crates/pebblepond/src/cli/check.rs
@@ -1,52 +1,74 @@
 //! Checking files without talking to anybody.
 
-use super::{exit, Done, Failure};
-use config::{apply_modification, Configuration, Settings};
+use super::{exit, CliResult, Failure};
+use config::{apply_modification, Configuration, ConfigurationError, Settings, SettingsError};
 use std::path::Path;
 
-pub fn check(settings: Option<&Path>, config: Option<&Path>, modify: Option<&Path>) -> Done {
-    let mut faults = Vec::new();
+/// What is wrong with a file.
+#[derive(Debug, thiserror::Error)]
+enum FileError {
+    /// It cannot be read.
+    #[error(transparent)]
+    Unreadable(#[from] std::io::Error),
+    /// It is no text.
+    #[error(transparent)]
+    NotUtf8(#[from] std::string::FromUtf8Error),
+    /// The settings in it are invalid.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// The configuration or the modification in it is invalid.
+    #[error(transparent)]
+    Configuration(#[from] ConfigurationError),
+}
+
+/// Checks files and prints all that is wrong with them.
+pub fn check(settings: Option<&Path>, config: Option<&Path>, modify: Option<&Path>) -> CliResult {
+    let mut findings = Vec::new();
+    let mut add = |path: &Path, errors: Vec<FileError>| {
+        findings.extend(errors.iter().map(|error| at(path, error)));
+    };
     if let Some(path) = settings {
-        match read(path).and_then(|bytes| String::from_utf8(bytes).map_err(|e| e.to_string())) {
-            Ok(text) => faults.extend(Settings::parse(&text).err().map(|e| at(path, &e.to_string()))),
-            Err(e) => faults.push(at(path, &e)),
-        }
+        add(path, check_settings(path).err().into_iter().collect());
     }
     if let Some(path) = config {
-        match read(path) {
-            Ok(bytes) => faults.extend(
-                Configuration::errors(&bytes)
-                    .iter()
-                    .map(|f| at(path, &f.to_string())),
-            ),
-            Err(e) => faults.push(at(path, &e)),
-        }
+        add(path, configuration_errors(read(path)));
     }
     if let (Some(config), Some(path)) = (config, modify) {
-        let whole = read(config).and_then(|current| {
-            let modification = read(path)?;
-            apply_modification(&current, &modification).map_err(|e| e.to_string())
-        });
-        match whole {
-            Ok(whole) => faults.extend(
-                Configuration::errors(&whole)
-                    .iter()
-                    .map(|f| at(path, &f.to_string())),
-            ),
-            Err(e) => faults.push(at(path, &e)),
-        }
+        add(path, configuration_errors(modified(config, path)));
     }
-    if faults.is_empty() {
+    if findings.is_empty() {
         return Ok(());
     }
-    for fault in &faults {
-        eprintln!("{fault}");
+    for finding in &findings {
+        eprintln!("{finding}");
     }
-    Err(Failure(exit::INVALID, format!("{} found", count(faults.len()))))
+    Err(Failure(exit::INVALID, format!("{} found", count(findings.len()))))
+}
+
+fn check_settings(path: &Path) -> Result<Settings, FileError> {
+    let text = String::from_utf8(read(path)?)?;
+    Ok(Settings::parse(&text)?)
 }
 
-fn at(path: &Path, what: &str) -> String {
-    format!("{}: {what}", path.display())
+/// A configuration with the changes of a file.
+fn modified(config: &Path, modification: &Path) -> Result<Vec<u8>, FileError> {
+    let current = read(config)?;
+    Ok(apply_modification(&current, &read(modification)?)?)
+}
+
+/// All that is wrong with a configuration.
+fn configuration_errors(bytes: Result<Vec<u8>, FileError>) -> Vec<FileError> {
+    match bytes {
+        Ok(bytes) => {
+            let errors = Configuration::errors(&bytes).into_iter();
+            errors.map(FileError::from).collect()
+        }
+        Err(error) => vec![error],
+    }
+}
+
+fn at(path: &Path, error: &FileError) -> String {
+    format!("{}: {error}", path.display())
 }
 
 fn count(n: usize) -> String {
@@ -57,17 +79,20 @@
     }
 }
 
-fn read(path: &Path) -> Result<Vec<u8>, String> {
-    std::fs::read(path).map_err(|e| e.to_string())
+fn read(path: &Path) -> Result<Vec<u8>, FileError> {
+    Ok(std::fs::read(path)?)
+}
+
+fn invalid(path: &Path, error: impl Into<FileError>) -> Failure {
+    Failure(exit::INVALID, at(path, &error.into()))
 }
 
 /// Reads a file of changes, whose result on top of a configuration must be valid.
 pub fn valid_modify(path: &Path, current: &[u8]) -> Result<(Vec<u8>, Configuration), Failure> {
-    let invalid = |what: String| Failure(exit::INVALID, at(path, &what));
-    let order = read(path).map_err(invalid)?;
-    let whole = apply_modification(current, &order).map_err(|e| invalid(e.to_string()))?;
-    let config = Configuration::parse(&whole).map_err(|f| invalid(f.to_string()))?;
-    Ok((order, config))
+    let modification = read(path).map_err(|e| invalid(path, e))?;
+    let modified = apply_modification(current, &modification).map_err(|e| invalid(path, e))?;
+    let config = Configuration::parse(&modified).map_err(|e| invalid(path, e))?;
+    Ok((modification, config))
 }
 
 /// Whether a file holds changes to named items rather than a configuration.
@@ -78,9 +103,7 @@
 
 /// Reads a configuration file that must be valid.
 pub fn valid_config(path: &Path) -> Result<(Vec<u8>, Configuration), Failure> {
-    let invalid = |what: String| Failure(exit::INVALID, at(path, &what));
-    let bytes = read(path).map_err(invalid)?;
-    let config =
-        Configuration::parse(&bytes).map_err(|f| Failure(exit::INVALID, at(path, &f.to_string())))?;
+    let bytes = read(path).map_err(|e| invalid(path, e))?;
+    let config = Configuration::parse(&bytes).map_err(|e| invalid(path, e))?;
     Ok((bytes, config))
 }
--- a/crates/pebblepond/src/cli/configuration.rs
+++ b/crates/pebblepond/src/cli/configuration.rs
@@ -1,18 +1,18 @@
 //! Reading, sending and comparing the configuration, and evacuations.
 
-use super::call::{call, Answered};
+use super::call::{call, ControlResponse};
 use super::check::{is_modify, valid_config, valid_modify};
-use super::{exit, ControlArgs, Done, Failure};
+use super::{exit, CliResult, ControlArgs, Failure};
 use config::{Configuration, Route, Service};
 use std::collections::BTreeMap;
 use std::path::Path;
 
 fn current(control: &ControlArgs) -> Result<Option<Vec<u8>>, Failure> {
-    let answered = call(control, "GET", "/configuration/read", None, Vec::new())?;
-    match answered.status {
-        200 => Ok(Some(answered.body)),
+    let response = call(control, "GET", "/configuration/read", None, Vec::new())?;
+    match response.status {
+        200 => Ok(Some(response.body)),
         404 => Ok(None),
-        _ => Err(Failure(exit::REFUSED, answered.error())),
+        _ => Err(Failure(exit::REFUSED, response.error())),
     }
 }
 
@@ -29,7 +29,8 @@
     })
 }
 
-pub fn get(control: &ControlArgs) -> Done {
+/// Prints the configuration in force.
+pub fn get(control: &ControlArgs) -> CliResult {
     let Some(body) = current(control)? else {
         return Err(Failure(exit::REFUSED, "there is no configuration yet".into()));
     };
@@ -41,7 +42,8 @@
     Ok(())
 }
 
-pub fn put(file: &Path, base: Option<u64>, control: &ControlArgs) -> Done {
+/// Sends a configuration file.
+pub fn put(file: &Path, base: Option<u64>, control: &ControlArgs) -> CliResult {
     let (body, config) = valid_config(file)?;
     let base = match base {
         Some(base) => base,
@@ -50,25 +52,32 @@
     send(control, "/configuration/replace", base, body, config.version)
 }
 
-pub fn modify(file: &Path, base: Option<u64>, control: &ControlArgs) -> Done {
+/// Sends a file of changes.
+pub fn modify(file: &Path, base: Option<u64>, control: &ControlArgs) -> CliResult {
     let Some(current) = current(control)? else {
         return Err(Failure(
             exit::REFUSED,
             "there is no configuration yet to modify".into(),
         ));
     };
-    let (order, config) = valid_modify(file, &current)?;
+    let (modification, config) = valid_modify(file, &current)?;
     let base = match base {
         Some(base) => base,
         None => parsed(&current)?.version,
     };
-    send(control, "/configuration/modify", base, order, config.version)
+    send(
+        control,
+        "/configuration/modify",
+        base,
+        modification,
+        config.version,
+    )
 }
 
 /// Sends a change of the configuration and says how it went.
-fn send(control: &ControlArgs, path: &str, base: u64, body: Vec<u8>, version: u64) -> Done {
-    let answered = call(control, "POST", path, Some(base), body)?;
-    match answered.status {
+fn send(control: &ControlArgs, path: &str, base: u64, body: Vec<u8>, version: u64) -> CliResult {
+    let response = call(control, "POST", path, Some(base), body)?;
+    match response.status {
         200 => {
             report(control, &format!("version {version} is in force"), "version", version);
             Ok(())
@@ -77,15 +86,15 @@
             exit::CONFLICT,
             format!(
                 "{}; somebody else has changed the configuration since version {base}: look at `config diff`, then send again",
-                answered.error()
+                response.error()
             ),
         )),
-        _ => Err(refusal(&answered)),
+        _ => Err(refusal(&response)),
     }
 }
 
-fn refusal(answered: &Answered) -> Failure {
-    Failure(exit::REFUSED, answered.error())
+fn refusal(response: &ControlResponse) -> Failure {
+    Failure(exit::REFUSED, response.error())
 }
 
 fn report(control: &ControlArgs, text: &str, field: &str, value: impl Into<serde_json::Value>) {
@@ -96,11 +105,12 @@
     }
 }
 
-pub fn evacuate(zone: &str, what: &str, control: &ControlArgs) -> Done {
+/// Begins or finishes an evacuation.
+pub fn evacuate(zone: &str, what: &str, control: &ControlArgs) -> CliResult {
     let path = format!("/evacuation/{zone}/{what}");
-    let answered = call(control, "POST", &path, None, Vec::new())?;
-    if answered.status != 200 {
-        return Err(refusal(&answered));
+    let response = call(control, "POST", &path, None, Vec::new())?;
+    if response.status != 200 {
+        return Err(refusal(&response));
     }
     let text = match what {
         "begin" => format!("nothing more goes to the workers of {zone}"),
@@ -110,7 +120,8 @@
     Ok(())
 }
 
-pub fn diff(file: &Path, control: &ControlArgs) -> Done {
+/// Prints what a file would change.
+pub fn diff(file: &Path, control: &ControlArgs) -> CliResult {
     let current = current(control)?;
     let new = match &current {
         Some(current) if is_modify(file) => valid_modify(file, current)?.1,
@@ -196,25 +207,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn config(timeout: &str, groups: &str) -> Configuration {
-        let text = format!(
-            r#"{{"Version":2,"Limits":{{"HeaderMaxBytes":1,"BodyMaxBytes":1,"HeaderTimeout":"1s","IdleTimeout":"1s"}},
-            "AccessPoints":[{{"Host":"shop.example","Rules":[{{"Name":"r","RouteType":"idempotent","Condition":{{"PathPrefix":"/a/"}},"Treatment":{{"Service":"one","Timeout":"{timeout}"}}}}]}}],
-            "Groups":[{{"Name":"one"}}{groups}]}}"#
-        );
-        Configuration::parse(text.as_bytes()).expect("valid")
-    }
-
-    #[test]
-    fn every_kind_of_difference_has_its_line() {
-        let old = config("1s", r#",{"Name":"gone"}"#);
-        let new = config("2s", r#",{"Name":"new"}"#);
-        let lines = differences(&old, &new);
-        assert!(lines[0].starts_with("~ route shop.example/a/"), "{lines:?}");
-        assert!(lines[1].starts_with("- service gone") && lines[2].starts_with("+ service new"));
-        assert!(differences(&old, &old).is_empty());
-    }
-}
+#[path = "configuration_tests.rs"]
+mod tests;
--- a/crates/pebblepond/src/cli/keys.rs
+++ b/crates/pebblepond/src/cli/keys.rs
@@ -1,12 +1,13 @@
 //! Who holds which keys, as the leader's copy of the control state tells it.
 
 use super::call::call;
-use super::{exit, ControlArgs, Done, Failure};
+use super::{exit, CliResult, ControlArgs, Failure};
 use clap::Subcommand;
 use control_state::KEY_SPACE;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
+/// What can be asked about keys.
 #[derive(Subcommand)]
 pub enum KeysCommand {
     /// Show the ranges of each divided service, by holder, and what is on its way.
@@ -27,7 +28,8 @@
     },
 }
 
-pub fn run(command: KeysCommand) -> Done {
+/// Runs such a command.
+pub fn run(command: KeysCommand) -> CliResult {
     match command {
         KeysCommand::List { service, control } => {
             let ranges = read(&control)?;
@@ -125,12 +127,12 @@
 }
 
 fn read(control: &ControlArgs) -> Result<Vec<Range>, Failure> {
-    let answered = call(control, "GET", "/status", None, Vec::new())?;
-    if answered.status != 200 {
-        return Err(Failure(exit::REFUSED, answered.error()));
+    let response = call(control, "GET", "/status", None, Vec::new())?;
+    if response.status != 200 {
+        return Err(Failure(exit::REFUSED, response.error()));
     }
     let value: Value =
-        serde_json::from_slice(&answered.body).map_err(|e| Failure(exit::REFUSED, e.to_string()))?;
+        serde_json::from_slice(&response.body).map_err(|e| Failure(exit::REFUSED, e.to_string()))?;
     let rows = value["holdings"].as_array().cloned().unwrap_or_default();
     Ok(rows.iter().filter_map(Range::from_status).collect())
 }
@@ -169,23 +171,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn sums_and_states_are_told() {
-        let rows = json!([
-            {"service": "s", "from": 0, "to": 9, "worker": "w1", "fence": 4, "leaving": true},
-            {"service": "s", "from": 10, "to": 65535, "worker": "", "fence": 5, "leaving": false},
-            {"service": "s", "from": "unreadable"}]);
-        let rows = rows.as_array().expect("rows");
-        let ranges: Vec<Range> = rows.iter().filter_map(Range::from_status).collect();
-        assert_eq!(ranges.len(), 2);
-        let text = list(&ranges);
-        assert!(
-            text.contains("1 holders, 10 keys on their way, 65526 held by nobody"),
-            "{text}"
-        );
-        assert!(text.contains("being taken back"), "{text}");
-    }
-}
+#[path = "keys_tests.rs"]
+mod tests;
--- a/crates/pebblepond/src/cli/mod.rs
+++ b/crates/pebblepond/src/cli/mod.rs
@@ -15,7 +15,7 @@
 
 /// Exit codes; they stay as they are.
 pub mod exit {
-    /// A difference was found, or the system refused the order.
+    /// A difference was found, or the system refused the command.
     pub const REFUSED: u8 = 1;
     /// The command line cannot be read.
     pub const USAGE: u8 = 2;
@@ -30,7 +30,8 @@
 /// Why a command failed: its exit code and one line.
 pub struct Failure(pub u8, pub String);
 
-type Done = Result<(), Failure>;
+/// What a command comes to.
+type CliResult = Result<(), Failure>;
 
 #[derive(Parser)]
 #[command(
@@ -66,6 +67,7 @@
     Status(ControlArgs),
 }
 
+/// How a node is run.
 #[derive(Args)]
 pub struct ServeArgs {
     /// Pause between two lines of counters in the log, in seconds; 0 for none.
--- a/crates/pebblepond/src/cli/rollout.rs
+++ b/crates/pebblepond/src/cli/rollout.rs
@@ -1,10 +1,11 @@
 //! Rollouts of versions, as an operator steers them.
 
-use super::call::{call, Answered};
-use super::{exit, ControlArgs, Done, Failure};
+use super::call::{call, ControlResponse};
+use super::{exit, CliResult, ControlArgs, Failure};
 use clap::{Args, Subcommand};
 use serde_json::{json, Value};
 
+/// What can be done to rollouts.
 #[derive(Subcommand)]
 pub enum RolloutCommand {
     /// Show the newest rollout of each service, and what its figures come to.
@@ -24,24 +25,24 @@
         #[arg(long)]
         duration: String,
         #[command(flatten)]
-        said: Said,
+        author: Author,
         #[command(flatten)]
         control: ControlArgs,
     },
     /// Go on to the next stage, if the gate and the figures allow it.
-    Promote(Steer),
+    Promote(ChangeArgs),
     /// Keep the stage as it is until somebody resumes it; its term goes on.
-    Pause(Steer),
+    Pause(ChangeArgs),
     /// Go on after a pause.
-    Resume(Steer),
+    Resume(ChangeArgs),
     /// Restore the split from before.
-    Rollback(Steer),
+    Rollback(ChangeArgs),
     /// Give up a rollout that has not started.
-    Cancel(Steer),
+    Cancel(ChangeArgs),
     /// Restore the split from before for every active rollout.
     Panic {
         #[command(flatten)]
-        said: Said,
+        author: Author,
         #[command(flatten)]
         control: ControlArgs,
     },
@@ -50,7 +51,7 @@
         #[arg(value_parser = ["on", "off"])]
         to: String,
         #[command(flatten)]
-        said: Said,
+        author: Author,
         #[command(flatten)]
         control: ControlArgs,
     },
@@ -58,15 +59,16 @@
 
 /// Who does it, and why; both are kept as records.
 #[derive(Args)]
-pub struct Said {
+pub struct Author {
     #[arg(long, default_value = "operator")]
     who: String,
     #[arg(long, default_value = "")]
     why: String,
 }
 
+/// A change of a rollout.
 #[derive(Args)]
-pub struct Steer {
+pub struct ChangeArgs {
     service: String,
     /// The version of the rollout that this rests on (`rollout show`); the newest
     /// if left out.
@@ -76,12 +78,13 @@
     #[arg(long, requires = "why")]
     bypass: bool,
     #[command(flatten)]
-    said: Said,
+    author: Author,
     #[command(flatten)]
     control: ControlArgs,
 }
 
-pub fn run(command: RolloutCommand) -> Done {
+/// Runs such a command.
+pub fn run(command: RolloutCommand) -> CliResult {
     match command {
         RolloutCommand::List(control) => {
             let all = read(&control)?;
@@ -105,27 +108,27 @@
             service,
             version,
             duration,
-            said,
+            author,
             control,
         } => {
             let body = json!({"Service": service, "TargetVersion": version, "Duration": duration,
-                "Who": said.who, "Why": said.why});
-            done(
+                "Who": author.who, "Why": author.why});
+            post(
                 &control,
                 "/rollouts/begin",
                 &body,
                 &format!("{service} moves to {version}"),
             )
         }
-        RolloutCommand::Promote(s) => steer(&s, "promote"),
-        RolloutCommand::Pause(s) => steer(&s, "pause"),
-        RolloutCommand::Resume(s) => steer(&s, "resume"),
-        RolloutCommand::Rollback(s) => steer(&s, "rollback"),
-        RolloutCommand::Cancel(s) => steer(&s, "cancel"),
-        RolloutCommand::Panic { said, control } => panic_all(&said, &control),
-        RolloutCommand::KillSwitch { to, said, control } => {
-            let body = json!({"On": to == "on", "Who": said.who, "Why": said.why});
-            done(
+        RolloutCommand::Promote(args) => change(&args, "promote"),
+        RolloutCommand::Pause(args) => change(&args, "pause"),
+        RolloutCommand::Resume(args) => change(&args, "resume"),
+        RolloutCommand::Rollback(args) => change(&args, "rollback"),
+        RolloutCommand::Cancel(args) => change(&args, "cancel"),
+        RolloutCommand::Panic { author, control } => panic_all(&author, &control),
+        RolloutCommand::KillSwitch { to, author, control } => {
+            let body = json!({"On": to == "on", "Who": author.who, "Why": author.why});
+            post(
                 &control,
                 "/rollouts/kill-switch",
                 &body,
@@ -136,11 +139,11 @@
 }
 
 fn read(control: &ControlArgs) -> Result<Value, Failure> {
-    let answered = call(control, "GET", "/rollouts/list", None, Vec::new())?;
-    if answered.status != 200 {
-        return Err(Failure(exit::REFUSED, answered.error()));
+    let response = call(control, "GET", "/rollouts/list", None, Vec::new())?;
+    if response.status != 200 {
+        return Err(Failure(exit::REFUSED, response.error()));
     }
-    serde_json::from_slice(&answered.body).map_err(|e| Failure(exit::REFUSED, e.to_string()))
+    serde_json::from_slice(&response.body).map_err(|e| Failure(exit::REFUSED, e.to_string()))
 }
 
 fn print(control: &ControlArgs, value: &Value, text: String) {
@@ -233,32 +236,37 @@
     out
 }
 
-fn refusal(answered: &Answered) -> Failure {
-    let code = if answered.status == 412 {
+fn refusal(response: &ControlResponse) -> Failure {
+    let code = if response.status == 412 {
         exit::CONFLICT
     } else {
         exit::REFUSED
     };
-    Failure(code, answered.error())
+    Failure(code, response.error())
 }
 
-fn done(control: &ControlArgs, path: &str, body: &Value, text: &str) -> Done {
-    let answered = call(control, "POST", path, None, body.to_string().into_bytes())?;
-    if answered.status != 200 {
-        return Err(refusal(&answered));
+fn post(control: &ControlArgs, path: &str, body: &Value, text: &str) -> CliResult {
+    let response = call(control, "POST", path, None, body.to_string().into_bytes())?;
+    if response.status != 200 {
+        return Err(refusal(&response));
     }
     print(control, &json!({"done": text}), format!("{text}\n"));
     Ok(())
 }
 
-fn steer(s: &Steer, action: &str) -> Done {
-    let body = json!({"Who": s.said.who, "Why": s.said.why, "Expected": s.expect, "Bypass": s.bypass});
-    let path = format!("/rollouts/{}/{action}", s.service);
-    done(&s.control, &path, &body, &format!("{action}: {}", s.service))
+fn change(args: &ChangeArgs, action: &str) -> CliResult {
+    let body = json!({"Who": args.author.who, "Why": args.author.why, "Expected": args.expect, "Bypass": args.bypass});
+    let path = format!("/rollouts/{}/{action}", args.service);
+    post(
+        &args.control,
+        &path,
+        &body,
+        &format!("{action}: {}", args.service),
+    )
 }
 
 /// Rolls every active rollout back and says of each how that went.
-fn panic_all(said: &Said, control: &ControlArgs) -> Done {
+fn panic_all(author: &Author, control: &ControlArgs) -> CliResult {
     let all = read(control)?;
     let active = rows(&all).filter(|r| r["State"] == "in_progress");
     let mut failed = 0;
@@ -270,11 +278,11 @@
         } else {
             "rollback"
         };
-        let body = json!({"Who": said.who, "Why": said.why});
+        let body = json!({"Who": author.who, "Why": author.why});
         let path = format!("/rollouts/{service}/{action}");
         let text = match call(control, "POST", &path, None, body.to_string().into_bytes()) {
-            Ok(answered) if answered.status == 200 => "restored".to_string(),
-            Ok(answered) => answered.error(),
+            Ok(response) if response.status == 200 => "restored".to_string(),
+            Ok(response) => response.error(),
             Err(Failure(_, text)) => text,
         };
         failed += u32::from(text != "restored");
@@ -297,26 +305,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn shows_states_figures_and_records() {
-        let all = json!({"KillSwitch": true, "Figures": {"level": 1, "rollouts": {"s": {"verdict": "good",
-            "old": {"answered": 9.0}, "new": {"answered": 3.0, "mean_ms": 12.4}}}},
-            "Rollouts": [{"Service": "s", "TargetVersion": "v2", "Phase": "CANARY", "Stage": 0, "Share": 0.08,
-                "Version": 7, "Records": [{"action": "rollback", "who": "me", "why": "for a test", "bypass": true}]}]});
-        let text = list(&all);
-        assert!(
-            text.contains("kill switch on") && text.contains("CANARY") && text.contains("good"),
-            "{text}"
-        );
-        let one = find(&all, "s").expect("there");
-        let text = show(one, &all["Figures"]["rollouts"]["s"]);
-        assert!(
-            text.contains("mean 12 ms") && text.contains("gate passed over"),
-            "{text}"
-        );
-        assert!(find(&all, "t").is_none());
-    }
-}
+#[path = "rollout_tests.rs"]
+mod tests;
--- a/crates/pebblepond/src/cli/status.rs
+++ b/crates/pebblepond/src/cli/status.rs
@@ -1,15 +1,16 @@
 //! The state of the system, as the leader tells it.
 
 use super::call::call;
-use super::{exit, ControlArgs, Done, Failure};
+use super::{exit, CliResult, ControlArgs, Failure};
 use serde_json::Value;
 
-pub fn status(control: &ControlArgs) -> Done {
-    let answered = call(control, "GET", "/status", None, Vec::new())?;
-    if answered.status != 200 {
-        return Err(Failure(exit::REFUSED, answered.error()));
+/// Prints the state of the system.
+pub fn status(control: &ControlArgs) -> CliResult {
+    let response = call(control, "GET", "/status", None, Vec::new())?;
+    if response.status != 200 {
+        return Err(Failure(exit::REFUSED, response.error()));
     }
-    let text = String::from_utf8_lossy(&answered.body).into_owned();
+    let text = String::from_utf8_lossy(&response.body).into_owned();
     if control.json {
         println!("{text}");
         return Ok(());
--- a/crates/pebblepond/src/control/driver.rs
+++ b/crates/pebblepond/src/control/driver.rs
@@ -1,20 +1,20 @@
 //! The owner of Raft, the store and the control state.
 
+use super::loaded::Loaded;
 use super::peers::{FromPeer, Introduced};
+use super::persistence::Writes;
 use super::proposals::{Proposal, Settled};
 use crate::gossip_driver::UpdateOwnMember;
 use crate::kernel::{Component, NodeContext, NodeStatus, StartError};
 use crate::peer_transport::PayloadKind;
-use crate::storage::{Identity, Opened, Storage, StorageEvent};
+use crate::storage::{Storage, StorageEvent};
 use actix::prelude::*;
 use config::constants as c;
 use control_state::{ControlState, Outcome};
 use protocol::{ChangeKind, CommandResponse, Incarnation, PendingCalls, RangeDigests};
-use raft::{
-    Config, EntryType, LogPosition, PersistentState, RaftNode, Role, Snapshot, StorageWrite, UpstreamSelector,
-};
+use raft::{Config, EntryType, RaftNode, Role, Snapshot, UpstreamSelector};
 use rand::Rng;
-use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
@@ -87,52 +87,6 @@
     }
 }
 
-/// What a node starts with.
-struct Loaded {
-    identity: Identity,
-    saved: PersistentState,
-    state: ControlState,
-    is_empty: bool,
-    storage: Option<Storage>,
-}
-
-impl Loaded {
-    fn from_disk(folder: &str, events: mpsc::UnboundedSender<StorageEvent>) -> Result<Loaded, StartError> {
-        let opened = Storage::open(folder, events)?;
-        if let Some(why) = &opened.damage {
-            log::error!(
-                "event=store_damaged folder={folder} why=\"{why}\": set aside as prompter.redb.damaged, joining as a new node"
-            );
-        }
-        let Opened {
-            identity,
-            saved,
-            state,
-            is_empty,
-            storage,
-            ..
-        } = opened;
-        Ok(Loaded {
-            identity,
-            saved,
-            state,
-            is_empty,
-            storage: Some(storage),
-        })
-    }
-
-    fn without_disk() -> Loaded {
-        let id = rand::thread_rng().gen_range(1..u64::MAX);
-        Loaded {
-            identity: Identity { id, cluster: 0 },
-            saved: PersistentState::default(),
-            state: ControlState::default(),
-            is_empty: true,
-            storage: None,
-        }
-    }
-}
-
 #[derive(Message)]
 #[rtype(result = "()")]
 struct FromStorage(StorageEvent);
@@ -154,29 +108,6 @@
 #[rtype(result = "bool")]
 pub struct AnnounceShutdown;
 
-/// A write that is not on disk yet, and what waits for it.
-struct PendingWrite {
-    number: u64,
-    messages: Vec<raft::Message>,
-    last: LogPosition,
-}
-
-/// The writes to the store.
-#[derive(Default)]
-struct Writes {
-    queued: u64,
-    persisted: u64,
-    pending: VecDeque<PendingWrite>,
-    /// Since when the oldest one waits, ms.
-    pending_since: u64,
-}
-
-impl Writes {
-    fn is_idle(&self) -> bool {
-        self.queued == self.persisted
-    }
-}
-
 /// The owner of Raft, the store and the control state.
 pub struct RaftDriver {
     pub(super) context: Rc<NodeContext>,
@@ -186,7 +117,7 @@
     pub(super) joined_cluster: u64,
     /// The disk was empty at the first start of the whole system.
     pub(super) is_new_system: bool,
-    writes: Writes,
+    pub(super) writes: Writes,
     pub(super) proposals: HashMap<u64, Proposal>,
     /// Reads that wait for a round of heartbeats, by token.
     pub(super) reads: HashMap<u64, oneshot::Sender<bool>>,
@@ -312,57 +243,6 @@
         !is_idle
     }
 
-    /// Hands a write to the disk; the messages that need not wait for one.
-    fn write(
-        &mut self,
-        write: StorageWrite,
-        messages: Vec<raft::Message>,
-        last: LogPosition,
-    ) -> Vec<raft::Message> {
-        let Some(storage) = &self.storage else {
-            self.raft.on_persisted(last);
-            return messages;
-        };
-        let writes = &mut self.writes;
-        if !write.is_empty() {
-            if writes.is_idle() {
-                writes.pending_since = self.context.now();
-            }
-            writes.queued += 1;
-            storage.write(writes.queued, write);
-        } else if writes.is_idle() {
-            return messages;
-        } else if messages.is_empty() {
-            return Vec::new();
-        }
-        writes.pending.push_back(PendingWrite {
-            number: writes.queued,
-            messages,
-            last,
-        });
-        Vec::new()
-    }
-
-    fn on_persisted(&mut self, number: u64) {
-        let now = self.context.now();
-        self.writes.persisted = number;
-        self.writes.pending_since = now;
-        while self.writes.pending.front().is_some_and(|w| w.number <= number) {
-            if let Some(write) = self.writes.pending.pop_front() {
-                self.send_persisted(write.messages);
-                self.raft.on_persisted(write.last);
-            }
-        }
-        self.watch_storage(now);
-    }
-
-    /// Sends messages that waited for a write, with what has been applied by now: the leader
-    /// need not wait for the next one to learn that a change is in force here.
-    fn send_persisted(&self, mut messages: Vec<raft::Message>) {
-        self.raft.stamp_applied(&mut messages);
-        self.send_raft(messages);
-    }
-
     fn install(&mut self, snapshot: &Snapshot) {
         // Raft installs none that cannot be read.
         if let Ok(state) = ControlState::from_snapshot(snapshot.index, &snapshot.data) {
@@ -408,28 +288,6 @@
             self.raft.compact(image.unwrap_or_default());
         }
     }
-
-    /// A disk whose oldest write takes too long fails.
-    fn watch_storage(&mut self, now: u64) {
-        if self.writes.is_idle() {
-            if self.storage_failing {
-                self.storage_failing = false;
-                log::info!("event=disk_recovered");
-            }
-            self.raft.set_storage_failed(false);
-        } else if now.saturating_sub(self.writes.pending_since) > c::DISK_TIMEOUT_MS && !self.storage_failing
-        {
-            self.on_storage_failure("a write takes too long");
-        }
-    }
-
-    fn on_storage_failure(&mut self, what: &str) {
-        if !self.storage_failing {
-            self.storage_failing = true;
-            log::warn!("event=disk_trouble what={what:?}");
-        }
-        self.raft.set_storage_failed(true);
-    }
 }
 
 impl Actor for RaftDriver {
--- a/crates/pebblepond/src/control/error.rs
+++ b/crates/pebblepond/src/control/error.rs
@@ -56,7 +56,7 @@
     UnknownService,
     /// The watchdog does not let a rollout pass.
     #[error("the gate is closed: {0}")]
-    GateClosed(String),
+    GateClosed(rollout::GateClosed),
     /// Another rollout of the service is active.
     #[error("Service: a rollout of {service} to {target} is active")]
     RolloutActive {
--- /dev/null
+++ b/crates/pebblepond/src/control/persistence.rs
@@ -0,0 +1,104 @@
+//! The writes to the store: what waits for them, and a disk that fails.
+
+use super::driver::RaftDriver;
+use config::constants as c;
+use raft::{LogPosition, StorageWrite};
+use std::collections::VecDeque;
+
+/// A write that is not on disk yet, and what waits for it.
+pub(super) struct PendingWrite {
+    number: u64,
+    messages: Vec<raft::Message>,
+    last: LogPosition,
+}
+
+/// The writes to the store.
+#[derive(Default)]
+pub(super) struct Writes {
+    queued: u64,
+    persisted: u64,
+    pending: VecDeque<PendingWrite>,
+    /// Since when the oldest one waits, ms.
+    pending_since: u64,
+}
+
+impl Writes {
+    fn is_idle(&self) -> bool {
+        self.queued == self.persisted
+    }
+}
+
+impl RaftDriver {
+    /// Hands a write to the disk; the messages that need not wait for one.
+    pub(super) fn write(
+        &mut self,
+        write: StorageWrite,
+        messages: Vec<raft::Message>,
+        last: LogPosition,
+    ) -> Vec<raft::Message> {
+        let Some(storage) = &self.storage else {
+            self.raft.on_persisted(last);
+            return messages;
+        };
+        let writes = &mut self.writes;
+        if !write.is_empty() {
+            if writes.is_idle() {
+                writes.pending_since = self.context.now();
+            }
+            writes.queued += 1;
+            storage.write(writes.queued, write);
+        } else if writes.is_idle() {
+            return messages;
+        } else if messages.is_empty() {
+            return Vec::new();
+        }
+        writes.pending.push_back(PendingWrite {
+            number: writes.queued,
+            messages,
+            last,
+        });
+        Vec::new()
+    }
+
+    pub(super) fn on_persisted(&mut self, number: u64) {
+        let now = self.context.now();
+        self.writes.persisted = number;
+        self.writes.pending_since = now;
+        while self.writes.pending.front().is_some_and(|w| w.number <= number) {
+            if let Some(write) = self.writes.pending.pop_front() {
+                self.send_persisted(write.messages);
+                self.raft.on_persisted(write.last);
+            }
+        }
+        self.watch_storage(now);
+    }
+
+    /// Sends messages that waited for a write, with what has been applied by now: the leader
+    /// need not wait for the next one to learn that a change is in force here.
+    pub(super) fn send_persisted(&self, mut messages: Vec<raft::Message>) {
+        self.raft.stamp_applied(&mut messages);
+        self.send_raft(messages);
+    }
+
+    /// A disk whose oldest write takes too long fails.
+    pub(super) fn watch_storage(&mut self, now: u64) {
+        if self.writes.is_idle() {
+            if self.storage_failing {
+                self.storage_failing = false;
+                log::info!("event=disk_recovered");
+            }
+            self.raft.set_storage_failed(false);
+        } else if now.saturating_sub(self.writes.pending_since) > c::DISK_TIMEOUT_MS && !self.storage_failing
+        {
+            self.on_storage_failure("a write takes too long");
+        }
+    }
+
+    pub(super) fn on_storage_failure(&mut self, what: &str) {
+        if !self.storage_failing {
+            self.storage_failing = true;
+            log::warn!("event=disk_trouble what={what:?}");
+        }
+        self.raft.set_storage_failed(true);
+    }
+}
--- a/crates/pebblepond/src/discovery/listing.rs
+++ b/crates/pebblepond/src/discovery/listing.rs
@@ -22,6 +22,7 @@
 }
 
 impl<T> Listing<T> {
+    /// A reading that begins now.
     pub fn new(leader_since: u64) -> Listing<T> {
         Listing {
             leader_since,
--- a/crates/pebblepond/src/rollout_controller.rs
+++ b/crates/pebblepond/src/rollout_controller.rs
@@ -7,7 +7,9 @@
 use config::constants as c;
 use control_state::ControlState;
 use protocol::{name_hash, ChangeKind, WorkerStats};
-use rollout::{Action, Cohort, Conditions, EmergencyLevel, EmergencyTracker, Rollout, Verdict, Watchdog};
+use rollout::{
+    Action, Cohort, Conditions, EmergencyLevel, EmergencyTracker, GateClosed, Rollout, Verdict, Watchdog,
+};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -35,7 +37,7 @@
 /// Whether an operator's change of a rollout passes the gate; answered with how long the rollout
 /// has run, ms, or what stands against it.
 #[derive(Message)]
-#[rtype(result = "Result<u64, String>")]
+#[rtype(result = "Result<u64, GateClosed>")]
 pub struct CheckGate {
     /// The service that is rolled out.
     pub service: String,
@@ -189,12 +191,12 @@
 }
 
 impl Handler<CheckGate> for RolloutController {
-    type Result = Result<u64, String>;
+    type Result = Result<u64, GateClosed>;
     fn handle(&mut self, msg: CheckGate, _: &mut Self::Context) -> Self::Result {
         let now = self.context.now();
         let state = self.context.state.get();
         self.watchdog.follow(now, &state.rollouts);
-        let rollout = state.rollouts.get(&msg.service).ok_or("no such rollout")?;
+        let rollout = state.rollouts.get(&msg.service).ok_or(GateClosed::Unknown)?;
         let elapsed = self.watchdog.elapsed(now, rollout);
         if msg.bypass {
             return Ok(elapsed);
@@ -205,12 +207,12 @@
                 Watchdog::check_gate(now, &conditions)?;
                 match self.watchdog.verdict(rollout) {
                     Some(Verdict::Good) => {}
-                    Some(Verdict::Unproven(why)) => return Err(format!("not proven: {why}")),
-                    Some(Verdict::Bad(why)) => return Err(format!("the version is bad: {why}")),
-                    None => return Err("there are no figures".into()),
+                    Some(Verdict::Unproven(why)) => return Err(GateClosed::Unproven(why)),
+                    Some(Verdict::Bad(why)) => return Err(GateClosed::BadVersion(why)),
+                    None => return Err(GateClosed::NoFigures),
                 }
                 if rollout.is_last() && conditions.keys_remain {
-                    return Err("keys are still held by workers of the old version".into());
+                    return Err(GateClosed::KeysRemain);
                 }
             }
             Action::Resume => Watchdog::check_emergency(&conditions)?,
--- a/crates/pebblepond/src/sockets.rs
+++ b/crates/pebblepond/src/sockets.rs
@@ -21,6 +21,7 @@
     socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(every).with_interval(every))
 }
 
+/// Listens on a TCP address.
 pub fn listen(address: SocketAddrV4) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
--- a/crates/rollout/src/constants.rs
+++ b/crates/rollout/src/constants.rs
@@ -38,11 +38,13 @@
 /// Part of a service's requests from which a route is judged by itself.
 pub const ROUTE_PART: f64 = 0.02;
 /// Error rate of the new version above the old one's that blocks promotion
-/// (the source's 1 point) and that is bad (its 5%).
+/// (the source's 1 point).
 pub const ERRORS_ABOVE: f64 = 0.01;
+/// Error rate of the new version that is bad (the source's 5%).
 pub const ERRORS_MOST: f64 = 0.05;
-/// Errors, and outcomes, before a version is called bad.
+/// Errors before a version is called bad.
 pub const BAD_MIN: f64 = 6.0;
+/// Outcomes before a version is called bad.
 pub const BAD_OUTCOMES_MIN: f64 = 12.0;
 /// Standard deviations of luck above that.
 pub const DEVIATIONS: f64 = 2.0;
@@ -51,16 +53,18 @@
 pub const LOST_ABOVE: f64 = 0.25;
 /// Tries without an answer before that counts.
 pub const LOST_MIN: f64 = 10.0;
-/// Mean and 95th percentile, times the old version's, that are bad: workers of
+/// Mean response time, times the old version's, that is bad: workers of
 /// one version differ by half among themselves.
 pub const SLOW_MEAN: f64 = 2.0;
+/// 95th percentile of response times, times the old version's, that is bad.
 pub const SLOW_P95: f64 = 2.5;
 /// The same against figures of the old version from before.
 pub const SLOW_STALE: f64 = 1.5;
 /// Milliseconds on top of both (the source's 50).
 pub const SLOW_MS: f64 = 50.0;
-/// Answers before times are compared, and before percentiles are.
+/// Answers before means are compared.
 pub const SLOW_ANSWERS: f64 = 25.0;
+/// Answers before percentiles are compared.
 pub const P95_ANSWERS: f64 = 60.0;
 /// What is kept of the recent outcomes from one look to the next.
 pub const RECENT_RETENTION: f64 = 0.85;
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -6,17 +6,20 @@
 //! log orders; the leader's [`Watchdog`] proposes them from what nodes have counted
 //! ([`CohortMetrics`]).
 
+mod change;
 mod constants;
 mod emergency;
+mod gate;
 mod metrics;
 mod rollout;
 mod watchdog;
 
+pub use change::{apply, Refusal, Table};
 pub use constants::{stages, FALLBACK_MS, USED_WORKERS_PART};
 pub use emergency::{EmergencyLevel, EmergencyTracker};
+pub use gate::GateClosed;
 pub use metrics::{bucket_of, CohortMetrics, CohortSample, CohortTotals, OutcomeSums, Verdict};
 pub use rollout::{
-    apply, Action, AnalysisCriteria, Audit, Cohort, Create, Refusal, Rollout, RolloutChange, RolloutStage,
-    State, Table,
+    Action, AnalysisCriteria, Audit, Cohort, Create, Rollout, RolloutChange, RolloutStage, State,
 };
 pub use watchdog::{Conditions, Watchdog};
