--- a/crates/simulation/examples/capacity.rs
+++ b/crates/simulation/examples/capacity.rs
@@ -18,7 +18,7 @@
 use placement::{DiscoveryInput, OutlierDetector, ProxyNode, WarmupAdmission};
 use prost::Message as _;
 use protocol::*;
-use simulation::world::World;
+use simulation::cluster::Cluster;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -124,7 +124,7 @@
         };
         let mut boards: BTreeMap<String, MembershipProtocol> =
             (0..nodes).map(|i| (name(i), board(i, 0))).collect();
-        let mut flights: Vec<(u64, String, String, Message)> = Vec::new();
+        let mut in_flight: Vec<(u64, String, String, Message)> = Vec::new();
         let mut lost = 0u64;
         let mut run = |from: u64, to: u64, restarts: bool| {
             let (mut bytes, mut took) = (0usize, 0u64);
@@ -133,10 +133,10 @@
                     let i = (now / 2000) as usize * 7 % nodes;
                     boards.insert(name(i), board(i, now));
                 }
-                let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut flights)
+                let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut in_flight)
                     .into_iter()
                     .partition(|(at, ..)| *at <= now);
-                flights = rest;
+                in_flight = rest;
                 let begun = spent();
                 for (_, from, to, notice) in due {
                     if let Some(b) = boards.get_mut(&to) {
@@ -157,7 +157,7 @@
                     bytes += notice.encoded_len() + 28;
                     lost += 1;
                     if !lost.is_multiple_of(100) {
-                        flights.push((now + 40, from, to, notice));
+                        in_flight.push((now + 40, from, to, notice));
                     }
                 }
             }
@@ -194,7 +194,7 @@
 
 /// A control state of so many workers, with the routes and holders that go with
 /// them at the target.
-fn state(workers: usize) -> ControlState {
+fn large_state(workers: usize) -> ControlState {
     let services = (workers / 27).max(1);
     let routes = (workers as f64 * ROUTES / WORKERS) as usize;
     let groups: Vec<String> = (0..services)
@@ -216,10 +216,10 @@
         points.join(","),
         groups.join(",")
     );
-    let mut stage = ControlState::default();
+    let mut state = ControlState::default();
     let mut change = |kind| {
-        let index = stage.index + 1;
-        stage.apply(index, &Change::encode(kind));
+        let index = state.index + 1;
+        state.apply(index, &Change::encode(kind));
     };
     change(ChangeKind::Replace(ConfigurationCommand {
         body: body.into_bytes(),
@@ -252,7 +252,7 @@
         }
     }
     change(ChangeKind::KeyLeases(KeyLeaseChange { put }));
-    stage
+    state
 }
 
 /// What the copy of the control state costs each node, and the leader's duties.
@@ -262,10 +262,10 @@
         let size = workers as f64;
         let mut note = |name, unit, value| rows.entry(name).or_insert((unit, vec![])).1.push((size, value));
         note("copy of the control state", "KB a node", apart(workers));
-        let stage = state(workers);
-        note("copy, packed", "KB", stage.to_snapshot().len() as f64 / 1024.0);
+        let state = large_state(workers);
+        note("copy, packed", "KB", state.to_snapshot().len() as f64 / 1024.0);
         let services = (workers / 27).max(1);
-        let mut held = Arc::new(stage.clone());
+        let mut held = Arc::new(state.clone());
         let mut draining = false;
         let mut word_of_one = |held: &mut Arc<ControlState>| {
             draining = !draining;
@@ -286,7 +286,7 @@
             "us a node",
             micros(|| word_of_one(&mut held)),
         );
-        let body = stage.configuration_body.to_vec();
+        let body = state.configuration_body.to_vec();
         note(
             "one route changes: the configuration is read whole",
             "us a node",
@@ -309,7 +309,7 @@
             own_id: 1,
             round_trips: BTreeMap::new(),
         });
-        let config = stage.configuration.clone().expect("there");
+        let config = state.configuration.clone().expect("there");
         let route = config.route("h1.example", "/a1/x").expect("there").clone();
         assert_eq!(route.kind, RouteKind::Idempotent);
         let mut now = 10_000;
@@ -346,7 +346,7 @@
                 zone: format!("zone-{}", id % 37),
             })
             .collect();
-        let listed: BTreeMap<String, Worker> = stage
+        let listed: BTreeMap<String, Worker> = state
             .workers
             .iter()
             .map(|(id, w)| (id.clone(), (**w).clone()))
@@ -358,8 +358,8 @@
             "us a look",
             micros(|| {
                 let input = DiscoveryInput {
-                    state: &stage,
-                    as_of: stage.index,
+                    state: &state,
+                    as_of: state.index,
                     nodes: &callers,
                     bounds: &bounds,
                     lag_ms: 800,
@@ -369,7 +369,7 @@
         );
         let mut bench = OutlierDetector::default();
         bench.reset(0);
-        let seen: Vec<WorkerStats> = stage
+        let seen: Vec<WorkerStats> = state
             .workers
             .keys()
             .map(|id| WorkerStats {
@@ -384,17 +384,17 @@
             "us a look",
             micros(|| {
                 bench.record(&seen);
-                bench.evaluate(20_000, &stage);
+                bench.evaluate(20_000, &state);
             }),
         );
         let mut ownership = OwnershipManager::new(10_000, 300);
-        ownership.begin(now, &stage);
+        ownership.begin(now, &state);
         note(
             "leader: renewals of keys",
             "us a look",
             micros(|| {
                 now += c::KEY_CHECK_INTERVAL_MS;
-                for act in ownership.tick(now, &stage) {
+                for act in ownership.tick(now, &state) {
                     match act {
                         Action::Grant(g) => ownership.on_grant_result(now, &g, GrantResult::Accepted),
                         Action::Log(_) => ownership.on_logged(),
@@ -406,7 +406,7 @@
         note(
             "repair: digests of a copy",
             "us",
-            micros(|| drop(anti_entropy::digests(&stage))),
+            micros(|| drop(anti_entropy::digests(&state))),
         );
     }
     for (name, (unit, points)) in rows {
@@ -418,41 +418,41 @@
 fn agreement() {
     let (mut calm, mut changing, mut follower) = (vec![], vec![], vec![]);
     for nodes in [75usize, 150, 300] {
-        let mut world = World::new(1);
+        let mut cluster = Cluster::new(1);
         for (i, name) in ["a", "b", "c", "d", "e", "f", "g", "h", "i"].iter().enumerate() {
-            world.add(name, &format!("r{}", i % 3 + 1), true, true);
+            cluster.add(name, &format!("r{}", i % 3 + 1), true, true);
             if i == 0 {
-                world.begin(name);
+                cluster.begin(name);
             }
         }
         for i in 0..nodes - 9 {
-            world.add(&format!("o{i}"), &format!("r{}", i % 3 + 1), false, true);
+            cluster.add(&format!("o{i}"), &format!("r{}", i % 3 + 1), false, true);
         }
-        world.run(6000);
+        cluster.run(6000);
         let mut version = 0;
-        let mut order = |world: &mut World| {
-            let body = simulation::script::configuration(version + 1);
-            let order = ConfigurationCommand {
+        let mut command = |cluster: &mut Cluster| {
+            let body = simulation::scenario::configuration(version + 1);
+            let command = ConfigurationCommand {
                 base: version,
                 body,
                 ..Default::default()
             };
-            world.order(&format!("to-{version}"), order);
+            cluster.command(&format!("to-{version}"), command);
             version += 1;
         };
-        order(&mut world);
-        world.run(1500);
-        world.measure();
-        world.run(4000);
+        command(&mut cluster);
+        cluster.run(1500);
+        cluster.measure();
+        cluster.run(4000);
         let size = nodes as f64;
-        calm.push((size, world.busiest(true) as f64));
-        follower.push((size, world.busiest(false) as f64));
-        world.measure();
+        calm.push((size, cluster.busiest(true) as f64));
+        follower.push((size, cluster.busiest(false) as f64));
+        cluster.measure();
         for _ in 0..10 {
-            order(&mut world);
-            world.run(400);
+            command(&mut cluster);
+            cluster.run(400);
         }
-        changing.push((size, world.busiest(true) as f64));
+        changing.push((size, cluster.busiest(true) as f64));
     }
     row("voter, calm, nine voters", "B/s", NODES, &calm);
     row("voter, 2.5 changes a second", "B/s", NODES, &changing);
@@ -461,9 +461,9 @@
 
 fn main() {
     if let Some(workers) = std::env::args().nth(1).and_then(|a| a.parse().ok()) {
-        let stage = state(workers);
+        let state = large_state(workers);
         println!("{}", resident());
-        drop(stage);
+        drop(state);
         return;
     }
     println!("| what | unit | measured at | power | at the target |");
--- a/crates/simulation/examples/explore.rs
+++ b/crates/simulation/examples/explore.rs
@@ -6,9 +6,9 @@
 //! ```
 
 use clap::Parser;
-use simulation::faults::Tree;
-use simulation::front::Mutant;
-use simulation::run::{verdict, Reached};
+use simulation::command_handler::Mutant;
+use simulation::exploration::{run_and_check, Coverage};
+use simulation::plan::PlanTree;
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -70,19 +70,24 @@
 
 fn replay(seed: u64, args: &Args) {
     SEED.set(seed);
-    let Ok(mut tree) = Tree::of_seed(seed, args.steps) else {
+    let Ok(mut tree) = PlanTree::of_seed(seed, args.steps) else {
         println!("seed {seed} makes no world");
         return;
     };
-    let (_, wrong, _) = verdict(&tree.plan(), Mutant::None);
+    let (_, violations, _) = run_and_check(&tree.plan(), Mutant::None);
     let mut plan = tree.plan();
-    if let (false, Some(first)) = (args.whole, wrong.first()) {
+    if let (false, Some(first)) = (args.whole, violations.first()) {
         // The same kind of failure: its first word.
         let kind = first.split_whitespace().next().unwrap_or("").to_string();
-        let fails = |plan: &_| verdict(plan, Mutant::None).1.iter().any(|w| w.starts_with(&kind));
+        let fails = |plan: &_| {
+            run_and_check(plan, Mutant::None)
+                .1
+                .iter()
+                .any(|w| w.starts_with(&kind))
+        };
         plan = tree.smallest(SMALLER, fails);
     }
-    let (reached, wrong, history) = verdict(&plan, Mutant::None);
+    let (coverage, violations, history) = run_and_check(&plan, Mutant::None);
     println!(
         "{} disks, {} without, seed {}",
         plan.disks, plan.others, plan.seed
@@ -91,17 +96,17 @@
         println!("  after {:>4} ms {:?}", step.after, step.what);
     }
     println!("{}", history.trace());
-    println!("{reached:?}");
-    for w in &wrong {
+    println!("{coverage:?}");
+    for w in &violations {
         println!("WRONG {w}");
     }
-    std::process::exit(i32::from(!wrong.is_empty()));
+    std::process::exit(i32::from(!violations.is_empty()));
 }
 
 fn search(args: &Args) {
     let next = AtomicU64::new(0);
     let begun = Instant::now();
-    let total = Mutex::new((Reached::default(), 0u64, 0u64));
+    let total = Mutex::new((Coverage::default(), 0u64, 0u64));
     let failing: Mutex<BTreeMap<u64, Vec<String>>> = Mutex::default();
     std::thread::scope(|scope| {
         for _ in 0..args.jobs {
@@ -112,23 +117,27 @@
                 }
                 let seed = args.seed + i;
                 SEED.set(seed);
-                let Ok(tree) = Tree::of_seed(seed, args.steps) else {
+                let Ok(tree) = PlanTree::of_seed(seed, args.steps) else {
                     continue;
                 };
-                let (reached, wrong, history) = verdict(&tree.plan(), Mutant::None);
+                let (coverage, violations, history) = run_and_check(&tree.plan(), Mutant::None);
                 if let Ok(mut total) = total.lock() {
-                    total.0.add(&reached);
+                    total.0.add(&coverage);
                     total.1 += history.events.len() as u64;
                     total.2 += 1;
                 }
-                if let (false, Ok(mut failing)) = (wrong.is_empty(), failing.lock()) {
-                    println!("FAILS {}\n  replay: {}", wrong[0], replay_line(seed, args.steps));
-                    failing.insert(seed, wrong);
+                if let (false, Ok(mut failing)) = (violations.is_empty(), failing.lock()) {
+                    println!(
+                        "FAILS {}\n  replay: {}",
+                        violations[0],
+                        replay_line(seed, args.steps)
+                    );
+                    failing.insert(seed, violations);
                 }
             });
         }
     });
-    let (reached, events, worlds) = total.into_inner().unwrap_or_default();
+    let (coverage, events, worlds) = total.into_inner().unwrap_or_default();
     let failing = failing.into_inner().unwrap_or_default();
     let seconds = begun.elapsed().as_secs_f64().max(0.001);
     println!(
@@ -136,10 +145,10 @@
         args.seed,
         worlds as f64 / seconds
     );
-    println!("reached: {reached:?}");
+    println!("reached: {coverage:?}");
     let mut kinds: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
-    for (seed, wrong) in &failing {
-        let kind = wrong[0].split_whitespace().next().unwrap_or("");
+    for (seed, violations) in &failing {
+        let kind = violations[0].split_whitespace().next().unwrap_or("");
         kinds.entry(kind).or_insert((0, *seed)).0 += 1;
     }
     for (kind, (count, seed)) in kinds {
--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -13,7 +13,7 @@
 mod evacuations;
 mod keys;
 
-use crate::history::{Event, History, Reply, Request, Saw};
+use crate::history::{Event, History, Observation, Reply, Request};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -77,7 +77,7 @@
 
 /// What the system promised in a run.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Promise {
+pub struct Guarantees {
     /// Disks that must hold what is acknowledged; 0 if disks saw nothing.
     pub disks: usize,
     /// From then on all is calm: a read that is sent later must be answered, and a
@@ -91,7 +91,7 @@
 
 /// An attempt of an operator to have an order carried out.
 pub(crate) struct Attempt {
-    pub order: u64,
+    pub command: u64,
     pub sent: u64,
     pub to: String,
     pub request: Request,
@@ -103,58 +103,58 @@
 pub(crate) struct Effect {
     pub at: u64,
     pub index: u64,
-    pub order: u64,
+    pub command: u64,
     pub attempt: u64,
     pub changed: bool,
 }
 
 /// A history, sorted by what the checks need.
-pub(crate) struct Seen<'a> {
+pub(crate) struct Evidence<'a> {
     pub events: &'a [Event],
     pub attempts: BTreeMap<u64, Attempt>,
     /// The first sight of each pair of index and order.
     pub ready: Vec<Effect>,
-    pub wrong: Vec<Violation>,
+    pub violations: Vec<Violation>,
 }
 
-impl Seen<'_> {
+impl Evidence<'_> {
     pub fn fail(&mut self, check: Check, at: u64, what: String) {
         let new = Violation { check, at, what };
-        if !self.wrong.contains(&new) {
-            self.wrong.push(new);
+        if !self.violations.contains(&new) {
+            self.violations.push(new);
         }
     }
 }
 
 /// All that is wrong with a history, in the order of the checks.
-pub fn judge(history: &History, promise: Promise) -> Vec<Violation> {
-    let mut seen = sort(history);
-    callers(&mut seen);
-    lives(&mut seen);
-    once(&mut seen);
-    disks(&mut seen, promise.disks);
-    configuration::check(&mut seen);
-    evacuations::check(&mut seen, promise.alike_ms);
-    keys::check(&mut seen);
-    if let Some(from) = promise.calm_from {
-        answered(&mut seen, from);
+pub fn check_history(history: &History, guarantees: Guarantees) -> Vec<Violation> {
+    let mut evidence = sort(history);
+    callers(&mut evidence);
+    processes(&mut evidence);
+    once(&mut evidence);
+    disks(&mut evidence, guarantees.disks);
+    configuration::check(&mut evidence);
+    evacuations::check(&mut evidence, guarantees.alike_ms);
+    keys::check(&mut evidence);
+    if let Some(from) = guarantees.calm_from {
+        answered(&mut evidence, from);
     }
-    seen.wrong
+    evidence.violations
 }
 
-fn sort(history: &History) -> Seen<'_> {
+fn sort(history: &History) -> Evidence<'_> {
     let mut attempts: BTreeMap<u64, Attempt> = BTreeMap::new();
     let mut ready: BTreeMap<(u64, u64), Effect> = BTreeMap::new();
     for event in &history.events {
-        match &event.saw {
-            Saw::Sent {
-                order,
+        match &event.observation {
+            Observation::Sent {
+                command,
                 attempt,
                 to,
                 request,
             } => {
                 let new = Attempt {
-                    order: *order,
+                    command: *command,
                     sent: event.at,
                     to: to.clone(),
                     request: request.clone(),
@@ -162,22 +162,22 @@
                 };
                 attempts.insert(*attempt, new);
             }
-            Saw::Heard { attempt, reply } => {
+            Observation::ReplyReceived { attempt, reply } => {
                 if let Some(a) = attempts.get_mut(attempt) {
                     a.heard.get_or_insert((event.at, reply.clone()));
                 }
             }
-            Saw::Effect {
+            Observation::Effect {
                 index,
-                order,
+                command,
                 attempt,
                 changed,
                 ..
             } => {
-                ready.entry((*index, *order)).or_insert(Effect {
+                ready.entry((*index, *command)).or_insert(Effect {
                     at: event.at,
                     index: *index,
-                    order: *order,
+                    command: *command,
                     attempt: *attempt,
                     changed: *changed,
                 });
@@ -185,37 +185,37 @@
             _ => {}
         }
     }
-    Seen {
+    Evidence {
         events: &history.events,
         attempts,
         ready: ready.into_values().collect(),
-        wrong: Vec::new(),
+        violations: Vec::new(),
     }
 }
 
 /// Every reply was made for the attempt that hears it, by the node that was asked,
 /// and is heard once.
-fn callers(seen: &mut Seen) {
+fn callers(evidence: &mut Evidence) {
     let mut replied: BTreeSet<(u64, &str, u16)> = BTreeSet::new();
     let mut heard: BTreeSet<u64> = BTreeSet::new();
-    for event in seen.events {
-        match &event.saw {
-            Saw::Replied { attempt, status } => {
-                replied.insert((*attempt, &event.who, *status));
+    for event in evidence.events {
+        match &event.observation {
+            Observation::ReplySent { attempt, status } => {
+                replied.insert((*attempt, &event.observer, *status));
             }
-            Saw::Heard { attempt, reply } => {
+            Observation::ReplyReceived { attempt, reply } => {
                 let at = event.at;
                 if reply.made_for != *attempt {
                     let what = format!("attempt {attempt} hears what was made for {}", reply.made_for);
-                    seen.fail(Check::WrongCaller, at, what);
+                    evidence.fail(Check::WrongCaller, at, what);
                 }
-                let asked = seen.attempts.get(attempt);
+                let asked = evidence.attempts.get(attempt);
                 if !asked.is_some_and(|a| replied.contains(&(*attempt, &a.to, reply.status))) {
                     let what = format!("attempt {attempt} hears {} that nobody replied", reply.status);
-                    seen.fail(Check::WrongCaller, at, what);
+                    evidence.fail(Check::WrongCaller, at, what);
                 }
                 if !heard.insert(*attempt) {
-                    seen.fail(Check::WrongCaller, at, format!("attempt {attempt} hears twice"));
+                    evidence.fail(Check::WrongCaller, at, format!("attempt {attempt} hears twice"));
                 }
             }
             _ => {}
@@ -224,35 +224,35 @@
 }
 
 /// Lives of processes: nothing goes back, copies are alike, one leads in a term.
-fn lives(seen: &mut Seen) {
+fn processes(evidence: &mut Evidence) {
     let mut stands: BTreeMap<(&str, u64), (u64, u64)> = BTreeMap::new();
     let mut ended: BTreeSet<(&str, u64)> = BTreeSet::new();
     let mut digests: BTreeMap<u64, (u64, &str)> = BTreeMap::new();
     let mut leaders: BTreeMap<u64, (&str, u64)> = BTreeMap::new();
-    for event in seen.events {
-        let (who, at) = (event.who.as_str(), event.at);
-        match &event.saw {
-            Saw::LifeEnded { life, .. } => {
-                ended.insert((who, *life));
+    for event in evidence.events {
+        let (observer, at) = (event.observer.as_str(), event.at);
+        match &event.observation {
+            Observation::ProcessEnded { process, .. } => {
+                ended.insert((observer, *process));
             }
-            Saw::Applied { life, replica } => {
+            Observation::Applied { process, replica } => {
                 let now = (replica.index, replica.content.map_or(0, |c| c.version));
-                let before = stands.insert((who, *life), now).unwrap_or_default();
-                if now.0 < before.0 || now.1 < before.1 || ended.contains(&(who, *life)) {
-                    let what = format!("{who} stood at index, version {before:?}, now at {now:?}");
-                    seen.fail(Check::WentBack, at, what);
+                let before = stands.insert((observer, *process), now).unwrap_or_default();
+                if now.0 < before.0 || now.1 < before.1 || ended.contains(&(observer, *process)) {
+                    let what = format!("{observer} stood at index, version {before:?}, now at {now:?}");
+                    evidence.fail(Check::WentBack, at, what);
                 }
-                let (digest, first) = *digests.entry(replica.index).or_insert((replica.digest, who));
+                let (digest, first) = *digests.entry(replica.index).or_insert((replica.digest, observer));
                 if digest != replica.digest {
-                    let what = format!("{first} and {who} differ at index {}", replica.index);
-                    seen.fail(Check::CopiesDiffer, at, what);
+                    let what = format!("{first} and {observer} differ at index {}", replica.index);
+                    evidence.fail(Check::CopiesDiffer, at, what);
                 }
             }
-            Saw::Leads { life, term } => {
-                let first = *leaders.entry(*term).or_insert((who, *life));
-                if first != (who, *life) {
-                    let what = format!("{} and {who} lead in term {term}", first.0);
-                    seen.fail(Check::TwoLeaders, at, what);
+            Observation::Leads { process, term } => {
+                let first = *leaders.entry(*term).or_insert((observer, *process));
+                if first != (observer, *process) {
+                    let what = format!("{} and {observer} lead in term {term}", first.0);
+                    evidence.fail(Check::TwoLeaders, at, what);
                 }
             }
             _ => {}
@@ -262,11 +262,11 @@
 
 /// One attempt changes the state at one index at the most, and an index is one order's.
 /// (Whether several attempts of one order may, its kind says.)
-fn once(seen: &mut Seen) {
+fn once(evidence: &mut Evidence) {
     let mut changed_at: BTreeMap<u64, u64> = BTreeMap::new();
     let mut owner: BTreeMap<u64, u64> = BTreeMap::new();
     let mut found = Vec::new();
-    for e in &seen.ready {
+    for e in &evidence.ready {
         if e.changed {
             let first = *changed_at.entry(e.attempt).or_insert(e.index);
             if first != e.index {
@@ -277,14 +277,14 @@
                 found.push((Check::MoreThanOnce, e.at, what));
             }
         }
-        let first = *owner.entry(e.index).or_insert(e.order);
-        if first != e.order {
-            let what = format!("index {} is order {first}'s and order {}'s", e.index, e.order);
+        let first = *owner.entry(e.index).or_insert(e.command);
+        if first != e.command {
+            let what = format!("index {} is order {first}'s and order {}'s", e.index, e.command);
             found.push((Check::CopiesDiffer, e.at, what));
         }
     }
     for (check, at, what) in found {
-        seen.fail(check, at, what);
+        evidence.fail(check, at, what);
     }
 }
 
@@ -292,25 +292,28 @@
 const ON_ITS_WAY_MS: u64 = 1000;
 
 /// What is acknowledged is on so many disks.
-fn disks(seen: &mut Seen, least: usize) {
+fn disks(evidence: &mut Evidence, least: usize) {
     // What each disk holds, and the time until which that counts.
     let mut holds: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
     let mut gone: Vec<(u64, u64)> = Vec::new();
     let mut found = Vec::new();
-    for event in seen.events {
-        match &event.saw {
-            Saw::Synced { index } => {
-                holds.insert(&event.who, (*index, u64::MAX));
+    for event in evidence.events {
+        match &event.observation {
+            Observation::Synced { index } => {
+                holds.insert(&event.observer, (*index, u64::MAX));
             }
-            Saw::LifeEnded { how: "disk lost", .. } => {
-                let lost = holds.remove(event.who.as_str());
+            Observation::ProcessEnded { how: "disk lost", .. } => {
+                let lost = holds.remove(event.observer.as_str());
                 gone.extend(lost.map(|(index, _)| (index, event.at + ON_ITS_WAY_MS)));
             }
-            Saw::Replied { attempt, status: 200 } => {
-                let Some(order) = seen.attempts.get(attempt).map(|a| a.order) else {
+            Observation::ReplySent { attempt, status: 200 } => {
+                let Some(command) = evidence.attempts.get(attempt).map(|a| a.command) else {
                     continue;
                 };
-                let mut own = seen.ready.iter().filter(|e| e.order == order && e.at <= event.at);
+                let mut own = evidence
+                    .ready
+                    .iter()
+                    .filter(|e| e.command == command && e.at <= event.at);
                 let first = own.clone().next();
                 let Some(effect) = own.find(|e| e.changed).or(first) else {
                     continue;
@@ -321,7 +324,7 @@
                     .count();
                 if count < least {
                     let what = format!(
-                        "order {order} is acknowledged, index {} on {count} disks",
+                        "order {command} is acknowledged, index {} on {count} disks",
                         effect.index
                     );
                     found.push((event.at, what));
@@ -331,14 +334,14 @@
         }
     }
     for (at, what) in found {
-        seen.fail(Check::TooFewDisks, at, what);
+        evidence.fail(Check::TooFewDisks, at, what);
     }
 }
 
 /// In calm times a read is answered and an order acknowledged.
-fn answered(seen: &mut Seen, from: u64) {
+fn answered(evidence: &mut Evidence, from: u64) {
     let status = |a: &Attempt| a.heard.as_ref().map(|(_, r)| r.status);
-    let later = || seen.attempts.values().filter(|a| a.sent >= from);
+    let later = || evidence.attempts.values().filter(|a| a.sent >= from);
     let mut reads = later().filter(|a| a.request == Request::Read);
     let read = reads.any(|a| matches!(status(a), Some(200 | 404)));
     let replaces: Vec<&Attempt> = later()
@@ -347,10 +350,10 @@
     let taken = replaces.is_empty() || replaces.iter().any(|a| status(a) == Some(200));
     if !read {
         let what = "no read since then was answered".into();
-        seen.fail(Check::NoReadBack, from, what);
+        evidence.fail(Check::NoReadBack, from, what);
     }
     if !taken {
         let what = "no valid order since then was acknowledged".into();
-        seen.fail(Check::NotAcknowledged, from, what);
+        evidence.fail(Check::NotAcknowledged, from, what);
     }
 }
--- a/crates/simulation/src/checker/configuration.rs
+++ b/crates/simulation/src/checker/configuration.rs
@@ -1,7 +1,7 @@
 //! The configuration as a register with compare and set.
 
-use super::{Check, Seen};
-use crate::history::{Content, Request, Saw};
+use super::{Check, Evidence};
+use crate::history::{Content, Observation, Request};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Status of an order that was taken, that lost its race, and of an invalid one.
@@ -10,7 +10,7 @@
 const INVALID: u16 = 400;
 
 /// What is known of one order, over all its attempts and all who sent it alike.
-struct Order {
+struct KnownCommand {
     numbers: BTreeSet<u64>,
     valid: bool,
     /// Cannot have taken effect before.
@@ -38,23 +38,25 @@
     to: u64,
 }
 
-pub(super) fn check(seen: &mut Seen) {
-    let mut orders = orders(seen);
-    let reads = reads(seen, &mut orders);
-    copies(seen, &mut orders);
-    single_orders(seen, &orders);
-    missed(seen, &orders, &reads);
-    let Some(chain) = chain(seen, &orders) else { return };
-    intervals(seen, &orders, &reads, chain);
+pub(super) fn check(evidence: &mut Evidence) {
+    let mut known_commands = known_commands(evidence);
+    let reads = reads(evidence, &mut known_commands);
+    copies(evidence, &mut known_commands);
+    single_orders(evidence, &known_commands);
+    missed(evidence, &known_commands, &reads);
+    let Some(chain) = chain(evidence, &known_commands) else {
+        return;
+    };
+    intervals(evidence, &known_commands, &reads, chain);
 }
 
-fn orders(seen: &Seen) -> BTreeMap<Content, Order> {
-    let mut orders: BTreeMap<Content, Order> = BTreeMap::new();
-    for a in seen.attempts.values() {
+fn known_commands(evidence: &Evidence) -> BTreeMap<Content, KnownCommand> {
+    let mut known_commands: BTreeMap<Content, KnownCommand> = BTreeMap::new();
+    for a in evidence.attempts.values() {
         let Request::Replace { content, valid } = a.request else {
             continue;
         };
-        let order = orders.entry(content).or_insert(Order {
+        let command = known_commands.entry(content).or_insert(KnownCommand {
             numbers: BTreeSet::new(),
             valid,
             first_sent: a.sent,
@@ -62,29 +64,29 @@
             acknowledged: None,
             refused: Vec::new(),
         });
-        order.numbers.insert(a.order);
-        order.first_sent = order.first_sent.min(a.sent);
+        command.numbers.insert(a.command);
+        command.first_sent = command.first_sent.min(a.sent);
         let Some((at, reply)) = &a.heard else { continue };
         match reply.status {
             TAKEN => {
-                order.in_force = earlier(order.in_force, *at);
-                order.acknowledged = earlier(order.acknowledged, *at);
+                command.in_force = earlier(command.in_force, *at);
+                command.acknowledged = earlier(command.acknowledged, *at);
             }
-            LOST | INVALID => order.refused.push((a.sent, *at, reply.status)),
+            LOST | INVALID => command.refused.push((a.sent, *at, reply.status)),
             _ => {}
         }
     }
-    orders
+    known_commands
 }
 
 fn earlier(known: Option<u64>, at: u64) -> Option<u64> {
     Some(known.map_or(at, |k| k.min(at)))
 }
 
-fn reads(seen: &mut Seen, orders: &mut BTreeMap<Content, Order>) -> Vec<Read> {
+fn reads(evidence: &mut Evidence, known_commands: &mut BTreeMap<Content, KnownCommand>) -> Vec<Read> {
     let mut reads = Vec::new();
     let mut unknown = Vec::new();
-    for (number, a) in &seen.attempts {
+    for (number, a) in &evidence.attempts {
         let (Request::Read, Some((heard, reply))) = (&a.request, &a.heard) else {
             continue;
         };
@@ -92,10 +94,10 @@
             (200, Some((version, digest))) => {
                 // Who sent the same body on two bases: the one in force is meant.
                 let alike = |c: &&Content| c.version == version && c.digest == digest;
-                let best = orders
+                let best = known_commands
                     .keys()
                     .filter(alike)
-                    .max_by_key(|c| orders[c].in_force.is_some());
+                    .max_by_key(|c| known_commands[c].in_force.is_some());
                 let Some(content) = best.copied() else {
                     unknown.push((
                         *heard,
@@ -103,8 +105,8 @@
                     ));
                     continue;
                 };
-                if let Some(order) = orders.get_mut(&content) {
-                    order.in_force = earlier(order.in_force, *heard);
+                if let Some(command) = known_commands.get_mut(&content) {
+                    command.in_force = earlier(command.in_force, *heard);
                 }
                 Some(content)
             }
@@ -118,63 +120,63 @@
         });
     }
     for (at, what) in unknown {
-        seen.fail(Check::UnknownInForce, at, what);
+        evidence.fail(Check::UnknownInForce, at, what);
     }
     reads
 }
 
 /// What copies show is in force.
-fn copies(seen: &mut Seen, orders: &mut BTreeMap<Content, Order>) {
-    for event in seen.events {
-        let Saw::Applied { replica, .. } = &event.saw else {
+fn copies(evidence: &mut Evidence, known_commands: &mut BTreeMap<Content, KnownCommand>) {
+    for event in evidence.events {
+        let Observation::Applied { replica, .. } = &event.observation else {
             continue;
         };
         let Some(content) = replica.content else { continue };
-        match orders.get_mut(&content) {
-            Some(order) => order.in_force = earlier(order.in_force, event.at),
+        match known_commands.get_mut(&content) {
+            Some(command) => command.in_force = earlier(command.in_force, event.at),
             None => {
-                let what = format!("{} has version {content}, which nobody sent", event.who);
-                seen.fail(Check::UnknownInForce, event.at, what);
+                let what = format!("{} has version {content}, which nobody sent", event.observer);
+                evidence.fail(Check::UnknownInForce, event.at, what);
             }
         }
     }
 }
 
 /// What must hold of each order for itself, and of two on one base.
-fn single_orders(seen: &mut Seen, orders: &BTreeMap<Content, Order>) {
+fn single_orders(evidence: &mut Evidence, known_commands: &BTreeMap<Content, KnownCommand>) {
     let mut on_base: BTreeMap<u64, (Content, u64)> = BTreeMap::new();
-    for (content, order) in orders {
-        let refused = order.refused.first();
-        if let (Some(since), Some((_, heard, status))) = (order.in_force, refused) {
-            let (check, at) = match order.refused.iter().find(|(_, heard, _)| *heard >= since) {
+    for (content, command) in known_commands {
+        let refused = command.refused.first();
+        if let (Some(since), Some((_, heard, status))) = (command.in_force, refused) {
+            let (check, at) = match command.refused.iter().find(|(_, heard, _)| *heard >= since) {
                 Some((_, heard, _)) => (Check::TakenRefused, *heard),
                 None => (Check::RefusedInForce, since),
             };
             let what = format!("version {content}: in force by {since}, refused with {status} at {heard}");
-            seen.fail(check, at, what);
+            evidence.fail(check, at, what);
         }
-        for (_, at, status) in &order.refused {
-            if order.valid && *status == INVALID {
-                seen.fail(Check::ValidRefused, *at, format!("version {content} is valid"));
+        for (_, at, status) in &command.refused {
+            if command.valid && *status == INVALID {
+                evidence.fail(Check::ValidRefused, *at, format!("version {content} is valid"));
             }
         }
-        let Some(since) = order.in_force else { continue };
-        if !order.valid {
-            seen.fail(Check::InvalidInForce, since, format!("version {content}"));
+        let Some(since) = command.in_force else { continue };
+        if !command.valid {
+            evidence.fail(Check::InvalidInForce, since, format!("version {content}"));
         }
         if let Some((other, before)) = on_base.insert(content.base, (*content, since)) {
             let what = format!("versions {other} and {content} were both taken");
-            seen.fail(Check::TwoForOneBase, since.max(before), what);
+            evidence.fail(Check::TwoForOneBase, since.max(before), what);
         }
     }
 }
 
 /// Reads that miss what was acknowledged before they were sent. Versions rise along
 /// the chain, so a lower one is an older one.
-fn missed(seen: &mut Seen, orders: &BTreeMap<Content, Order>, reads: &[Read]) {
+fn missed(evidence: &mut Evidence, known_commands: &BTreeMap<Content, KnownCommand>, reads: &[Read]) {
     let version = |r: &Read| r.content.map_or(0, |c| c.version);
     let acknowledged = |before: u64| {
-        let by_then = orders
+        let by_then = known_commands
             .iter()
             .filter(|(_, o)| o.acknowledged.is_some_and(|at| at < before));
         by_then.map(|(c, _)| c.version).max().unwrap_or(0)
@@ -195,15 +197,15 @@
             read.sent,
             version(read)
         );
-        seen.fail(check, read.heard, what);
+        evidence.fail(check, read.heard, what);
     }
 }
 
 /// Orders that were taken, from the first on, and those without a clear reply that
 /// must have been taken since others build on them.
-fn chain(seen: &mut Seen, orders: &BTreeMap<Content, Order>) -> Option<Vec<Link>> {
+fn chain(evidence: &mut Evidence, known_commands: &BTreeMap<Content, KnownCommand>) -> Option<Vec<Link>> {
     let mut taken: BTreeMap<u64, Content> = BTreeMap::new();
-    for (content, _) in orders.iter().filter(|(_, o)| o.in_force.is_some()) {
+    for (content, _) in known_commands.iter().filter(|(_, o)| o.in_force.is_some()) {
         taken.insert(content.version, *content);
     }
     let mut missing: Vec<Content> = taken.values().copied().collect();
@@ -211,14 +213,14 @@
         if content.base == 0 || taken.contains_key(&content.base) {
             continue;
         }
-        let unclear = orders
+        let unclear = known_commands
             .iter()
             .filter(|(c, o)| c.version == content.base && o.valid && o.refused.is_empty());
         // Of several, the one sent first constrains least.
         let Some((before, _)) = unclear.min_by_key(|(_, o)| o.first_sent) else {
-            let at = orders[&content].in_force.unwrap_or(0);
+            let at = known_commands[&content].in_force.unwrap_or(0);
             let what = format!("version {content} was taken, its base never was");
-            seen.fail(Check::Register, at, what);
+            evidence.fail(Check::Register, at, what);
             return None;
         };
         taken.insert(before.version, *before);
@@ -228,24 +230,29 @@
     let mut links = Vec::new();
     for content in taken.into_values() {
         if content.base != base {
-            let at = orders[&content].in_force.unwrap_or(0);
+            let at = known_commands[&content].in_force.unwrap_or(0);
             let what = format!("version {content} was taken on top of {base}");
-            seen.fail(Check::Register, at, what);
+            evidence.fail(Check::Register, at, what);
             return None;
         }
         base = content.version;
-        let order = &orders[&content];
+        let command = &known_commands[&content];
         links.push(Link {
             content,
-            from: order.first_sent,
-            to: order.in_force.unwrap_or(u64::MAX),
+            from: command.first_sent,
+            to: command.in_force.unwrap_or(u64::MAX),
         });
     }
     Some(links)
 }
 
 /// Whether each order of the chain can have its moment.
-fn intervals(seen: &mut Seen, orders: &BTreeMap<Content, Order>, reads: &[Read], mut chain: Vec<Link>) {
+fn intervals(
+    evidence: &mut Evidence,
+    known_commands: &BTreeMap<Content, KnownCommand>,
+    reads: &[Read],
+    mut chain: Vec<Link>,
+) {
     let position = |chain: &[Link], version: u64| chain.iter().position(|l| l.content.version == version);
     for read in reads {
         // What is read had taken effect by the reply, what follows it had not before
@@ -276,10 +283,10 @@
                 "version {} cannot have taken effect at any moment: not before {}, not after {}",
                 link.content, link.from, link.to
             );
-            seen.fail(Check::Register, link.to, what);
+            evidence.fail(Check::Register, link.to, what);
             return;
         }
-        match refusals(seen, orders, &mut chain) {
+        match refusals(evidence, known_commands, &mut chain) {
             Narrowed::Again => {}
             Narrowed::Done => return,
         }
@@ -293,10 +300,14 @@
 
 /// An order that lost its race found another version than its base: at some moment of
 /// each refused attempt the base was not yet, or no longer, in force.
-fn refusals(seen: &mut Seen, orders: &BTreeMap<Content, Order>, chain: &mut Vec<Link>) -> Narrowed {
+fn refusals(
+    evidence: &mut Evidence,
+    known_commands: &BTreeMap<Content, KnownCommand>,
+    chain: &mut Vec<Link>,
+) -> Narrowed {
     let mut again = false;
-    for (content, order) in orders {
-        for (sent, heard, status) in &order.refused {
+    for (content, command) in known_commands {
+        for (sent, heard, status) in &command.refused {
             if *status != LOST {
                 continue;
             }
@@ -315,7 +326,7 @@
                 }
                 continue;
             }
-            let unclear: Vec<(&Content, &Order)> = orders
+            let unclear: Vec<(&Content, &KnownCommand)> = known_commands
                 .iter()
                 .filter(|(c, o)| c.base == content.base && o.valid && o.refused.is_empty())
                 .filter(|(_, o)| o.first_sent <= *heard)
@@ -325,7 +336,7 @@
                     let what = format!(
                         "version {content} was refused from {sent} to {heard}, its base in force all the while"
                     );
-                    seen.fail(Check::Register, *heard, what);
+                    evidence.fail(Check::Register, *heard, what);
                 }
                 [(winner, o)] => {
                     chain.push(Link {
--- a/crates/simulation/src/checker/keys.rs
+++ b/crates/simulation/src/checker/keys.rs
@@ -1,7 +1,7 @@
 //! Keys that workers hold: at each moment one holder of a key at the most.
 
-use super::{Check, Seen};
-use crate::history::Saw;
+use super::{Check, Evidence};
+use crate::history::Observation;
 use std::collections::BTreeMap;
 
 /// Keys `from` to `to`, held from `start` up to `until`.
@@ -13,13 +13,13 @@
     until: u64,
 }
 
-pub(super) fn check(seen: &mut Seen) {
+pub(super) fn check(evidence: &mut Evidence) {
     let mut held: BTreeMap<&str, Vec<Piece>> = BTreeMap::new();
-    for event in seen.events {
-        let Saw::Holds { from, to, until, .. } = event.saw else {
+    for event in evidence.events {
+        let Observation::KeysHeld { from, to, until, .. } = event.observation else {
             continue;
         };
-        let pieces = held.entry(&event.who).or_default();
+        let pieces = held.entry(&event.observer).or_default();
         // What is granted or given back anew ends what was held of it.
         for old in std::mem::take(pieces) {
             if old.until <= event.at || old.to < from || old.from > to {
@@ -51,7 +51,7 @@
     }
     let all: Vec<(&str, Piece)> = held
         .into_iter()
-        .flat_map(|(who, pieces)| pieces.into_iter().map(move |p| (who, p)))
+        .flat_map(|(observer, pieces)| pieces.into_iter().map(move |p| (observer, p)))
         .filter(|(_, p)| p.until > p.start)
         .collect();
     for (i, (a, p)) in all.iter().enumerate() {
@@ -60,7 +60,7 @@
             if a != b && keys && p.start < q.until && q.start < p.until {
                 let at = p.start.max(q.start);
                 let key = p.from.max(q.from);
-                seen.fail(Check::TwoHolders, at, format!("{a} and {b} hold key {key}"));
+                evidence.fail(Check::TwoHolders, at, format!("{a} and {b} hold key {key}"));
             }
         }
     }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/cluster.rs
@@ -1,8 +1,8 @@
 //! The simulated world: nodes, links, the platform and workers.
 
 use crate::disk::Disk;
-use crate::node::{Did, Life, Node, Pending};
-use crate::workers::StandIn;
+use crate::node::{Node, PendingCommand, Process, StepResult};
+use crate::worker::SimulatedWorker;
 use config::constants as c;
 use control_state::Outcome;
 use key_ownership::{Action, GrantCall, GrantResult, ReleaseCall, ReleaseResult};
@@ -15,7 +15,7 @@
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-pub const LOSSES: FaultTolerance = FaultTolerance {
+pub const TOLERANCE: FaultTolerance = FaultTolerance {
     machines: 1,
     zones: 1,
     regions: 1,
@@ -23,7 +23,7 @@
 /// One step of time, ms.
 pub const STEP_MS: u64 = 10;
 
-enum Flight {
+enum InFlight {
     Raft {
         from: String,
         sender: u64,
@@ -32,7 +32,7 @@
     },
     Grant {
         leader: String,
-        life: u64,
+        process: u64,
         call: GrantCall,
         sent: u64,
         /// The caller has given up waiting by the time that it arrives.
@@ -40,30 +40,30 @@
     },
     Granted {
         leader: String,
-        life: u64,
+        process: u64,
         call: GrantCall,
         end: GrantResult,
     },
     Release {
         leader: String,
-        life: u64,
+        process: u64,
         call: ReleaseCall,
     },
     Released {
         leader: String,
-        life: u64,
+        process: u64,
         call: ReleaseCall,
         end: ReleaseResult,
     },
 }
 
-pub struct World {
+pub struct Cluster {
     pub now: u64,
     pub nodes: BTreeMap<String, Node>,
-    pub workers: BTreeMap<String, StandIn>,
-    flights: Vec<(u64, Flight)>,
+    pub workers: BTreeMap<String, SimulatedWorker>,
+    in_flight: Vec<(u64, InFlight)>,
     /// Links that carry nothing, from and to.
-    pub cuts: BTreeSet<(String, String)>,
+    pub blocked_links: BTreeSet<(String, String)>,
     rng: SmallRng,
     next_id: u64,
     /// Answers to orders, by name.
@@ -78,27 +78,27 @@
     /// Calls to workers take up to so much longer, ms.
     pub lag_ms: u64,
     /// Bytes a second that a machine's link carries, each way; all others are wide.
-    pub narrow: BTreeMap<String, u64>,
+    pub bandwidth: BTreeMap<String, u64>,
     /// When the link of a narrow machine will have carried what waits for it, us, by
     /// machine and whether it goes out.
-    carried_at: BTreeMap<(String, bool), u64>,
+    link_free_at: BTreeMap<(String, bool), u64>,
     /// Nodes that stand still: what is sent to them waits.
     pub frozen: BTreeSet<String>,
     /// Whether what must hold ends the run at once; else it is kept in `wrong`.
     pub strict: bool,
-    pub wrong: Vec<String>,
+    pub violations: Vec<String>,
     /// What the nodes did in the last step.
-    pub did: Vec<(String, Did)>,
+    pub step_result: Vec<(String, StepResult)>,
 }
 
-impl World {
-    pub fn new(seed: u64) -> World {
-        World {
+impl Cluster {
+    pub fn new(seed: u64) -> Cluster {
+        Cluster {
             now: 1,
             nodes: BTreeMap::new(),
             workers: BTreeMap::new(),
-            flights: Vec::new(),
-            cuts: BTreeSet::new(),
+            in_flight: Vec::new(),
+            blocked_links: BTreeSet::new(),
             rng: SmallRng::seed_from_u64(seed),
             next_id: 100,
             answers: BTreeMap::new(),
@@ -109,12 +109,12 @@
             sent: BTreeMap::new(),
             measured_since: 0,
             lag_ms: 0,
-            narrow: BTreeMap::new(),
-            carried_at: BTreeMap::new(),
+            bandwidth: BTreeMap::new(),
+            link_free_at: BTreeMap::new(),
             frozen: BTreeSet::new(),
             strict: true,
-            wrong: Vec::new(),
-            did: Vec::new(),
+            violations: Vec::new(),
+            step_result: Vec::new(),
         }
     }
 
@@ -136,14 +136,14 @@
         most.unwrap_or(0) as u64 * 1000 / (self.now - self.measured_since).max(1)
     }
 
-    pub fn add(&mut self, name: &str, region: &str, disk: bool, fresh: bool) {
+    pub fn add(&mut self, name: &str, region: &str, disk: bool, is_new_system: bool) {
         let node = Node {
             name: name.into(),
             region: region.into(),
             address: format!("at-{name}"),
             disk: disk.then(Disk::default),
-            life: None,
-            fresh,
+            process: None,
+            is_new_system,
         };
         self.nodes.insert(name.into(), node);
         self.start(name);
@@ -161,7 +161,7 @@
     pub fn end(&mut self, name: &str, power_lost: bool) {
         let keep = self.rng.gen_range(0..3);
         if let Some(node) = self.nodes.get_mut(name) {
-            node.life = None;
+            node.process = None;
             if let Some(disk) = &mut node.disk {
                 disk.end(power_lost, keep);
             }
@@ -173,7 +173,7 @@
         self.end(name, true);
         if let Some(node) = self.nodes.get_mut(name) {
             node.disk = Some(Disk::default());
-            node.fresh = false;
+            node.is_new_system = false;
         }
     }
 
@@ -181,8 +181,8 @@
     pub fn begin(&mut self, name: &str) {
         if let Some(node) = self.nodes.get_mut(name) {
             let voter = voter_of(node);
-            if let (true, Some(life)) = (node.fresh, &mut node.life) {
-                life.raft.bootstrap(voter);
+            if let (true, Some(process)) = (node.is_new_system, &mut node.process) {
+                process.raft.bootstrap(voter);
             }
         }
     }
@@ -190,7 +190,7 @@
     pub fn leader(&self) -> Option<&Node> {
         self.nodes
             .values()
-            .find(|n| n.life.as_ref().is_some_and(|l| l.raft.holds_lease(self.now)))
+            .find(|n| n.process.as_ref().is_some_and(|l| l.raft.holds_lease(self.now)))
     }
 
     pub fn leader_name(&self) -> Option<String> {
@@ -213,7 +213,7 @@
     /// One step of time.
     pub fn tick(&mut self) {
         self.now += STEP_MS;
-        self.did.clear();
+        self.step_result.clear();
         self.deliver();
         self.follow();
         self.lead();
@@ -229,7 +229,7 @@
 
     fn fail(&mut self, what: String) {
         assert!(!self.strict, "{what}");
-        self.wrong.push(what);
+        self.violations.push(what);
     }
 
     fn step(&mut self, name: &str) {
@@ -237,32 +237,32 @@
         let Some(node) = self.nodes.get_mut(name) else {
             return;
         };
-        if let Some(life) = &mut node.life {
-            life.raft.tick(now);
-            if life.leaving && now % c::SHUTDOWN_ANNOUNCE_INTERVAL_MS == 1 {
-                life.raft.announce_shutdown(now);
+        if let Some(process) = &mut node.process {
+            process.raft.tick(now);
+            if process.shutting_down && now % c::SHUTDOWN_ANNOUNCE_INTERVAL_MS == 1 {
+                process.raft.announce_shutdown(now);
             }
         }
-        let mut did = node.flush(now);
-        for message in std::mem::take(&mut did.sent) {
+        let mut step_result = node.flush(now);
+        for message in std::mem::take(&mut step_result.sent) {
             self.send(name, message);
         }
-        for (order, replace, outcome) in std::mem::take(&mut did.settled) {
-            self.settle(order, &replace, outcome);
+        for (command, replace, outcome) in std::mem::take(&mut step_result.settled) {
+            self.settle(command, &replace, outcome);
         }
-        if let Some(what) = did.wrong.take() {
+        if let Some(what) = step_result.violations.take() {
             self.fail(what);
         }
-        self.did.push((name.to_string(), did));
+        self.step_result.push((name.to_string(), step_result));
     }
 
-    fn settle(&mut self, order: String, replace: &ConfigurationCommand, outcome: Option<Outcome>) {
+    fn settle(&mut self, command: String, replace: &ConfigurationCommand, outcome: Option<Outcome>) {
         if matches!(outcome, Some(Outcome::Applied | Outcome::AlreadyApplied)) {
             if let Ok(config) = config::Configuration::parse(&replace.body) {
                 self.acked_version = self.acked_version.max(config.version);
             }
         }
-        self.answers.insert(order, outcome);
+        self.answers.insert(command, outcome);
     }
 
     fn send(&mut self, from: &str, message: raft::Message) {
@@ -270,18 +270,18 @@
         let Some(name) = self.nodes.values().find(|n| n.id() == to).map(|n| n.name.clone()) else {
             return;
         };
-        if self.cuts.contains(&(from.to_string(), name.clone())) {
+        if self.blocked_links.contains(&(from.to_string(), name.clone())) {
             return;
         }
         let bytes = prost::Message::encoded_len(&message);
         *self.sent.entry(from.to_string()).or_default() += bytes;
-        let out = self.carry(from, true, self.now, bytes);
+        let out = self.transmit(from, true, self.now, bytes);
         let latency = self.latency(from, &name);
-        let at = self.carry(&name, false, out + latency, bytes);
+        let at = self.transmit(&name, false, out + latency, bytes);
         let sender = self.nodes.get(from).map_or(0, Node::id);
-        self.flights.push((
+        self.in_flight.push((
             at,
-            Flight::Raft {
+            InFlight::Raft {
                 from: from.into(),
                 sender,
                 to,
@@ -292,12 +292,12 @@
 
     /// When a message that reaches a link at a moment is through it: one after the
     /// other, each as long as it is large.
-    fn carry(&mut self, machine: &str, out: bool, at: u64, bytes: usize) -> u64 {
-        let Some(width) = self.narrow.get(machine) else {
+    fn transmit(&mut self, machine: &str, out: bool, at: u64, bytes: usize) -> u64 {
+        let Some(width) = self.bandwidth.get(machine) else {
             return at;
         };
         let key = (machine.to_string(), out);
-        let free = self.carried_at.entry(key).or_default();
+        let free = self.link_free_at.entry(key).or_default();
         *free = (*free).max(at * 1000) + bytes as u64 * 1_000_000 / width;
         *free / 1000
     }
@@ -310,28 +310,28 @@
             .filter_map(|n| self.nodes.get(n))
             .map(Node::id)
             .collect();
-        let waits = |f: &Flight| matches!(f, Flight::Raft { to, .. } if frozen.contains(to));
-        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.flights)
+        let waits = |f: &InFlight| matches!(f, InFlight::Raft { to, .. } if frozen.contains(to));
+        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
             .into_iter()
-            .partition(|(at, flight)| *at <= now && !waits(flight));
-        self.flights = rest;
-        for (_, flight) in due {
-            match flight {
-                Flight::Raft {
+            .partition(|(at, message_in_flight)| *at <= now && !waits(message_in_flight));
+        self.in_flight = rest;
+        for (_, message_in_flight) in due {
+            match message_in_flight {
+                InFlight::Raft {
                     sender, to, message, ..
                 } => {
-                    if let Some(life) = self
+                    if let Some(process) = self
                         .nodes
                         .values_mut()
                         .find(|n| n.id() == to)
-                        .and_then(|n| n.life.as_mut())
+                        .and_then(|n| n.process.as_mut())
                     {
-                        life.raft.step(now, sender, message);
+                        process.raft.step(now, sender, message);
                     }
                 }
-                Flight::Grant {
+                InFlight::Grant {
                     leader,
-                    life,
+                    process,
                     call,
                     sent,
                     late,
@@ -359,27 +359,31 @@
                     } else {
                         now + 20
                     };
-                    self.flights.push((
+                    self.in_flight.push((
                         back.max(now),
-                        Flight::Granted {
+                        InFlight::Granted {
                             leader,
-                            life,
+                            process,
                             call,
                             end,
                         },
                     ));
                 }
-                Flight::Granted {
+                InFlight::Granted {
                     leader,
-                    life,
+                    process,
                     call,
                     end,
                 } => {
-                    if let Some(l) = self.life_of(&leader, life) {
+                    if let Some(l) = self.life_of(&leader, process) {
                         l.ownership.on_grant_result(now, &call, end);
                     }
                 }
-                Flight::Release { leader, life, call } => {
+                InFlight::Release {
+                    leader,
+                    process,
+                    call,
+                } => {
                     let worker = self
                         .workers
                         .values_mut()
@@ -389,23 +393,23 @@
                         _ => ReleaseResult::Failed,
                     };
                     let wait = if end == ReleaseResult::Failed { 1000 } else { 150 };
-                    self.flights.push((
+                    self.in_flight.push((
                         now + wait,
-                        Flight::Released {
+                        InFlight::Released {
                             leader,
-                            life,
+                            process,
                             call,
                             end,
                         },
                     ));
                 }
-                Flight::Released {
+                InFlight::Released {
                     leader,
-                    life,
+                    process,
                     call,
                     end,
                 } => {
-                    if let Some(l) = self.life_of(&leader, life) {
+                    if let Some(l) = self.life_of(&leader, process) {
                         l.ownership.on_release_result(now, &call, end);
                     }
                 }
@@ -413,10 +417,10 @@
         }
     }
 
-    fn life_of(&mut self, name: &str, started: u64) -> Option<&mut Life> {
+    fn life_of(&mut self, name: &str, started: u64) -> Option<&mut Process> {
         self.nodes
             .get_mut(name)?
-            .life
+            .process
             .as_mut()
             .filter(|l| l.started == started)
     }
@@ -427,7 +431,7 @@
         let disks: Vec<(u64, String)> = self
             .nodes
             .values()
-            .filter(|n| n.disk.is_some() && n.life.is_some())
+            .filter(|n| n.disk.is_some() && n.process.is_some())
             .map(|n| (n.id(), n.region.clone()))
             .collect();
         let timing = UpstreamTimeouts {
@@ -437,18 +441,20 @@
         let frozen = &self.frozen;
         let runs = |n: &&mut Node| n.disk.is_none() && !frozen.contains(&n.name);
         for node in self.nodes.values_mut().filter(runs) {
-            let Some(life) = &mut node.life else { continue };
+            let Some(process) = &mut node.process else {
+                continue;
+            };
             let source = |(id, region): &(u64, String)| UpstreamCandidate {
                 id: *id,
                 same_zone: false,
                 same_region: *region == node.region,
             };
             let sources: Vec<UpstreamCandidate> = disks.iter().map(source).collect();
-            let (me, feed) = (life.raft.id(), life.raft.upstream());
-            if let Some(source) = life.following.select(now, me, feed, &sources, timing) {
-                life.raft.subscribe(now, source);
+            let (me, feed) = (process.raft.id(), process.raft.upstream());
+            if let Some(source) = process.upstream_selector.select(now, me, feed, &sources, timing) {
+                process.raft.subscribe(now, source);
             } else if now % 200 == 1 {
-                life.raft.repeat_subscription();
+                process.raft.repeat_subscription();
             }
         }
     }
@@ -456,57 +462,60 @@
     /// The duties of whoever holds the lease, and the leader's care for the roll.
     fn lead(&mut self) {
         let now = self.now;
-        let seen: Vec<PeerObservation> = self
+        let peers: Vec<PeerObservation> = self
             .nodes
             .values()
-            .filter(|n| n.life.is_some())
+            .filter(|n| n.process.is_some())
             .map(|n| PeerObservation {
                 voter: voter_of(n),
                 has_disk: n.disk.is_some(),
                 is_alive: true,
             })
             .collect();
-        let observers: BTreeSet<u64> = seen.iter().filter(|s| s.has_disk).map(|s| s.voter.id).collect();
+        let observers: BTreeSet<u64> = peers.iter().filter(|s| s.has_disk).map(|s| s.voter.id).collect();
         let listed: Vec<Worker> = self.workers.values().map(|w| w.listed.clone()).collect();
-        let mut flights = Vec::new();
+        let mut in_flight = Vec::new();
         for node in self.nodes.values_mut() {
             let name = node.name.clone();
-            let Some(life) = &mut node.life else { continue };
+            let Some(process) = &mut node.process else {
+                continue;
+            };
             if self.frozen.contains(&name) {
                 continue;
             }
-            if !life.raft.is_leader() {
-                life.ownership_since = None;
+            if !process.raft.is_leader() {
+                process.ownership_since = None;
                 continue;
             }
-            let me = life.raft.id();
+            let me = process.raft.id();
             let others: BTreeSet<u64> = observers.iter().copied().filter(|id| *id != me).collect();
-            life.raft.set_learners(&others);
-            let others: Vec<PeerObservation> = seen.iter().filter(|s| s.voter.id != me).cloned().collect();
+            process.raft.set_learners(&others);
+            let others: Vec<PeerObservation> = peers.iter().filter(|s| s.voter.id != me).cloned().collect();
             let patience = SilenceTimeouts {
                 contact_ms: c::CONTACT_TIMEOUT_MS,
                 removal_ms: c::VOTER_REMOVAL_MS,
                 urgent_removal_ms: c::VOTER_URGENT_REMOVAL_MS,
             };
-            if let Some(roll) = next_membership(&life.raft, now, &others, LOSSES, patience) {
-                life.raft.propose_membership(&roll);
+            if let Some(roll) = next_membership(&process.raft, now, &others, TOLERANCE, patience) {
+                process.raft.propose_membership(&roll);
             }
             // What is committed is applied before any duty looks at it.
-            let behind = life.stage.index < life.raft.commit_index();
-            if behind || !life.raft.holds_lease(now) || life.stage.configuration.is_none() {
+            let behind = process.state.index < process.raft.commit_index();
+            if behind || !process.raft.holds_lease(now) || process.state.configuration.is_none() {
                 continue;
             }
-            if now >= life.next_poll {
-                life.next_poll = now + c::LIST_INTERVAL_MS;
-                let gone: Vec<String> = life
-                    .stage
+            if now >= process.next_poll {
+                process.next_poll = now + c::LIST_INTERVAL_MS;
+                let gone: Vec<String> = process
+                    .state
                     .workers
                     .keys()
                     .filter(|id| !listed.iter().any(|w| w.id == **id))
                     .cloned()
                     .collect();
                 let known = |w: &Worker| {
-                    life.stage
+                    process
+                        .state
                         .workers
                         .get(&w.id)
                         .is_some_and(|k| k.draining == w.draining)
@@ -518,51 +527,52 @@
                         removed: gone,
                         ..Default::default()
                     });
-                    life.raft.propose(Change::encode(change));
+                    process.raft.propose(Change::encode(change));
                 }
             }
-            if life.ownership_since != Some(life.raft.leader_since()) {
-                life.ownership_since = Some(life.raft.leader_since());
-                life.ownership.begin(now, &life.stage);
+            if process.ownership_since != Some(process.raft.leader_since()) {
+                process.ownership_since = Some(process.raft.leader_since());
+                process.ownership.begin(now, &process.state);
             }
             // A change of keys is logged when it is applied; one at a time.
-            let pending = life.raft.last_index() > life.stage.index;
+            let pending = process.raft.last_index() > process.state.index;
             if !pending {
-                life.ownership.on_logged();
+                process.ownership.on_logged();
             }
-            for act in life.ownership.tick(now, &life.stage) {
+            for act in process.ownership.tick(now, &process.state) {
                 match act {
                     Action::Log(put) => {
-                        life.raft
+                        process
+                            .raft
                             .propose(Change::encode(ChangeKind::KeyLeases(KeyLeaseChange { put })));
                     }
                     Action::Grant(call) => {
                         let takes = 20 + self.rng.gen_range(0..=self.lag_ms);
                         let late = takes + 20 > c::GRANT_TIMEOUT_MS;
                         if late {
-                            let unclear = Flight::Granted {
+                            let unclear = InFlight::Granted {
                                 leader: name.clone(),
-                                life: life.started,
+                                process: process.started,
                                 call: call.clone(),
                                 end: GrantResult::Unknown,
                             };
-                            flights.push((now + c::GRANT_TIMEOUT_MS, unclear));
+                            in_flight.push((now + c::GRANT_TIMEOUT_MS, unclear));
                         }
-                        let grant = Flight::Grant {
+                        let grant = InFlight::Grant {
                             leader: name.clone(),
-                            life: life.started,
+                            process: process.started,
                             call,
                             sent: now,
                             late,
                         };
-                        flights.push((now + takes, grant));
+                        in_flight.push((now + takes, grant));
                     }
                     Action::Release(call) => {
-                        flights.push((
+                        in_flight.push((
                             now + 20,
-                            Flight::Release {
+                            InFlight::Release {
                                 leader: name.clone(),
-                                life: life.started,
+                                process: process.started,
                                 call,
                             },
                         ));
@@ -570,29 +580,33 @@
                 }
             }
         }
-        self.flights.extend(flights);
+        self.in_flight.extend(in_flight);
     }
 
     /// Gives an order to the node that leads; `false` if none does, or if the
     /// voters would not bear the losses yet.
-    pub fn order(&mut self, name: &str, order: ConfigurationCommand) -> bool {
+    pub fn command(&mut self, name: &str, command: ConfigurationCommand) -> bool {
         let Some(leader) = self.leader_name() else {
             return false;
         };
-        let Some(life) = self.nodes.get_mut(&leader).and_then(|n| n.life.as_mut()) else {
+        let Some(process) = self.nodes.get_mut(&leader).and_then(|n| n.process.as_mut()) else {
             return false;
         };
-        if !tolerates_faults(life.raft.membership(), LOSSES) {
+        if !tolerates_faults(process.raft.membership(), TOLERANCE) {
             return false;
         }
-        let data = Change::encode(life.stage.compact_for_log(ChangeKind::Replace(order.clone())));
-        match life.raft.propose(data) {
+        let data = Change::encode(
+            process
+                .state
+                .compact_for_log(ChangeKind::Replace(command.clone())),
+        );
+        match process.raft.propose(data) {
             Some(LogPosition { index, term }) => {
-                life.orders.push(Pending {
+                process.commands.push(PendingCommand {
                     name: name.into(),
                     index,
                     term,
-                    order,
+                    command,
                 });
                 true
             }
@@ -606,8 +620,8 @@
             self.nodes.get(a).map_or(0, Node::id),
             self.nodes.get(b).map_or(0, Node::id),
         );
-        self.flights.retain(|(_, f)| match f {
-            Flight::Raft { from, to, .. } => !(from == a && *to == y || from == b && *to == x),
+        self.in_flight.retain(|(_, f)| match f {
+            InFlight::Raft { from, to, .. } => !(from == a && *to == y || from == b && *to == x),
             _ => true,
         });
     }
@@ -618,34 +632,40 @@
         let leases = self
             .nodes
             .values()
-            .filter(|n| n.life.as_ref().is_some_and(|l| l.raft.holds_lease(now)))
+            .filter(|n| n.process.as_ref().is_some_and(|l| l.raft.holds_lease(now)))
             .count();
         if leases > 1 {
             return Err(format!("{leases} nodes hold the lease at {now}"));
         }
         for node in self.nodes.values() {
-            let Some(life) = &node.life else { continue };
-            if life.raft.is_leader() {
-                let first = *self.leaders.entry(life.raft.term()).or_insert(life.raft.id());
-                if first != life.raft.id() {
-                    return Err(format!("two leaders in term {} at {now}", life.raft.term()));
+            let Some(process) = &node.process else { continue };
+            if process.raft.is_leader() {
+                let first = *self
+                    .leaders
+                    .entry(process.raft.term())
+                    .or_insert(process.raft.id());
+                if first != process.raft.id() {
+                    return Err(format!("two leaders in term {} at {now}", process.raft.term()));
                 }
             }
-            let applied = self.applied.entry((node.name.clone(), life.started)).or_default();
-            if life.stage.index < *applied {
+            let applied = self
+                .applied
+                .entry((node.name.clone(), process.started))
+                .or_default();
+            if process.state.index < *applied {
                 return Err(format!("{} went back at {now}", node.name));
             }
-            if life.stage.index > *applied {
-                *applied = life.stage.index;
-                let digest = anti_entropy::digests(&life.stage).ranges;
+            if process.state.index > *applied {
+                *applied = process.state.index;
+                let digest = anti_entropy::digests(&process.state).ranges;
                 let known = self
                     .digests
-                    .entry(life.stage.index)
+                    .entry(process.state.index)
                     .or_insert_with(|| digest.clone());
                 if *known != digest {
                     return Err(format!(
                         "copies differ at index {} ({})",
-                        life.stage.index, node.name
+                        process.state.index, node.name
                     ));
                 }
             }
--- a/crates/simulation/src/front.rs
+++ b/crates/simulation/src/command_handler.rs
@@ -2,9 +2,9 @@
 //! them to whom it believes leads, as `pebblepond` does. The log judges them, or a copy
 //! that a majority has confirmed since they came.
 
+use crate::cluster::TOLERANCE;
 use crate::history::{digest, Reply, Request};
-use crate::node::{Did, Life};
-use crate::world::LOSSES;
+use crate::node::{Process, StepResult};
 use config::constants as c;
 use control_state::{configuration_key, Confirmation, Judgement, Outcome};
 use protocol::{
@@ -37,7 +37,7 @@
 
 /// An order as it travels.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct RoutedCommand {
     /// The number of the order, and of the attempt that it was sent in; the system
     /// does not look at them.
     pub number: u64,
@@ -58,7 +58,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum State {
+enum Phase {
     /// Looks at a time for whoever leads.
     Routing { at: u64 },
     /// Passed on; the answer is paired by the number.
@@ -71,11 +71,11 @@
     Reading { token: u64, until: u64 },
 }
 
-struct Errand {
+struct RunningCommand {
     origin: Origin,
-    order: Order,
+    command: RoutedCommand,
     since: u64,
-    state: State,
+    phase: Phase,
     /// A majority has confirmed this copy since the order came.
     confirmation: Confirmation,
 }
@@ -94,7 +94,7 @@
     Pass {
         to: u64,
         id: CallId,
-        order: Order,
+        command: RoutedCommand,
     },
     Respond {
         origin: Origin,
@@ -104,7 +104,7 @@
     Logged {
         index: u64,
         term: u64,
-        order: u64,
+        command: u64,
         attempt: u64,
     },
 }
@@ -119,57 +119,61 @@
 const UNAVAILABLE: u16 = 503;
 
 /// The orders that one life of a node deals with.
-pub struct Front {
-    pub life: u64,
+pub struct CommandHandler {
+    pub process: u64,
     calls: PendingCalls<u64, u64>,
-    errands: BTreeMap<u64, Errand>,
+    running_commands: BTreeMap<u64, RunningCommand>,
     next: u64,
     /// When orders of the ledger were first seen here, by index.
-    orders_seen: BTreeMap<u64, u64>,
+    commands_seen: BTreeMap<u64, u64>,
     /// Orders in the log that are not applied yet.
-    under_way: Vec<Proposal>,
+    pending: Vec<Proposal>,
     mutant: Mutant,
 }
 
-impl Front {
-    pub fn new(life: u64, mutant: Mutant) -> Front {
-        let drawn = if mutant == Mutant::PairsByNumber { 0 } else { life };
-        Front {
-            life,
+impl CommandHandler {
+    pub fn new(process: u64, mutant: Mutant) -> CommandHandler {
+        let drawn = if mutant == Mutant::PairsByNumber {
+            0
+        } else {
+            process
+        };
+        CommandHandler {
+            process,
             calls: PendingCalls::new(protocol::Incarnation(drawn), c::COMMAND_TIMEOUT_MS),
-            errands: BTreeMap::new(),
+            running_commands: BTreeMap::new(),
             next: 0,
-            orders_seen: BTreeMap::new(),
-            under_way: Vec::new(),
+            commands_seen: BTreeMap::new(),
+            pending: Vec::new(),
             mutant,
         }
     }
 
     /// An order reaches this node.
-    pub fn take(&mut self, now: u64, node: &Life, origin: Origin, mut order: Order) {
+    pub fn take(&mut self, now: u64, node: &Process, origin: Origin, mut command: RoutedCommand) {
         self.next += 1;
-        if let (Origin::Operator { .. }, Request::Evacuate { zone, begin }) = (&origin, &order.request) {
-            let command = protocol::Command::Evacuate(evacuation(zone, *begin));
-            let digests = control_state::command_digests(&command);
+        if let (Origin::Operator { .. }, Request::Evacuate { zone, begin }) = (&origin, &command.request) {
+            let evacuate = protocol::Command::Evacuate(evacuation(zone, *begin));
+            let digests = control_state::command_digests(&evacuate);
             let tag = digests.map(|digests| CommandTag {
-                incarnation: self.life,
+                incarnation: self.process,
                 number: self.next,
-                as_of: node.stage.index,
+                as_of: node.state.index,
                 subject: digests.subject,
                 digest: digests.command,
                 repeats: 0,
                 cautious: !begin,
             });
-            order.tag = tag.filter(|_| self.mutant != Mutant::SendsNoTag);
+            command.tag = tag.filter(|_| self.mutant != Mutant::SendsNoTag);
         }
-        let errand = Errand {
+        let running = RunningCommand {
             origin,
-            order,
+            command,
             since: now,
-            state: State::Routing { at: now },
+            phase: Phase::Routing { at: now },
             confirmation: Confirmation::Unconfirmed,
         };
-        self.errands.insert(self.next, errand);
+        self.running_commands.insert(self.next, running);
     }
 
     /// An answer of another node to what was passed on.
@@ -178,18 +182,18 @@
             return Vec::new();
         };
         if reply.status == NOT_LEADER {
-            if let Some(errand) = self.errands.get_mut(&number) {
-                errand.state = State::Routing {
+            if let Some(running) = self.running_commands.get_mut(&number) {
+                running.phase = Phase::Routing {
                     at: now + c::COMMAND_RETRY_MS,
                 };
             }
             return Vec::new();
         }
-        let Some(errand) = self.errands.remove(&number) else {
+        let Some(running) = self.running_commands.remove(&number) else {
             return Vec::new();
         };
         vec![Act::Respond {
-            origin: errand.origin,
+            origin: running.origin,
             reply,
         }]
     }
@@ -204,29 +208,29 @@
     }
 
     /// One step of time, after the node has done what `did` says.
-    pub fn step(&mut self, now: u64, node: &mut Life, did: &Did) -> Vec<Act> {
+    pub fn step(&mut self, now: u64, node: &mut Process, step_result: &StepResult) -> Vec<Act> {
         let mut acts = Vec::new();
-        let known: BTreeSet<u64> = node.stage.command_history.tagged_indexes().collect();
-        self.orders_seen.retain(|index, _| known.contains(index));
+        let known: BTreeSet<u64> = node.state.command_history.tagged_indexes().collect();
+        self.commands_seen.retain(|index, _| known.contains(index));
         for index in known {
-            self.orders_seen.entry(index).or_insert(now);
+            self.commands_seen.entry(index).or_insert(now);
         }
         let leads = node.raft.is_leader();
-        let stands = node.stage.index;
-        let numbers: Vec<u64> = self.errands.keys().copied().collect();
+        let stands = node.state.index;
+        let numbers: Vec<u64> = self.running_commands.keys().copied().collect();
         for number in numbers {
-            let Some(mut errand) = self.errands.remove(&number) else {
+            let Some(mut running) = self.running_commands.remove(&number) else {
                 continue;
             };
-            match self.advance(now, node, did, number, &mut errand, &mut acts) {
+            match self.advance(now, node, step_result, number, &mut running, &mut acts) {
                 Some(reply) => acts.push(Act::Respond {
-                    origin: errand.origin,
+                    origin: running.origin,
                     reply,
                 }),
-                None => drop(self.errands.insert(number, errand)),
+                None => drop(self.running_commands.insert(number, running)),
             }
         }
-        self.under_way.retain(|p| leads && p.index > stands);
+        self.pending.retain(|p| leads && p.index > stands);
         acts
     }
 
@@ -234,32 +238,32 @@
     fn advance(
         &mut self,
         now: u64,
-        node: &mut Life,
-        did: &Did,
+        node: &mut Process,
+        step_result: &StepResult,
         number: u64,
-        errand: &mut Errand,
+        running: &mut RunningCommand,
         acts: &mut Vec<Act>,
     ) -> Option<Reply> {
-        let made_for = errand.order.attempt;
+        let made_for = running.command.attempt;
         let reply = |status| Reply {
             status,
             made_for,
             read: None,
         };
-        let from_operator = matches!(errand.origin, Origin::Operator { .. });
-        if from_operator && now >= errand.since + c::COMMAND_TIMEOUT_MS {
+        let from_operator = matches!(running.origin, Origin::Operator { .. });
+        if from_operator && now >= running.since + c::COMMAND_TIMEOUT_MS {
             return Some(reply(UNAVAILABLE));
         }
         // Who does not lead after all: looks again, or says so to who passed it on.
-        let not_leader = |errand: &mut Errand| {
-            errand.state = State::Routing {
+        let not_leader = |running: &mut RunningCommand| {
+            running.phase = Phase::Routing {
                 at: now + c::COMMAND_RETRY_MS,
             };
             (!from_operator).then(|| reply(NOT_LEADER))
         };
-        match errand.state {
-            State::Routing { at } if now < at => None,
-            State::Routing { .. } => {
+        match running.phase {
+            Phase::Routing { at } if now < at => None,
+            Phase::Routing { .. } => {
                 let silent = match self.mutant {
                     Mutant::RefusesByCopy | Mutant::ReadsCopy if node.raft.is_leader() => 0,
                     _ => now.saturating_sub(node.raft.majority_heard_at(now)),
@@ -269,12 +273,12 @@
                     return Some(reply(ELSEWHERE));
                 }
                 if node.raft.is_leader() && (!from_operator || silent < c::ELECTION_TIMEOUT_MS) {
-                    return match self.carry_out(now, node, errand, acts) {
-                        Ok(state) => {
-                            errand.state = state;
+                    return match self.execute(now, node, running, acts) {
+                        Ok(phase) => {
+                            running.phase = phase;
                             None
                         }
-                        Err(NOT_LEADER) => not_leader(errand),
+                        Err(NOT_LEADER) => not_leader(running),
                         Err(status) => {
                             let read = self.read_back(node).filter(|_| status == TAKEN);
                             Some(Reply {
@@ -286,20 +290,20 @@
                 }
                 let leader = node.raft.leader_id();
                 if !from_operator || leader == 0 || node.raft.is_leader() {
-                    return not_leader(errand);
+                    return not_leader(running);
                 }
                 let id = self.calls.begin(self.peer(leader), now, number);
-                errand.state = State::Called;
+                running.phase = Phase::Called;
                 acts.push(Act::Pass {
                     to: leader,
                     id,
-                    order: errand.order.clone(),
+                    command: running.command.clone(),
                 });
                 None
             }
-            State::Called => None,
-            State::Logged { index, term } => {
-                let here = did.applied.iter().find(|(i, _, _)| *i == index);
+            Phase::Called => None,
+            Phase::Logged { index, term } => {
+                let here = step_result.applied.iter().find(|(i, _, _)| *i == index);
                 match here {
                     Some((_, t, outcome)) if *t == term || self.mutant == Mutant::IgnoresTerm => {
                         match outcome {
@@ -309,28 +313,28 @@
                                 Some(reply(TAKEN))
                             }
                             Some(Outcome::Applied | Outcome::AlreadyApplied) => {
-                                errand.state = State::Spreading { index, since: now };
+                                running.phase = Phase::Spreading { index, since: now };
                                 None
                             }
                             Some(outcome) => Some(reply(status_of(outcome))),
                             None => Some(reply(UNAVAILABLE)),
                         }
                     }
-                    Some(_) => not_leader(errand),
+                    Some(_) => not_leader(running),
                     None if !node.raft.is_leader() && self.mutant != Mutant::IgnoresTerm => {
-                        not_leader(errand)
+                        not_leader(running)
                     }
                     None => None,
                 }
             }
             // An acknowledgement rests on copies that bear any loss inside `Tolerance`, and
             // waits a little for the nodes in contact to apply it.
-            State::Spreading { index, since } => {
+            Phase::Spreading { index, since } => {
                 let raft = &node.raft;
                 if !raft.is_established_leader() {
-                    return not_leader(errand);
+                    return not_leader(running);
                 }
-                if !is_durable(raft, index, now, LOSSES, c::CONTACT_TIMEOUT_MS) {
+                if !is_durable(raft, index, now, TOLERANCE, c::CONTACT_TIMEOUT_MS) {
                     return (now >= since + c::COMMAND_TIMEOUT_MS).then(|| reply(UNAVAILABLE));
                 }
                 let voters = raft.membership().voters.iter();
@@ -339,10 +343,10 @@
                     .any(|p| now.saturating_sub(p.last_heard) < c::CONTACT_TIMEOUT_MS && p.applied < index);
                 (now >= since + c::APPLY_WAIT_MS || !behind).then(|| reply(TAKEN))
             }
-            State::Reading { token, until } => match did.reads.iter().find(|r| r.token == token) {
-                Some(ReadState { confirmed: true, .. }) if errand.order.request != Request::Read => {
-                    errand.confirmation = Confirmation::Confirmed;
-                    errand.state = State::Routing { at: now };
+            Phase::Reading { token, until } => match step_result.reads.iter().find(|r| r.token == token) {
+                Some(ReadState { confirmed: true, .. }) if running.command.request != Request::Read => {
+                    running.confirmation = Confirmation::Confirmed;
+                    running.phase = Phase::Routing { at: now };
                     None
                 }
                 Some(ReadState { confirmed: true, .. }) => {
@@ -354,68 +358,68 @@
                     })
                 }
                 None if now < until => None,
-                _ => not_leader(errand),
+                _ => not_leader(running),
             },
         }
     }
 
     /// What this node's copy says is in force.
-    fn read_back(&self, node: &Life) -> Option<(u64, u64)> {
-        let version = node.stage.version();
-        (version > 0).then(|| (version, digest(&node.stage.configuration_body)))
+    fn read_back(&self, node: &Process) -> Option<(u64, u64)> {
+        let version = node.state.version();
+        (version > 0).then(|| (version, digest(&node.state.configuration_body)))
     }
 
     /// Waits for a majority to confirm this copy.
-    fn confirm(&mut self, now: u64, node: &mut Life) -> State {
+    fn confirm(&mut self, now: u64, node: &mut Process) -> Phase {
         self.next += 1;
         node.raft.request_read(self.next);
-        State::Reading {
+        Phase::Reading {
             token: self.next,
             until: now + c::COMMAND_TIMEOUT_MS,
         }
     }
 
     /// Carries an order out on the leader: how it goes on, or the status that ends it.
-    fn carry_out(
+    fn execute(
         &mut self,
         now: u64,
-        node: &mut Life,
-        errand: &Errand,
+        node: &mut Process,
+        running: &RunningCommand,
         acts: &mut Vec<Act>,
-    ) -> Result<State, u16> {
+    ) -> Result<Phase, u16> {
         if !node.raft.is_established_leader() {
             return Err(NOT_LEADER);
         }
-        if errand.order.request != Request::Read && !tolerates_faults(node.raft.membership(), LOSSES) {
+        if running.command.request != Request::Read && !tolerates_faults(node.raft.membership(), TOLERANCE) {
             return Err(UNAVAILABLE);
         }
-        let (kind, key, tag) = match &errand.order.request {
+        let (kind, key, tag) = match &running.command.request {
             Request::Read if self.mutant == Mutant::ReadsCopy => {
-                return Err(if node.stage.version() > 0 { TAKEN } else { NONE_YET });
+                return Err(if node.state.version() > 0 { TAKEN } else { NONE_YET });
             }
             Request::Read => return Ok(self.confirm(now, node)),
             Request::Replace { content, .. } => {
                 let replace = ConfigurationCommand {
                     base: content.base,
-                    body: errand.order.body.clone(),
+                    body: running.command.body.clone(),
                     ..Default::default()
                 };
-                if self.mutant == Mutant::RefusesByCopy && content.base != node.stage.version() {
+                if self.mutant == Mutant::RefusesByCopy && content.base != node.state.version() {
                     return Err(LOST);
                 }
-                match node.stage.judge(&replace, errand.confirmation) {
+                match node.state.judge(&replace, running.confirmation) {
                     Judgement::Log => {}
                     Judgement::Confirm => return Ok(self.confirm(now, node)),
                     // Taken before: it stands at or below what is committed.
                     Judgement::Final(Outcome::AlreadyApplied | Outcome::Applied) => {
                         let index = node.raft.commit_index();
-                        return Ok(State::Spreading { index, since: now });
+                        return Ok(Phase::Spreading { index, since: now });
                     }
                     Judgement::Final(outcome) => return Err(status_of(&outcome)),
                 }
                 let key = configuration_key(&replace);
-                if let Some(p) = self.under_way.iter().find(|p| p.key.as_ref() == Some(&key)) {
-                    return Ok(State::Logged {
+                if let Some(p) = self.pending.iter().find(|p| p.key.as_ref() == Some(&key)) {
+                    return Ok(Phase::Logged {
                         index: p.index,
                         term: p.term,
                     });
@@ -423,14 +427,14 @@
                 (ChangeKind::Replace(replace), Some(key), None)
             }
             Request::Evacuate { zone, begin } => {
-                let tag = errand.order.tag.clone().map(|tag| {
-                    let under_way = self.under_way.iter();
-                    let under_way = under_way.filter_map(|p| Some((p.index, p.tag.as_ref()?)));
+                let tag = running.command.tag.clone().map(|tag| {
+                    let pending = self.pending.iter();
+                    let pending = pending.filter_map(|p| Some((p.index, p.tag.as_ref()?)));
                     let recent = |index: u64| {
-                        let at = self.orders_seen.get(&index);
+                        let at = self.commands_seen.get(&index);
                         at.is_some_and(|at| now.saturating_sub(*at) < c::REPEATED_COMMAND_MS)
                     };
-                    let again = node.stage.command_history.recent_like(&tag, under_way, recent);
+                    let again = node.state.command_history.recent_like(&tag, pending, recent);
                     CommandTag {
                         repeats: again.unwrap_or(0),
                         ..tag
@@ -439,9 +443,9 @@
                 (ChangeKind::Evacuate(evacuation(zone, *begin)), None, tag)
             }
         };
-        let data = Change::encode_tagged(node.stage.compact_for_log(kind), tag.clone());
+        let data = Change::encode_tagged(node.state.compact_for_log(kind), tag.clone());
         let LogPosition { index, term } = node.raft.propose(data).ok_or(NOT_LEADER)?;
-        self.under_way.push(Proposal {
+        self.pending.push(Proposal {
             key,
             tag,
             index,
@@ -450,13 +454,13 @@
         acts.push(Act::Logged {
             index,
             term,
-            order: errand.order.number,
-            attempt: errand.order.attempt,
+            command: running.command.number,
+            attempt: running.command.attempt,
         });
         if self.mutant == Mutant::AcknowledgesEarly {
             return Err(TAKEN);
         }
-        Ok(State::Logged { index, term })
+        Ok(Phase::Logged { index, term })
     }
 }
 
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/exploration.rs
@@ -8,13 +8,13 @@
 //! than may be lost at once, the time to catch up of a lost disk does not run, since no
 //! core can admit anybody without a majority.
 
-use crate::checker::{judge, Promise};
-use crate::faults::{Ask, Fault, Plan, Way, What};
-use crate::front::{Act, Front, Mutant, Order, Origin};
-use crate::history::{digest, Content, History, Replica, Reply, Request, Saw};
-use crate::node::{Did, Node};
-use crate::workers::StandIn;
-use crate::world::{World, STEP_MS};
+use crate::checker::{check_history, Guarantees};
+use crate::cluster::{Cluster, STEP_MS};
+use crate::command_handler::{Act, CommandHandler, Mutant, Origin, RoutedCommand};
+use crate::history::{digest, Content, History, Observation, Replica, Reply, Request};
+use crate::node::{Node, StepResult};
+use crate::plan::{Direction, Fault, OperatorRequest, Plan, StepAction};
+use crate::worker::SimulatedWorker;
 use config::constants::REPEATED_COMMAND_MS;
 use protocol::{CallId, Change, ChangeKind, EjectionChange, Worker};
 use rand::rngs::SmallRng;
@@ -42,44 +42,44 @@
 
 /// What a run came to.
 #[derive(Clone, Debug, Default)]
-pub struct Reached {
+pub struct Coverage {
     pub terms: u64,
     pub snapshots: u64,
-    pub roll_changes: u64,
+    pub membership_changes: u64,
     pub resends: u64,
     pub refusals: u64,
     pub acknowledged: u64,
     pub wipes: u64,
-    pub lives: u64,
+    pub processes: u64,
 }
 
-impl Reached {
+impl Coverage {
     /// Adds what another run came to.
-    pub fn add(&mut self, other: &Reached) {
+    pub fn add(&mut self, other: &Coverage) {
         self.terms += other.terms;
         self.snapshots += other.snapshots;
-        self.roll_changes += other.roll_changes;
+        self.membership_changes += other.membership_changes;
         self.resends += other.resends;
         self.refusals += other.refusals;
         self.acknowledged += other.acknowledged;
         self.wipes += other.wipes;
-        self.lives += other.lives;
+        self.processes += other.processes;
     }
 }
 
-pub struct Played {
+pub struct RunOutcome {
     pub history: History,
-    pub reached: Reached,
+    pub coverage: Coverage,
     /// What the world itself found wrong.
-    pub wrong: Vec<String>,
+    pub violations: Vec<String>,
     pub calm_from: u64,
 }
 
-enum Flight {
+enum InFlight {
     Request {
         to: String,
-        life: u64,
-        order: Order,
+        process: u64,
+        command: RoutedCommand,
     },
     Response {
         attempt: u64,
@@ -89,7 +89,7 @@
         from: String,
         to: String,
         id: CallId,
-        order: Order,
+        command: RoutedCommand,
     },
     Answer {
         from_id: u64,
@@ -103,7 +103,7 @@
     },
 }
 
-struct UnderWay {
+struct PendingRequest {
     request: Request,
     body: Vec<u8>,
     /// The attempt that is waited for, and since when.
@@ -119,11 +119,11 @@
 struct Operator {
     /// Versions that it knows to have been in force.
     known: BTreeSet<u64>,
-    under_way: BTreeMap<u64, UnderWay>,
+    pending: BTreeMap<u64, PendingRequest>,
 }
 
 /// What ends by itself.
-enum End {
+enum ScheduledEvent {
     Start(String),
     Thaw(String),
     Kill(String, u64),
@@ -135,16 +135,16 @@
     Lossless,
 }
 
-struct Run {
-    world: World,
+struct Exploration {
+    cluster: Cluster,
     history: History,
-    reached: Reached,
+    coverage: Coverage,
     rng: SmallRng,
     mutant: Mutant,
     operators: Vec<Operator>,
-    fronts: BTreeMap<String, Front>,
-    flights: Vec<(u64, Flight)>,
-    ends: Vec<(u64, End)>,
+    handlers: BTreeMap<String, CommandHandler>,
+    in_flight: Vec<(u64, InFlight)>,
+    scheduled: Vec<(u64, ScheduledEvent)>,
     /// Machines whose disks were lost and that count as lost for it.
     wiped: BTreeSet<String>,
     /// Successors of machines that are gone, and their regions.
@@ -153,8 +153,8 @@
     lost: BTreeMap<String, u64>,
     /// Troubles of each machine that have not ended.
     troubles: BTreeMap<String, u32>,
-    lives: u64,
-    orders: u64,
+    processes: u64,
+    commands: u64,
     attempts: u64,
     last_sent: Option<(Request, Vec<u8>)>,
     /// Contents by version and digest of the body.
@@ -170,22 +170,24 @@
 }
 
 /// Plays a plan, with a planted fault if one is named.
-pub fn play(plan: &Plan, mutant: Mutant) -> Played {
-    let mut run = Run::new(plan, mutant);
+pub fn run_plan(plan: &Plan, mutant: Mutant) -> RunOutcome {
+    let mut run = Exploration::new(plan, mutant);
     run.begin();
     for step in &plan.steps {
         run.pass(step.after);
         match step.what {
-            What::Fault(fault) => run.strike(fault),
-            What::Ask { operator, node, ask } => run.ask(operator as usize % OPERATORS.len(), node, ask),
+            StepAction::Fault(fault) => run.strike(fault),
+            StepAction::OperatorRequest { operator, node, ask } => {
+                run.request(operator as usize % OPERATORS.len(), node, ask)
+            }
         }
     }
     let calm_from = run.calm();
-    run.reached.lives = run.lives;
-    Played {
+    run.coverage.processes = run.processes;
+    RunOutcome {
         history: run.history,
-        reached: run.reached,
-        wrong: run.world.wrong,
+        coverage: run.coverage,
+        violations: run.cluster.violations,
         calm_from,
     }
 }
@@ -202,26 +204,26 @@
     format!("r{}", number % 3 + 1)
 }
 
-impl Run {
-    fn new(plan: &Plan, mutant: Mutant) -> Run {
-        let mut world = World::new(plan.seed);
-        world.strict = false;
-        let mut run = Run {
-            world,
+impl Exploration {
+    fn new(plan: &Plan, mutant: Mutant) -> Exploration {
+        let mut cluster = Cluster::new(plan.seed);
+        cluster.strict = false;
+        let mut run = Exploration {
+            cluster,
             history: History::default(),
-            reached: Reached::default(),
+            coverage: Coverage::default(),
             rng: SmallRng::seed_from_u64(plan.seed ^ 0x5eed),
             mutant,
             operators: OPERATORS.iter().map(|_| Operator::default()).collect(),
-            fronts: BTreeMap::new(),
-            flights: Vec::new(),
-            ends: Vec::new(),
+            handlers: BTreeMap::new(),
+            in_flight: Vec::new(),
+            scheduled: Vec::new(),
             wiped: BTreeSet::new(),
             awaited: BTreeMap::new(),
             lost: BTreeMap::new(),
             troubles: BTreeMap::new(),
-            lives: 0,
-            orders: 0,
+            processes: 0,
+            commands: 0,
             attempts: 0,
             last_sent: None,
             contents: BTreeMap::new(),
@@ -246,12 +248,12 @@
         run
     }
 
-    fn note(&mut self, who: &str, saw: Saw) {
-        self.history.note(self.world.now, who, saw);
+    fn record(&mut self, observer: &str, observation: Observation) {
+        self.history.record(self.cluster.now, observer, observation);
     }
 
-    fn add(&mut self, name: &str, region: &str, disk: bool, fresh: bool) {
-        self.world.add(name, region, disk, fresh);
+    fn add(&mut self, name: &str, region: &str, disk: bool, is_new_system: bool) {
+        self.cluster.add(name, region, disk, is_new_system);
         self.machines.push(name.into());
         self.began(name);
     }
@@ -264,61 +266,64 @@
             zone: "z".into(),
             ..Default::default()
         };
-        self.world.workers.insert(id.into(), StandIn::new(listed));
+        self.cluster
+            .workers
+            .insert(id.into(), SimulatedWorker::new(listed));
     }
 
     fn began(&mut self, name: &str) {
-        self.lives += 1;
-        let life = self.lives;
-        self.fronts.insert(name.into(), Front::new(life, self.mutant));
+        self.processes += 1;
+        let process = self.processes;
+        self.handlers
+            .insert(name.into(), CommandHandler::new(process, self.mutant));
         self.stood_at.remove(name);
-        self.note(name, Saw::LifeBegan { life });
+        self.record(name, Observation::ProcessStarted { process });
     }
 
-    fn life(&self, name: &str) -> u64 {
-        self.fronts.get(name).map_or(0, |f| f.life)
+    fn process(&self, name: &str) -> u64 {
+        self.handlers.get(name).map_or(0, |f| f.process)
     }
 
     /// Waits until the first roll holds all machines with a disk.
     fn begin(&mut self) {
-        self.world.begin("d0");
-        let disks = self.world.nodes.values().filter(|n| n.disk.is_some()).count();
-        let end = self.world.now + BEGIN_MS;
-        while self.world.now < end && self.roll.len() < disks {
+        self.cluster.begin("d0");
+        let disks = self.cluster.nodes.values().filter(|n| n.disk.is_some()).count();
+        let end = self.cluster.now + BEGIN_MS;
+        while self.cluster.now < end && self.roll.len() < disks {
             self.tick();
         }
     }
 
     fn pass(&mut self, ms: u64) {
-        let end = self.world.now + ms;
-        while self.world.now < end {
+        let end = self.cluster.now + ms;
+        while self.cluster.now < end {
             self.tick();
         }
     }
 
     /// Ends all troubles, waits, and reads back.
     fn calm(&mut self) -> u64 {
-        for (_, end) in std::mem::take(&mut self.ends) {
-            self.end(end);
+        for (_, event) in std::mem::take(&mut self.scheduled) {
+            self.on_scheduled(event);
         }
-        self.note(
+        self.record(
             "world",
-            Saw::Trouble {
+            Observation::FaultInjected {
                 what: "all is well".into(),
             },
         );
         self.pass(CALM_MS);
-        let from = self.world.now;
+        let from = self.cluster.now;
         for (operator, node) in [(0, 0), (1, 1), (0, 2)] {
-            self.order(operator, node, Ask::Read);
+            self.submit(operator, node, OperatorRequest::Read);
         }
         self.pass(READ_BACK_MS);
-        let next = Ask::Replace {
+        let next = OperatorRequest::Replace {
             older: 0,
             invalid: false,
         };
-        self.order(0, 0, next);
-        self.order(1, 1, next);
+        self.submit(0, 0, next);
+        self.submit(1, 1, next);
         self.pass(READ_BACK_MS);
         from
     }
@@ -326,18 +331,18 @@
     // ---- time ----
 
     fn tick(&mut self) {
-        self.world.tick();
-        let now = self.world.now;
-        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.ends)
+        self.cluster.tick();
+        let now = self.cluster.now;
+        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.scheduled)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        self.ends = rest;
-        for (_, end) in due {
-            self.end(end);
+        self.scheduled = rest;
+        for (_, event) in due {
+            self.on_scheduled(event);
         }
         self.hold_up();
         self.deliver();
-        self.step_fronts();
+        self.step_handlers();
         self.observe();
         for operator in 0..self.operators.len() {
             self.operate(operator);
@@ -346,88 +351,94 @@
 
     /// What the nodes show after a step.
     fn observe(&mut self) {
-        let now = self.world.now;
+        let now = self.cluster.now;
         let mut notes = Vec::new();
-        for (name, node) in &self.world.nodes {
+        for (name, node) in &self.cluster.nodes {
             // A disk keeps what was written also while its node is down.
             if let Some(disk) = &node.disk {
                 let index = disk.last_index();
                 if self.synced.insert(name.clone(), index) != Some(index) {
-                    notes.push((name.clone(), Saw::Synced { index }));
+                    notes.push((name.clone(), Observation::Synced { index }));
                 }
             }
-            let Some(life) = &node.life else { continue };
-            let number = self.fronts.get(name).map_or(0, |f| f.life);
-            let index = life.stage.index;
+            let Some(process) = &node.process else { continue };
+            let number = self.handlers.get(name).map_or(0, |f| f.process);
+            let index = process.state.index;
             if self.stood_at.insert(name.clone(), index) != Some(index) {
                 let replica = replica(node, &self.contents);
                 notes.push((
                     name.clone(),
-                    Saw::Applied {
-                        life: number,
+                    Observation::Applied {
+                        process: number,
                         replica,
                     },
                 ));
             }
-            let raft = &life.raft;
+            let raft = &process.raft;
             if raft.is_leader() && self.led.insert(name.clone(), raft.term()) != Some(raft.term()) {
                 let term = raft.term();
-                self.reached.terms = self.reached.terms.max(term);
-                notes.push((name.clone(), Saw::Leads { life: number, term }));
+                self.coverage.terms = self.coverage.terms.max(term);
+                notes.push((
+                    name.clone(),
+                    Observation::Leads {
+                        process: number,
+                        term,
+                    },
+                ));
             }
             if raft.is_established_leader() && !raft.is_membership_pending() {
                 let roll: Vec<u64> = raft.membership().voters.iter().map(|v| v.id).collect();
                 if roll != self.roll {
                     self.roll = roll;
-                    self.reached.roll_changes += 1;
+                    self.coverage.membership_changes += 1;
                     let voter = |v: &raft::Voter| format!("{}#{}", v.address, v.id);
                     let voters = raft.membership().voters.iter().map(voter).collect();
-                    notes.push((name.clone(), Saw::Roll { voters }));
+                    notes.push((name.clone(), Observation::Membership { voters }));
                 }
             }
         }
-        for (name, worker) in &mut self.world.workers {
+        for (name, worker) in &mut self.cluster.workers {
             for (from, to, fence, until) in std::mem::take(&mut worker.took) {
                 let until = until.max(now);
-                let saw = Saw::Holds {
+                let observation = Observation::KeysHeld {
                     from,
                     to,
                     fence,
                     until,
                 };
-                notes.push((name.clone(), saw));
+                notes.push((name.clone(), observation));
             }
         }
-        for (name, saw) in notes {
-            self.history.note(now, &name, saw);
+        for (name, observation) in notes {
+            self.history.record(now, &name, observation);
         }
     }
 
-    fn step_fronts(&mut self) {
-        let now = self.world.now;
-        let all: Vec<(String, Did)> = std::mem::take(&mut self.world.did);
-        for (name, did) in &all {
-            self.reached.snapshots += u64::from(did.installed);
-            let life = self.life(name);
-            for (index, term, outcome) in &did.applied {
-                let Some((order, attempt)) = self.logged.get(&(*index, *term)).copied() else {
+    fn step_handlers(&mut self) {
+        let now = self.cluster.now;
+        let all: Vec<(String, StepResult)> = std::mem::take(&mut self.cluster.step_result);
+        for (name, step_result) in &all {
+            self.coverage.snapshots += u64::from(step_result.installed);
+            let process = self.process(name);
+            for (index, term, outcome) in &step_result.applied {
+                let Some((command, attempt)) = self.logged.get(&(*index, *term)).copied() else {
                     continue;
                 };
                 let changed = *outcome == Some(control_state::Outcome::Applied);
-                let saw = Saw::Effect {
-                    life,
+                let observation = Observation::Effect {
+                    process,
                     index: *index,
-                    order,
+                    command,
                     attempt,
                     changed,
                 };
-                self.note(name, saw);
+                self.record(name, observation);
             }
-            let node = self.world.nodes.get_mut(name).and_then(|n| n.life.as_mut());
-            let (Some(front), Some(node)) = (self.fronts.get_mut(name), node) else {
+            let node = self.cluster.nodes.get_mut(name).and_then(|n| n.process.as_mut());
+            let (Some(handler), Some(node)) = (self.handlers.get_mut(name), node) else {
                 continue;
             };
-            let acts = front.step(now, node, did);
+            let acts = handler.step(now, node, step_result);
             self.act(name, acts);
         }
     }
@@ -438,20 +449,20 @@
                 Act::Logged {
                     index,
                     term,
-                    order,
+                    command,
                     attempt,
                 } => {
-                    self.logged.insert((index, term), (order, attempt));
+                    self.logged.insert((index, term), (command, attempt));
                 }
-                Act::Pass { to, id, order } => {
-                    let known = self.world.nodes.values().find(|n| n.id() == to);
+                Act::Pass { to, id, command } => {
+                    let known = self.cluster.nodes.values().find(|n| n.id() == to);
                     if let Some(to) = known.map(|n| n.name.clone()) {
                         let from = name.to_string();
-                        self.between(name, &to.clone(), |_| Flight::Call {
+                        self.between(name, &to.clone(), |_| InFlight::Call {
                             from: from.clone(),
                             to: to.clone(),
                             id,
-                            order: order.clone(),
+                            command: command.clone(),
                         });
                     }
                 }
@@ -460,18 +471,18 @@
                     reply,
                 } => {
                     let status = reply.status;
-                    self.note(name, Saw::Replied { attempt, status });
-                    let at = self.world.now + self.rng.gen_range(1..20);
+                    self.record(name, Observation::ReplySent { attempt, status });
+                    let at = self.cluster.now + self.rng.gen_range(1..20);
                     if !self.chance() {
-                        self.flights.push((at, Flight::Response { attempt, reply }));
+                        self.in_flight.push((at, InFlight::Response { attempt, reply }));
                     }
                 }
                 Act::Respond {
                     origin: Origin::Node { name: to, id },
                     reply,
                 } => {
-                    let from_id = self.world.nodes.get(name).map_or(0, Node::id);
-                    self.between(name, &to.clone(), |_| Flight::Answer {
+                    let from_id = self.cluster.nodes.get(name).map_or(0, Node::id);
+                    self.between(name, &to.clone(), |_| InFlight::Answer {
                         from_id,
                         to: to.clone(),
                         id,
@@ -489,12 +500,16 @@
 
     /// Sends something from node to node: cut links lose it, lossy ones may lose or
     /// double it.
-    fn between(&mut self, from: &str, to: &str, flight: impl Fn(()) -> Flight) {
-        if self.world.cuts.contains(&(from.to_string(), to.to_string())) {
+    fn between(&mut self, from: &str, to: &str, message_in_flight: impl Fn(()) -> InFlight) {
+        if self
+            .cluster
+            .blocked_links
+            .contains(&(from.to_string(), to.to_string()))
+        {
             return;
         }
         let far =
-            self.world.nodes.get(from).map(|n| &n.region) != self.world.nodes.get(to).map(|n| &n.region);
+            self.cluster.nodes.get(from).map(|n| &n.region) != self.cluster.nodes.get(to).map(|n| &n.region);
         if self.chance() {
             return;
         }
@@ -506,88 +521,93 @@
                 0
             };
             let base = if far { 30 } else { 1 };
-            let at = self.world.now + base + late + self.rng.gen_range(0..5);
-            self.flights.push((at, flight(())));
+            let at = self.cluster.now + base + late + self.rng.gen_range(0..5);
+            self.in_flight.push((at, message_in_flight(())));
         }
     }
 
     fn deliver(&mut self) {
-        let now = self.world.now;
-        let frozen = &self.world.frozen;
-        let waits = |f: &Flight| match f {
-            Flight::Request { to, .. } | Flight::Call { to, .. } | Flight::Answer { to, .. } => {
+        let now = self.cluster.now;
+        let frozen = &self.cluster.frozen;
+        let waits = |f: &InFlight| match f {
+            InFlight::Request { to, .. } | InFlight::Call { to, .. } | InFlight::Answer { to, .. } => {
                 frozen.contains(to)
             }
             _ => false,
         };
-        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.flights)
+        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
             .into_iter()
             .partition(|(at, f)| *at <= now && !waits(f));
-        self.flights = rest;
-        for (_, flight) in due {
-            match flight {
-                Flight::Request { to, life, order } => {
-                    let attempt = order.attempt;
+        self.in_flight = rest;
+        for (_, message_in_flight) in due {
+            match message_in_flight {
+                InFlight::Request { to, process, command } => {
+                    let attempt = command.attempt;
                     // The connection was to another life: it is gone.
-                    if life == self.life(&to) {
-                        self.reach(&to, Origin::Operator { attempt }, order);
+                    if process == self.process(&to) {
+                        self.reach(&to, Origin::Operator { attempt }, command);
                     }
                 }
-                Flight::Call { from, to, id, order } => {
-                    self.reach(&to, Origin::Node { name: from, id }, order);
+                InFlight::Call {
+                    from,
+                    to,
+                    id,
+                    command,
+                } => {
+                    self.reach(&to, Origin::Node { name: from, id }, command);
                 }
-                Flight::Answer {
+                InFlight::Answer {
                     from_id,
                     to,
                     id,
                     reply,
                 } => {
-                    if self.world.nodes.get(&to).is_some_and(|n| n.life.is_some()) {
+                    if self.cluster.nodes.get(&to).is_some_and(|n| n.process.is_some()) {
                         let acts = self
-                            .fronts
+                            .handlers
                             .get_mut(&to)
                             .map(|f| f.answered(now, from_id, id, reply));
                         self.act(&to, acts.unwrap_or_default());
                     }
                 }
-                Flight::Response { attempt, reply } => self.heard(attempt, Some(reply)),
-                Flight::Failed { attempt } => self.heard(attempt, None),
+                InFlight::Response { attempt, reply } => self.heard(attempt, Some(reply)),
+                InFlight::Failed { attempt } => self.heard(attempt, None),
             }
         }
     }
 
-    fn reach(&mut self, to: &str, origin: Origin, order: Order) {
-        let now = self.world.now;
-        let node = self.world.nodes.get(to).and_then(|n| n.life.as_ref());
-        if let (Some(front), Some(node)) = (self.fronts.get_mut(to), node) {
-            front.take(now, node, origin, order);
+    fn reach(&mut self, to: &str, origin: Origin, command: RoutedCommand) {
+        let now = self.cluster.now;
+        let node = self.cluster.nodes.get(to).and_then(|n| n.process.as_ref());
+        if let (Some(handler), Some(node)) = (self.handlers.get_mut(to), node) {
+            handler.take(now, node, origin, command);
         }
     }
 
     // ---- operators ----
 
-    fn ask(&mut self, operator: usize, node: u8, ask: Ask) {
-        if self.operators[operator].under_way.len() < UNDER_WAY {
-            self.order(operator, node, ask);
+    fn request(&mut self, operator: usize, node: u8, asked: OperatorRequest) {
+        if self.operators[operator].pending.len() < UNDER_WAY {
+            self.submit(operator, node, asked);
         }
     }
 
-    fn order(&mut self, operator: usize, node: u8, ask: Ask) {
-        let (request, body) = match ask {
-            Ask::Read => (Request::Read, Vec::new()),
-            Ask::Evacuate { zone, begin } => {
+    fn submit(&mut self, operator: usize, node: u8, asked: OperatorRequest) {
+        let (request, body) = match asked {
+            OperatorRequest::Read => (Request::Read, Vec::new()),
+            OperatorRequest::Evacuate { zone, begin } => {
                 let zone = format!("z{zone}");
                 (Request::Evacuate { zone, begin }, Vec::new())
             }
-            Ask::Twin => match &self.last_sent {
+            OperatorRequest::Twin => match &self.last_sent {
                 Some(last) => last.clone(),
                 None => return,
             },
-            Ask::Replace { older, invalid } => {
+            OperatorRequest::Replace { older, invalid } => {
                 let known = &self.operators[operator].known;
                 let base = known.iter().rev().nth(older as usize).copied().unwrap_or(0);
                 let version = base + 1;
-                let body = body(version, self.orders + 1, !invalid);
+                let body = body(version, self.commands + 1, !invalid);
                 let content = Content {
                     base,
                     version,
@@ -602,15 +622,15 @@
                 (request, body)
             }
         };
-        self.orders += 1;
+        self.commands += 1;
         let first_to = self.machine(node);
-        self.operators[operator].under_way.insert(
-            self.orders,
-            UnderWay {
+        self.operators[operator].pending.insert(
+            self.commands,
+            PendingRequest {
                 request,
                 body,
                 open: None,
-                next_at: self.world.now,
+                next_at: self.cluster.now,
                 pause: 100,
                 hops: 0,
                 first_to,
@@ -620,106 +640,108 @@
 
     /// What an operator does by now.
     fn operate(&mut self, operator: usize) {
-        let now = self.world.now;
-        let orders: Vec<u64> = self.operators[operator].under_way.keys().copied().collect();
-        for number in orders {
-            let Some(order) = self.operators[operator].under_way.get_mut(&number) else {
+        let now = self.cluster.now;
+        let commands: Vec<u64> = self.operators[operator].pending.keys().copied().collect();
+        for number in commands {
+            let Some(command) = self.operators[operator].pending.get_mut(&number) else {
                 continue;
             };
-            match order.open {
+            match command.open {
                 Some((attempt, since)) if now >= since + SILENCE_MS => {
-                    order.later(now);
-                    self.note(OPERATORS[operator], Saw::GaveUp { attempt });
+                    command.later(now);
+                    self.record(OPERATORS[operator], Observation::RequestTimedOut { attempt });
                 }
-                None if now >= order.next_at => self.send(operator, number),
+                None if now >= command.next_at => self.send(operator, number),
                 _ => {}
             }
         }
     }
 
     fn send(&mut self, operator: usize, number: u64) {
-        let now = self.world.now;
+        let now = self.cluster.now;
         let any = self.rng.gen_range(0..self.machines.len() as u8);
         let any = self.machine(any);
         self.attempts += 1;
         let attempt = self.attempts;
-        let Some(order) = self.operators[operator].under_way.get_mut(&number) else {
+        let Some(command) = self.operators[operator].pending.get_mut(&number) else {
             return;
         };
-        let again = order.open.is_none() && order.first_to.is_none();
-        let Some(to) = order.first_to.take().or(any) else {
+        let is_resent = command.open.is_none() && command.first_to.is_none();
+        let Some(to) = command.first_to.take().or(any) else {
             return;
         };
-        self.reached.resends += u64::from(again);
-        order.open = Some((attempt, now));
-        let travels = Order {
+        self.coverage.resends += u64::from(is_resent);
+        command.open = Some((attempt, now));
+        let travels = RoutedCommand {
             number,
             attempt,
-            request: order.request.clone(),
-            body: order.body.clone(),
+            request: command.request.clone(),
+            body: command.body.clone(),
             tag: None,
         };
-        let request = order.request.clone();
-        let saw = Saw::Sent {
-            order: number,
+        let request = command.request.clone();
+        let observation = Observation::Sent {
+            command: number,
             attempt,
             to: to.clone(),
             request,
         };
-        self.note(OPERATORS[operator], saw);
+        self.record(OPERATORS[operator], observation);
         let at = now + self.rng.gen_range(1..20);
-        let up = self.world.nodes.get(&to).is_some_and(|n| n.life.is_some());
+        let up = self.cluster.nodes.get(&to).is_some_and(|n| n.process.is_some());
         if !up {
-            self.flights.push((at + 10, Flight::Failed { attempt }));
+            self.in_flight.push((at + 10, InFlight::Failed { attempt }));
         } else if !self.chance() {
-            let life = self.life(&to);
-            let order = travels;
-            self.flights.push((at, Flight::Request { to, life, order }));
+            let process = self.process(&to);
+            let command = travels;
+            self.in_flight
+                .push((at, InFlight::Request { to, process, command }));
         }
     }
 
     /// A reply, or word that the connection failed, reaches an operator.
     fn heard(&mut self, attempt: u64, reply: Option<Reply>) {
-        let now = self.world.now;
+        let now = self.cluster.now;
         for (operator, name) in OPERATORS.iter().enumerate() {
-            let me = &mut self.operators[operator];
-            let mut all = me.under_way.iter_mut();
-            let Some((number, order)) = all.find(|(_, o)| o.open.is_some_and(|(a, _)| a == attempt)) else {
+            let state = &mut self.operators[operator];
+            let mut all = state.pending.iter_mut();
+            let Some((number, command)) = all.find(|(_, o)| o.open.is_some_and(|(a, _)| a == attempt)) else {
                 continue;
             };
             let number = *number;
             let Some(reply) = &reply else {
-                order.later(now);
+                command.later(now);
                 continue;
             };
             match reply.status {
                 200 | 400 | 404 | 412 => {
-                    match (&order.request, reply.status, reply.read) {
+                    match (&command.request, reply.status, reply.read) {
                         (Request::Replace { content, .. }, 200, _) => {
-                            me.known.insert(content.version);
-                            self.reached.acknowledged += 1;
+                            state.known.insert(content.version);
+                            self.coverage.acknowledged += 1;
                         }
                         (Request::Read, _, Some((version, _))) => {
-                            me.known.insert(version);
+                            state.known.insert(version);
                         }
-                        (_, 400 | 412, _) => self.reached.refusals += 1,
+                        (_, 400 | 412, _) => self.coverage.refusals += 1,
                         _ => {}
                     }
-                    me.under_way.remove(&number);
+                    state.pending.remove(&number);
                 }
-                _ => order.later(now),
+                _ => command.later(now),
             }
-            let (reply, follow) = (reply.clone(), reply.status == 307);
-            if let (true, Some(order)) = (follow, self.operators[operator].under_way.get_mut(&number)) {
+            let (reply, is_redirected) = (reply.clone(), reply.status == 307);
+            if let (true, Some(command)) = (is_redirected, self.operators[operator].pending.get_mut(&number))
+            {
                 // It names nodes that may know better: on to one of them at once.
-                order.hops += 1;
-                if order.hops <= HOPS {
-                    order.next_at = now;
+                command.hops += 1;
+                if command.hops <= HOPS {
+                    command.next_at = now;
                 } else {
-                    order.hops = 0;
+                    command.hops = 0;
                 }
             }
-            self.note(name, Saw::Heard { attempt, reply });
+            self.record(name, Observation::ReplyReceived { attempt, reply });
         }
     }
 
@@ -730,14 +752,14 @@
         let present: Vec<&String> = self
             .machines
             .iter()
-            .filter(|n| self.world.nodes.contains_key(*n))
+            .filter(|n| self.cluster.nodes.contains_key(*n))
             .collect();
         (!present.is_empty()).then(|| present[number as usize % present.len()].clone())
     }
 
     fn is_lost(&self, name: &str) -> bool {
         self.troubles.get(name).is_some_and(|n| *n > 0)
-            || self.lost.get(name).is_some_and(|until| self.world.now < *until)
+            || self.lost.get(name).is_some_and(|until| self.cluster.now < *until)
     }
 
     /// Whether losing these disks now is within what may be lost at once: one
@@ -746,7 +768,7 @@
         let mut lost: BTreeSet<&String> = names.iter().collect();
         let counts = |n: &&String| self.has_disk(n) && self.is_lost(n);
         lost.extend(self.machines.iter().filter(counts));
-        let region = |n: &&String| self.world.nodes.get(*n).map(|n| n.region.clone());
+        let region = |n: &&String| self.cluster.nodes.get(*n).map(|n| n.region.clone());
         let mut regions: BTreeSet<Option<String>> = lost.iter().map(region).collect();
         // A machine that is gone counts until its successor has caught up.
         regions.extend(self.awaited.values().cloned().map(Some));
@@ -775,15 +797,15 @@
         if let Some(n) = self.troubles.get_mut(name) {
             *n = n.saturating_sub(1);
         }
-        self.lost.insert(name.into(), self.world.now + CATCH_UP_MS);
+        self.lost.insert(name.into(), self.cluster.now + CATCH_UP_MS);
     }
 
     fn is_up(&self, name: &str) -> bool {
-        self.world.nodes.get(name).is_some_and(|n| n.life.is_some())
+        self.cluster.nodes.get(name).is_some_and(|n| n.process.is_some())
     }
 
-    fn later(&mut self, ms: u64, end: End) {
-        self.ends.push((self.world.now + ms, end));
+    fn schedule(&mut self, ms: u64, event: ScheduledEvent) {
+        self.scheduled.push((self.cluster.now + ms, event));
     }
 
     /// Ends a process that runs; it starts again after a pause.
@@ -791,105 +813,105 @@
         if !self.is_up(name) {
             return;
         }
-        let life = self.life(name);
+        let process = self.process(name);
         match how {
-            "killed" => self.world.end(name, false),
-            "power lost" => self.world.end(name, true),
+            "killed" => self.cluster.end(name, false),
+            "power lost" => self.cluster.end(name, true),
             _ => {
-                self.world.wipe(name);
-                self.reached.wipes += 1;
+                self.cluster.wipe(name);
+                self.coverage.wipes += 1;
                 self.wiped.insert(name.into());
                 self.synced.remove(name);
             }
         }
-        self.fronts.remove(name);
-        self.note(name, Saw::LifeEnded { life, how });
+        self.handlers.remove(name);
+        self.record(name, Observation::ProcessEnded { process, how });
         self.trouble(name);
         // A process that stood still stands still no more once it is gone.
-        self.world.frozen.remove(name);
-        self.later(pause, End::Start(name.into()));
+        self.cluster.frozen.remove(name);
+        self.schedule(pause, ScheduledEvent::Start(name.into()));
     }
 
-    fn end(&mut self, end: End) {
-        match end {
-            End::Start(name) => {
-                if self.world.nodes.contains_key(&name) {
-                    self.world.start(&name);
+    fn on_scheduled(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Start(name) => {
+                if self.cluster.nodes.contains_key(&name) {
+                    self.cluster.start(&name);
                     self.began(&name);
                     self.is_over(&name);
                 }
             }
-            End::Thaw(name) => {
-                self.world.frozen.remove(&name);
-                self.note(
+            ScheduledEvent::Thaw(name) => {
+                self.cluster.frozen.remove(&name);
+                self.record(
                     &name,
-                    Saw::Trouble {
+                    Observation::FaultInjected {
                         what: "thawed".into(),
                     },
                 );
                 self.is_over(&name);
             }
-            End::Kill(name, pause) => self.stop(&name, "killed", pause),
-            End::Gone(name, pause) => self.remove(&name, pause),
-            End::Join(name, region) => {
+            ScheduledEvent::Kill(name, pause) => self.stop(&name, "killed", pause),
+            ScheduledEvent::Gone(name, pause) => self.remove(&name, pause),
+            ScheduledEvent::Join(name, region) => {
                 self.awaited.remove(&name);
                 self.wiped.insert(name.clone());
                 self.add(&name, &region, true, false);
                 self.is_over(&name);
             }
-            End::Mend(links, counted) => {
+            ScheduledEvent::Mend(links, counted) => {
                 for link in links {
-                    self.world.cuts.remove(&link);
+                    self.cluster.blocked_links.remove(&link);
                     let (to, carries) = (link.1, true);
-                    self.note(&link.0, Saw::Link { to, carries });
+                    self.record(&link.0, Observation::Link { to, carries });
                 }
                 for name in counted {
                     self.is_over(&name);
                 }
             }
-            End::Well(name) => {
-                if let Some(disk) = self.world.nodes.get_mut(&name).and_then(|n| n.disk.as_mut()) {
+            ScheduledEvent::Well(name) => {
+                if let Some(disk) = self.cluster.nodes.get_mut(&name).and_then(|n| n.disk.as_mut()) {
                     (disk.slow_ms, disk.stuck) = (0, false);
                 }
-                self.note(
+                self.record(
                     &name,
-                    Saw::Trouble {
+                    Observation::FaultInjected {
                         what: "disk well".into(),
                     },
                 );
                 self.is_over(&name);
             }
-            End::Lossless => self.lossy = 0,
+            ScheduledEvent::Lossless => self.lossy = 0,
         }
     }
 
     /// Cuts links for a time, in which some machines count as lost.
-    fn cut(&mut self, links: Vec<(String, String)>, counted: Vec<String>, long: u64) {
+    fn cut(&mut self, links: Vec<(String, String)>, counted: Vec<String>, duration_ms: u64) {
         // A link that is cut already stays with the first cut.
         let new: Vec<(String, String)> = links
             .into_iter()
-            .filter(|l| self.world.cuts.insert(l.clone()))
+            .filter(|l| self.cluster.blocked_links.insert(l.clone()))
             .collect();
         for (a, b) in &new {
             let (to, carries) = (b.clone(), false);
-            self.note(a, Saw::Link { to, carries });
+            self.record(a, Observation::Link { to, carries });
         }
         for name in &counted {
             self.trouble(name);
         }
-        self.later(long, End::Mend(new, counted));
+        self.schedule(duration_ms, ScheduledEvent::Mend(new, counted));
     }
 
     fn strike(&mut self, fault: Fault) {
-        let of = |run: &Run, who: u8| run.machine(who);
+        let of = |run: &Exploration, number: u8| run.machine(number);
         match fault {
-            Fault::Kill { who, pause } | Fault::Power { who, pause } => {
+            Fault::Kill { target, pause } | Fault::Power { target, pause } => {
                 let how = if matches!(fault, Fault::Kill { .. }) {
                     "killed"
                 } else {
                     "power lost"
                 };
-                if let Some(name) = of(self, who) {
+                if let Some(name) = of(self, target) {
                     self.stop(&name, how, pause);
                 }
             }
@@ -899,8 +921,8 @@
                     self.stop(&name, how, pause);
                 }
             }
-            Fault::Wipe { who, pause } | Fault::WipeAndAll { who, pause } => {
-                let Some(name) = of(self, who).filter(|n| self.has_disk(n) && self.is_up(n)) else {
+            Fault::Wipe { target, pause } | Fault::WipeAndAll { target, pause } => {
+                let Some(name) = of(self, target).filter(|n| self.has_disk(n) && self.is_up(n)) else {
                     return;
                 };
                 if !self.may_lose(std::slice::from_ref(&name)) {
@@ -917,63 +939,78 @@
                 region: number,
                 pause,
             } => {
-                let lies = |n: &&String| {
-                    let node = self.world.nodes.get(*n);
+                let is_there = |n: &&String| {
+                    let node = self.cluster.nodes.get(*n);
                     node.is_some_and(|n| n.region == region(number) && n.disk.is_some())
                 };
-                let names: Vec<String> = self.machines.iter().filter(lies).cloned().collect();
+                let names: Vec<String> = self.machines.iter().filter(is_there).cloned().collect();
                 if self.may_lose(&names) {
                     for name in names {
                         self.stop(&name, "disk lost", pause);
                     }
                 }
             }
-            Fault::Cut { a, b, way, long } => {
+            Fault::Cut {
+                a,
+                b,
+                way,
+                duration_ms,
+            } => {
                 let (Some(a), Some(b)) = (of(self, a), of(self, b)) else {
                     return;
                 };
                 if a != b {
                     let mut links = vec![(a.clone(), b.clone())];
-                    if way == Way::Both {
+                    if way == Direction::Both {
                         links.push((b.clone(), a.clone()));
                     }
-                    self.cut(links, vec![a, b], long);
+                    self.cut(links, vec![a, b], duration_ms);
                 }
             }
-            Fault::Isolate { who, way, long } => {
-                let Some(name) = of(self, who) else { return };
-                self.cut_off(&BTreeSet::from([name]), way, long);
+            Fault::Isolate {
+                target,
+                way,
+                duration_ms,
+            } => {
+                let Some(name) = of(self, target) else { return };
+                self.cut_off(&BTreeSet::from([name]), way, duration_ms);
             }
-            Fault::Split { region: number, long } => {
-                let lies = |n: &&String| {
-                    self.world
+            Fault::Split {
+                region: number,
+                duration_ms,
+            } => {
+                let is_there = |n: &&String| {
+                    self.cluster
                         .nodes
                         .get(*n)
                         .is_some_and(|n| n.region == region(number))
                 };
-                let names: BTreeSet<String> = self.machines.iter().filter(lies).cloned().collect();
-                self.cut_off(&names, Way::Both, long);
+                let names: BTreeSet<String> = self.machines.iter().filter(is_there).cloned().collect();
+                self.cut_off(&names, Direction::Both, duration_ms);
             }
-            Fault::Freeze { who, long } => {
-                let Some(name) = of(self, who).filter(|n| self.is_up(n)) else {
+            Fault::Freeze { target, duration_ms } => {
+                let Some(name) = of(self, target).filter(|n| self.is_up(n)) else {
                     return;
                 };
-                if self.world.frozen.insert(name.clone()) {
-                    self.note(
+                if self.cluster.frozen.insert(name.clone()) {
+                    self.record(
                         &name,
-                        Saw::Trouble {
+                        Observation::FaultInjected {
                             what: "frozen".into(),
                         },
                     );
                     self.trouble(&name);
-                    self.later(long, End::Thaw(name));
+                    self.schedule(duration_ms, ScheduledEvent::Thaw(name));
                 }
             }
-            Fault::SlowDisk { who, long, .. } | Fault::StuckDisk { who, long } => {
-                let Some(name) = of(self, who).filter(|n| self.has_disk(n)) else {
+            Fault::SlowDisk {
+                target, duration_ms, ..
+            }
+            | Fault::StuckDisk { target, duration_ms } => {
+                let Some(name) = of(self, target).filter(|n| self.has_disk(n)) else {
                     return;
                 };
-                let Some(disk) = self.world.nodes.get_mut(&name).and_then(|n| n.disk.as_mut()) else {
+                let Some(disk) = self.cluster.nodes.get_mut(&name).and_then(|n| n.disk.as_mut()) else {
                     return;
                 };
                 let what = match fault {
@@ -986,36 +1023,40 @@
                         "disk stuck".into()
                     }
                 };
-                self.note(&name, Saw::Trouble { what });
+                self.record(&name, Observation::FaultInjected { what });
                 self.trouble(&name);
-                self.later(long, End::Well(name));
+                self.schedule(duration_ms, ScheduledEvent::Well(name));
             }
             Fault::Reset { a, b } => {
                 let (Some(a), Some(b)) = (of(self, a), of(self, b)) else {
                     return;
                 };
-                self.world.reset(&a, &b);
+                self.cluster.reset(&a, &b);
                 let between = |x: &str, y: &str| x == a && y == b || x == b && y == a;
-                self.flights.retain(|(_, f)| match f {
-                    Flight::Call { from, to, .. } => !between(from, to),
+                self.in_flight.retain(|(_, f)| match f {
+                    InFlight::Call { from, to, .. } => !between(from, to),
                     _ => true,
                 });
                 let what = format!("connections to {b} reset");
-                self.note(&a, Saw::Trouble { what });
+                self.record(&a, Observation::FaultInjected { what });
             }
-            Fault::Replace { who, told, pause } => {
-                let Some(name) = of(self, who).filter(|n| self.has_disk(n)) else {
+            Fault::Replace {
+                target,
+                graceful,
+                pause,
+            } => {
+                let Some(name) = of(self, target).filter(|n| self.has_disk(n)) else {
                     return;
                 };
-                if told {
-                    self.tell_to_end(&name, End::Gone(name.clone(), pause));
+                if graceful {
+                    self.begin_shutdown(&name, ScheduledEvent::Gone(name.clone(), pause));
                 } else {
-                    self.end(End::Gone(name, pause));
+                    self.on_scheduled(ScheduledEvent::Gone(name, pause));
                 }
             }
-            Fault::Restart { who, pause } => {
-                if let Some(name) = of(self, who) {
-                    self.tell_to_end(&name, End::Kill(name.clone(), pause));
+            Fault::Restart { target, pause } => {
+                if let Some(name) = of(self, target) {
+                    self.begin_shutdown(&name, ScheduledEvent::Kill(name.clone(), pause));
                 }
             }
             Fault::Join { region: number } => {
@@ -1028,21 +1069,21 @@
             }
             Fault::Fill { count } => {
                 let leader = self
-                    .world
+                    .cluster
                     .leader_name()
-                    .and_then(|n| self.world.nodes.get_mut(&n));
-                let Some(life) = leader.and_then(|n| n.life.as_mut()) else {
+                    .and_then(|n| self.cluster.nodes.get_mut(&n));
+                let Some(process) = leader.and_then(|n| n.process.as_mut()) else {
                     return;
                 };
                 for i in 0..count {
                     let workers = vec![format!("b{i}")];
                     let change = ChangeKind::Ejections(EjectionChange { workers });
-                    life.raft.propose(Change::encode(change));
+                    process.raft.propose(Change::encode(change));
                 }
             }
-            Fault::Worker { who, what } => {
-                let count = self.world.workers.len();
-                match self.world.workers.get_mut(&format!("w{who}")) {
+            Fault::Worker { target, what } => {
+                let count = self.cluster.workers.len();
+                match self.cluster.workers.get_mut(&format!("w{target}")) {
                     // What starts is somebody else and holds nothing.
                     _ if what == 2 && (1..6).contains(&count) => self.worker(&format!("w{count}")),
                     Some(worker) if what == 0 => worker.up = false,
@@ -1050,24 +1091,27 @@
                     _ => {}
                 }
             }
-            Fault::Lossy { of_hundred, long } => {
+            Fault::Lossy {
+                of_hundred,
+                duration_ms,
+            } => {
                 self.lossy = of_hundred;
                 let what = format!("{of_hundred} of a hundred calls lost");
-                self.note("world", Saw::Trouble { what });
-                self.later(long, End::Lossless);
+                self.record("world", Observation::FaultInjected { what });
+                self.schedule(duration_ms, ScheduledEvent::Lossless);
             }
         }
     }
 
     /// Tells a process to end, and ends it when half of its grace period is over.
-    fn tell_to_end(&mut self, name: &str, end: End) {
-        let Some(life) = self.world.nodes.get_mut(name).and_then(|n| n.life.as_mut()) else {
+    fn begin_shutdown(&mut self, name: &str, event: ScheduledEvent) {
+        let Some(process) = self.cluster.nodes.get_mut(name).and_then(|n| n.process.as_mut()) else {
             return;
         };
-        life.leaving = true;
+        process.shutting_down = true;
         let what = "told to end".into();
-        self.note(name, Saw::Trouble { what });
-        self.later(GRACE_MS, end);
+        self.record(name, Observation::FaultInjected { what });
+        self.schedule(GRACE_MS, event);
     }
 
     /// Removes a machine for good, if that is within what may be lost; a successor
@@ -1076,27 +1120,27 @@
         if self.joined >= 3 || !self.has_disk(name) || !self.may_lose(&[name.to_string()]) {
             return self.stop(name, "killed", pause);
         }
-        let region = self.world.nodes[name].region.clone();
+        let region = self.cluster.nodes[name].region.clone();
         if self.is_up(name) {
             self.stop(name, "disk lost", pause);
         }
-        self.world.nodes.remove(name);
+        self.cluster.nodes.remove(name);
         self.synced.remove(name);
         let what = "gone for good".into();
-        self.note(name, Saw::Trouble { what });
+        self.record(name, Observation::FaultInjected { what });
         self.joined += 1;
         let next = format!("j{}", self.joined);
         self.awaited.insert(next.clone(), region.clone());
         self.machines.retain(|n| n != name);
-        self.later(pause, End::Join(next, region));
+        self.schedule(pause, ScheduledEvent::Join(next, region));
     }
 
     fn has_disk(&self, name: &str) -> bool {
-        self.world.nodes.get(name).is_some_and(|n| n.disk.is_some())
+        self.cluster.nodes.get(name).is_some_and(|n| n.disk.is_some())
     }
 
     /// Cuts some machines off from all others.
-    fn cut_off(&mut self, names: &BTreeSet<String>, way: Way, long: u64) {
+    fn cut_off(&mut self, names: &BTreeSet<String>, way: Direction, duration_ms: u64) {
         let others: Vec<String> = self
             .machines
             .iter()
@@ -1105,19 +1149,19 @@
             .collect();
         let mut links = Vec::new();
         for (name, other) in names.iter().flat_map(|n| others.iter().map(move |o| (n, o))) {
-            if way != Way::In {
+            if way != Direction::In {
                 links.push((name.clone(), other.clone()));
             }
-            if way != Way::Out {
+            if way != Direction::Out {
                 links.push((other.clone(), name.clone()));
             }
         }
         // Who is cut off counts as lost, those on the other side do not.
-        self.cut(links, names.iter().cloned().collect(), long);
+        self.cut(links, names.iter().cloned().collect(), duration_ms);
     }
 }
 
-impl UnderWay {
+impl PendingRequest {
     /// Tries again after a pause that grows.
     fn later(&mut self, now: u64) {
         self.open = None;
@@ -1128,12 +1172,12 @@
 
 /// What a node's copy holds.
 fn replica(node: &Node, contents: &BTreeMap<(u64, u64), Content>) -> Replica {
-    let Some(life) = &node.life else {
+    let Some(process) = &node.process else {
         return Replica::default();
     };
-    let stage = &life.stage;
-    let version = stage.version();
-    let body = digest(&stage.configuration_body);
+    let state = &process.state;
+    let version = state.version();
+    let body = digest(&state.configuration_body);
     let content = (version > 0).then(|| {
         contents.get(&(version, body)).copied().unwrap_or(Content {
             base: 0,
@@ -1141,11 +1185,11 @@
             digest: body,
         })
     });
-    let evacuated = stage.evacuated.clone();
-    let ledger = prost::Message::encode_to_vec(&stage.command_history.image());
+    let evacuated = state.evacuated.clone();
+    let ledger = prost::Message::encode_to_vec(&state.command_history.image());
     let digest = digest(format!("{content:?} {evacuated:?} {ledger:?}").as_bytes());
     Replica {
-        index: stage.index,
+        index: state.index,
         digest,
         content,
         evacuated,
@@ -1156,15 +1200,15 @@
 const DISKS: usize = 2;
 
 /// Plays a plan and judges it: what was reached, what is wrong, and what was seen.
-pub fn verdict(plan: &Plan, mutant: Mutant) -> (Reached, Vec<String>, History) {
-    let played = play(plan, mutant);
-    let promise = Promise {
+pub fn run_and_check(plan: &Plan, mutant: Mutant) -> (Coverage, Vec<String>, History) {
+    let outcome = run_plan(plan, mutant);
+    let guarantees = Guarantees {
         disks: DISKS,
-        calm_from: Some(played.calm_from),
+        calm_from: Some(outcome.calm_from),
         alike_ms: REPEATED_COMMAND_MS,
     };
-    let violations = judge(&played.history, promise);
-    let wrong = played.wrong.into_iter().take(1);
-    let wrong = wrong.chain(violations.iter().map(ToString::to_string));
-    (played.reached, wrong.collect(), played.history)
+    let first = outcome.violations.into_iter().take(1);
+    let found = check_history(&outcome.history, guarantees);
+    let violations = first.chain(found.iter().map(ToString::to_string));
+    (outcome.coverage, violations.collect(), outcome.history)
 }
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -51,35 +51,35 @@
 
 /// One thing that somebody saw.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Saw {
+pub enum Observation {
     /// An operator sends an order, or the same order again, to a node.
     Sent {
-        order: u64,
+        command: u64,
         attempt: u64,
         to: String,
         request: Request,
     },
     /// An operator gets a reply to an attempt.
-    Heard { attempt: u64, reply: Reply },
+    ReplyReceived { attempt: u64, reply: Reply },
     /// An operator waits for an attempt no longer. What became of it is unknown.
-    GaveUp { attempt: u64 },
+    RequestTimedOut { attempt: u64 },
     /// A process began; lives of one node are numbered.
-    LifeBegan { life: u64 },
+    ProcessStarted { process: u64 },
     /// It ended: killed, or its power lost, or its disk too.
-    LifeEnded { life: u64, how: &'static str },
+    ProcessEnded { process: u64, how: &'static str },
     /// It leads from now on.
-    Leads { life: u64, term: u64 },
+    Leads { process: u64, term: u64 },
     /// As leader it has these voters committed, by their addresses.
-    Roll { voters: Vec<String> },
+    Membership { voters: Vec<String> },
     /// It sends a reply to an attempt.
-    Replied { attempt: u64, status: u16 },
+    ReplySent { attempt: u64, status: u16 },
     /// It has applied the log up to an index.
-    Applied { life: u64, replica: Replica },
+    Applied { process: u64, replica: Replica },
     /// It has applied one order, and whether that changed anything.
     Effect {
-        life: u64,
+        process: u64,
         index: u64,
-        order: u64,
+        command: u64,
         /// The attempt that brought it into the log.
         attempt: u64,
         changed: bool,
@@ -89,14 +89,14 @@
     /// A link stops, or starts, to carry what one node sends another.
     Link { to: String, carries: bool },
     /// A worker takes keys until a time, or gives them back (`until` is now).
-    Holds {
+    KeysHeld {
         from: u32,
         to: u32,
         fence: u64,
         until: u64,
     },
     /// What was done to somebody; for the reader only.
-    Trouble { what: String },
+    FaultInjected { what: String },
 }
 
 /// A node's copy of the control state at an index.
@@ -115,8 +115,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
     pub at: u64,
-    pub who: String,
-    pub saw: Saw,
+    pub observer: String,
+    pub observation: Observation,
 }
 
 /// All that was seen, ordered by time; at equal times, by who wrote first.
@@ -126,9 +126,13 @@
 }
 
 impl History {
-    pub fn note(&mut self, at: u64, who: &str, saw: Saw) {
-        let who = who.to_string();
-        self.events.push(Event { at, who, saw });
+    pub fn record(&mut self, at: u64, observer: &str, observation: Observation) {
+        let observer = observer.to_string();
+        self.events.push(Event {
+            at,
+            observer,
+            observation,
+        });
     }
 
     /// The history for a person to read: without what disks report, and of what copies
@@ -139,12 +143,12 @@
         let mut shown: BTreeSet<(u64, u64)> = BTreeSet::new();
         let mut last: BTreeMap<&str, (Option<Content>, &BTreeMap<String, u32>)> = BTreeMap::new();
         for event in &self.events {
-            match &event.saw {
-                Saw::Synced { .. } => continue,
-                Saw::Effect { index, order, .. } if !shown.insert((*index, *order)) => continue,
-                Saw::Applied { replica, .. } => {
+            match &event.observation {
+                Observation::Synced { .. } => continue,
+                Observation::Effect { index, command, .. } if !shown.insert((*index, *command)) => continue,
+                Observation::Applied { replica, .. } => {
                     let now = (replica.content, &replica.evacuated);
-                    let same = last.insert(&event.who, now) == Some(now);
+                    let same = last.insert(&event.observer, now) == Some(now);
                     if same || !shown.insert((replica.index, u64::MAX)) {
                         continue;
                     }
@@ -184,15 +188,15 @@
 
 impl fmt::Display for Event {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:>7} {:<10} ", self.at, self.who)?;
-        match &self.saw {
-            Saw::Sent {
-                order,
+        write!(f, "{:>7} {:<10} ", self.at, self.observer)?;
+        match &self.observation {
+            Observation::Sent {
+                command,
                 attempt,
                 to,
                 request,
-            } => write!(f, "sends order {order} to {to} as attempt {attempt}: {request}"),
-            Saw::Heard { attempt, reply } => {
+            } => write!(f, "sends order {command} to {to} as attempt {attempt}: {request}"),
+            Observation::ReplyReceived { attempt, reply } => {
                 write!(f, "hears {} to attempt {attempt}", reply.status)?;
                 if reply.made_for != *attempt {
                     write!(f, ", made for attempt {}", reply.made_for)?;
@@ -202,13 +206,13 @@
                     None => Ok(()),
                 }
             }
-            Saw::GaveUp { attempt } => write!(f, "waits for attempt {attempt} no longer"),
-            Saw::LifeBegan { life } => write!(f, "starts, life {life}"),
-            Saw::LifeEnded { life, how } => write!(f, "ends life {life}: {how}"),
-            Saw::Leads { life, term } => write!(f, "leads in term {term}, life {life}"),
-            Saw::Roll { voters } => write!(f, "has the voters {}", voters.join(" ")),
-            Saw::Replied { attempt, status } => write!(f, "replies {status} to attempt {attempt}"),
-            Saw::Applied { replica, .. } => {
+            Observation::RequestTimedOut { attempt } => write!(f, "waits for attempt {attempt} no longer"),
+            Observation::ProcessStarted { process } => write!(f, "starts, life {process}"),
+            Observation::ProcessEnded { process, how } => write!(f, "ends life {process}: {how}"),
+            Observation::Leads { process, term } => write!(f, "leads in term {term}, life {process}"),
+            Observation::Membership { voters } => write!(f, "has the voters {}", voters.join(" ")),
+            Observation::ReplySent { attempt, status } => write!(f, "replies {status} to attempt {attempt}"),
+            Observation::Applied { replica, .. } => {
                 write!(f, "stands at index {}", replica.index)?;
                 if let Some(content) = replica.content {
                     write!(f, ", version {content}")?;
@@ -218,27 +222,27 @@
                 }
                 Ok(())
             }
-            Saw::Effect {
+            Observation::Effect {
                 index,
-                order,
+                command,
                 attempt,
                 changed,
                 ..
             } => write!(
                 f,
-                "applies order {order} of attempt {attempt} at index {index}: {}",
+                "applies order {command} of attempt {attempt} at index {index}: {}",
                 if *changed { "changed" } else { "no change" }
             ),
-            Saw::Synced { index } => write!(f, "disk holds up to index {index}"),
-            Saw::Link { to, carries: true } => write!(f, "reaches {to} again"),
-            Saw::Link { to, .. } => write!(f, "no longer reaches {to}"),
-            Saw::Holds {
+            Observation::Synced { index } => write!(f, "disk holds up to index {index}"),
+            Observation::Link { to, carries: true } => write!(f, "reaches {to} again"),
+            Observation::Link { to, .. } => write!(f, "no longer reaches {to}"),
+            Observation::KeysHeld {
                 from,
                 to,
                 fence,
                 until,
             } => write!(f, "holds keys {from} to {to} until {until}, fence {fence}"),
-            Saw::Trouble { what } => write!(f, "-- {what}"),
+            Observation::FaultInjected { what } => write!(f, "-- {what}"),
         }
     }
 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,15 +1,18 @@
-//! The protocol logic of pebblepond on simulated time, network and
-//! disks, told what to do by scenarios in small text files. Whatever a scenario
-//! does, a few things must hold at every moment; see [`world::World::check`]. What
-//! everybody saw of a run is judged by [`checker`].
+//! The protocol logic of pebblepond on simulated time, network and disks.
+//!
+//! - [`cluster`] is the simulated system; [`cluster::Cluster::check`] holds at every moment;
+//! - [`scenario`] runs small text files of steps on it;
+//! - [`plan`] draws random plans of faults and operator requests, [`exploration`] runs them;
+//! - [`history`] is what everybody observed of such a run, and [`checker`] says whether it can be
+//!   explained by what the system guarantees.
 
 pub mod checker;
+pub mod cluster;
+pub mod command_handler;
 pub mod disk;
-pub mod faults;
-pub mod front;
+pub mod exploration;
 pub mod history;
 pub mod node;
-pub mod run;
-pub mod script;
-pub mod workers;
-pub mod world;
+pub mod plan;
+pub mod scenario;
+pub mod worker;
--- a/crates/simulation/src/node.rs
+++ b/crates/simulation/src/node.rs
@@ -25,9 +25,9 @@
 type Held = (u64, Vec<raft::Message>, LogPosition);
 
 /// A running process.
-pub struct Life {
+pub struct Process {
     pub raft: RaftNode,
-    pub stage: ControlState,
+    pub state: ControlState,
     pub ownership: OwnershipManager,
     pub ownership_since: Option<u64>,
     pub next_poll: u64,
@@ -39,18 +39,18 @@
     done: u64,
     written_at: u64,
     waiting: VecDeque<Held>,
-    pub orders: Vec<Pending>,
-    pub following: UpstreamSelector,
+    pub commands: Vec<PendingCommand>,
+    pub upstream_selector: UpstreamSelector,
     /// It has been told to end.
-    pub leaving: bool,
+    pub shutting_down: bool,
 }
 
 /// An order of the operator that waits in the log.
-pub struct Pending {
+pub struct PendingCommand {
     pub name: String,
     pub index: u64,
     pub term: u64,
-    pub order: ConfigurationCommand,
+    pub command: ConfigurationCommand,
 }
 
 pub struct Node {
@@ -58,13 +58,13 @@
     pub region: String,
     pub address: String,
     pub disk: Option<Disk>,
-    pub life: Option<Life>,
-    pub fresh: bool,
+    pub process: Option<Process>,
+    pub is_new_system: bool,
 }
 
 /// What a node did in one step.
 #[derive(Default)]
-pub struct Did {
+pub struct StepResult {
     pub sent: Vec<raft::Message>,
     /// Orders settled: name, order, outcome.
     pub settled: Vec<(String, ConfigurationCommand, Option<Outcome>)>,
@@ -75,12 +75,12 @@
     /// It took its state from a snapshot.
     pub installed: bool,
     /// It serves what is older than was acknowledged.
-    pub wrong: Option<String>,
+    pub violations: Option<String>,
 }
 
 impl Node {
     pub fn id(&self) -> u64 {
-        self.life.as_ref().map_or(0, |l| l.raft.id())
+        self.process.as_ref().map_or(0, |l| l.raft.id())
     }
 
     pub fn start(&mut self, now: u64, id: u64, acked: u64) {
@@ -93,13 +93,13 @@
             }
             None => (id, raft::PersistentState::default()),
         };
-        let stage = ControlState::from_snapshot(saved.snapshot.index, &saved.snapshot.data);
-        let stage = stage.expect("the disk gives back what was written");
+        let state = ControlState::from_snapshot(saved.snapshot.index, &saved.snapshot.data);
+        let state = state.expect("the disk gives back what was written");
         let mut raft = RaftNode::new(id, saved, TIMING, now, id);
         raft.set_snapshot_check(ControlState::is_snapshot_readable);
-        self.life = Some(Life {
+        self.process = Some(Process {
             raft,
-            stage,
+            state,
             ownership: OwnershipManager::new(10_000, 300),
             ownership_since: None,
             next_poll: 0,
@@ -110,61 +110,66 @@
             done: 0,
             written_at: 0,
             waiting: VecDeque::new(),
-            orders: Vec::new(),
-            following: UpstreamSelector::default(),
-            leaving: false,
+            commands: Vec::new(),
+            upstream_selector: UpstreamSelector::default(),
+            shutting_down: false,
         });
     }
 
     /// Carries out whatever the agreement wants done by now.
-    pub fn flush(&mut self, now: u64) -> Did {
-        let mut did = Did::default();
-        let Some(life) = &mut self.life else { return did };
+    pub fn flush(&mut self, now: u64) -> StepResult {
+        let mut step_result = StepResult::default();
+        let Some(process) = &mut self.process else {
+            return step_result;
+        };
         if let Some(disk) = &mut self.disk {
             if let Some(seq) = disk.synced(now) {
-                life.done = seq;
-                life.written_at = now;
-                while life.waiting.front().is_some_and(|(s, _, _)| *s <= seq) {
-                    if let Some((_, after, last)) = life.waiting.pop_front() {
-                        did.sent.extend(after);
-                        life.raft.on_persisted(last);
+                process.done = seq;
+                process.written_at = now;
+                while process.waiting.front().is_some_and(|(s, _, _)| *s <= seq) {
+                    if let Some((_, after, last)) = process.waiting.pop_front() {
+                        step_result.sent.extend(after);
+                        process.raft.on_persisted(last);
                     }
                 }
             }
-            let late = life.written > life.done && now - life.written_at > c::DISK_TIMEOUT_MS;
-            life.raft.set_storage_failed(late);
+            let late = process.written > process.done && now - process.written_at > c::DISK_TIMEOUT_MS;
+            process.raft.set_storage_failed(late);
         }
         loop {
-            let ready = life.raft.take_ready();
-            did.sent.extend(ready.messages);
-            let last = life.raft.last_position();
+            let ready = process.raft.take_ready();
+            step_result.sent.extend(ready.messages);
+            let last = process.raft.last_position();
             match &mut self.disk {
                 None => {
-                    did.sent.extend(ready.persisted_messages);
-                    life.raft.on_persisted(last);
+                    step_result.sent.extend(ready.persisted_messages);
+                    process.raft.on_persisted(last);
                 }
                 Some(disk) if !ready.write.is_empty() => {
-                    if life.written == life.done {
-                        life.written_at = now;
+                    if process.written == process.done {
+                        process.written_at = now;
                     }
-                    life.written += 1;
-                    disk.write(now, life.written, ready.write);
-                    life.waiting
-                        .push_back((life.written, ready.persisted_messages, last));
+                    process.written += 1;
+                    disk.write(now, process.written, ready.write);
+                    process
+                        .waiting
+                        .push_back((process.written, ready.persisted_messages, last));
+                }
+                Some(_) if process.written == process.done => {
+                    step_result.sent.extend(ready.persisted_messages)
                 }
-                Some(_) if life.written == life.done => did.sent.extend(ready.persisted_messages),
-                Some(_) => life
+                Some(_) => process
                     .waiting
-                    .push_back((life.written, ready.persisted_messages, last)),
+                    .push_back((process.written, ready.persisted_messages, last)),
             }
-            did.reads.extend(ready.read_states);
+            step_result.reads.extend(ready.read_states);
             if let Some(snapshot) = ready.snapshot {
-                did.installed = true;
-                if snapshot.index > life.stage.index {
-                    let stage = ControlState::from_snapshot(snapshot.index, &snapshot.data);
-                    life.stage = stage.expect("the agreement takes none that cannot be read");
+                step_result.installed = true;
+                if snapshot.index > process.state.index {
+                    let state = ControlState::from_snapshot(snapshot.index, &snapshot.data);
+                    process.state = state.expect("the agreement takes none that cannot be read");
                 }
-                life.raft.on_applied(life.stage.index);
+                process.raft.on_applied(process.state.index);
             }
             if ready.committed_entries.is_empty() {
                 break;
@@ -172,39 +177,41 @@
             for entry in ready.committed_entries {
                 let mut outcome = None;
                 if entry.entry_type == EntryType::Command as i32 {
-                    outcome = Some(life.stage.apply(entry.index, &entry.data));
+                    outcome = Some(process.state.apply(entry.index, &entry.data));
                 } else {
-                    life.stage.index = life.stage.index.max(entry.index);
+                    process.state.index = process.state.index.max(entry.index);
                 }
-                life.raft.on_applied(entry.index);
-                did.applied.push((entry.index, entry.term, outcome.clone()));
-                let (settled, rest) = std::mem::take(&mut life.orders)
+                process.raft.on_applied(entry.index);
+                step_result
+                    .applied
+                    .push((entry.index, entry.term, outcome.clone()));
+                let (settled, rest) = std::mem::take(&mut process.commands)
                     .into_iter()
                     .partition(|o| o.index == entry.index);
-                life.orders = rest;
-                let settled: Vec<Pending> = settled;
+                process.commands = rest;
+                let settled: Vec<PendingCommand> = settled;
                 for o in settled {
-                    let told = if o.term == entry.term {
+                    let reported = if o.term == entry.term {
                         outcome.clone()
                     } else {
                         None
                     };
-                    did.settled.push((o.name, o.order, told));
+                    step_result.settled.push((o.name, o.command, reported));
                 }
             }
         }
         // As the program does it, and sooner where entries are few.
-        let room = c::LOG_MAX_BYTES.max(life.raft.snapshot_bytes());
-        if life.raft.log_len() > 40 || life.raft.log_bytes() > room {
-            life.raft.compact(life.stage.to_snapshot());
+        let room = c::LOG_MAX_BYTES.max(process.raft.snapshot_bytes());
+        if process.raft.log_len() > 40 || process.raft.log_bytes() > room {
+            process.raft.compact(process.state.to_snapshot());
         }
-        if !life.current && life.raft.is_current() {
-            life.current = true;
-            let version = life.stage.version();
-            if version < life.acked_before {
-                did.wrong = Some(format!("{} serves version {version} at {now}", self.name));
+        if !process.current && process.raft.is_current() {
+            process.current = true;
+            let version = process.state.version();
+            if version < process.acked_before {
+                step_result.violations = Some(format!("{} serves version {version} at {now}", self.name));
             }
         }
-        did
+        step_result
     }
 }
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/plan.rs
@@ -7,7 +7,7 @@
 
 /// How a link is cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     Both,
     /// Nothing comes in.
     In,
@@ -21,17 +21,17 @@
 pub enum Fault {
     /// The process is killed and starts again after a pause.
     Kill {
-        who: u8,
+        target: u8,
         pause: u64,
     },
     /// The power is lost: what was not synced may be gone.
     Power {
-        who: u8,
+        target: u8,
         pause: u64,
     },
     /// The disk is lost too.
     Wipe {
-        who: u8,
+        target: u8,
         pause: u64,
     },
     /// All processes are killed, or all lose power, at the same moment.
@@ -41,7 +41,7 @@
     },
     /// One machine loses its disk while all others lose power.
     WipeAndAll {
-        who: u8,
+        target: u8,
         pause: u64,
     },
     /// All machines of a region lose their disks.
@@ -53,34 +53,34 @@
     Cut {
         a: u8,
         b: u8,
-        way: Way,
-        long: u64,
+        way: Direction,
+        duration_ms: u64,
     },
     /// One machine hears no other, is heard by none, or both.
     Isolate {
-        who: u8,
-        way: Way,
-        long: u64,
+        target: u8,
+        way: Direction,
+        duration_ms: u64,
     },
     /// One region is cut off from the others.
     Split {
         region: u8,
-        long: u64,
+        duration_ms: u64,
     },
     /// The process stands still, then goes on with what has queued up.
     Freeze {
-        who: u8,
-        long: u64,
+        target: u8,
+        duration_ms: u64,
     },
     /// Syncs take longer, ms.
     SlowDisk {
-        who: u8,
+        target: u8,
         by: u64,
-        long: u64,
+        duration_ms: u64,
     },
     StuckDisk {
-        who: u8,
-        long: u64,
+        target: u8,
+        duration_ms: u64,
     },
     /// What is on its way between two machines is lost.
     Reset {
@@ -89,13 +89,13 @@
     },
     /// A machine goes for good, told to end before or not; another takes its place.
     Replace {
-        who: u8,
-        told: bool,
+        target: u8,
+        graceful: bool,
         pause: u64,
     },
     /// A process is told to end, ends, and starts again.
     Restart {
-        who: u8,
+        target: u8,
         pause: u64,
     },
     /// Another machine joins.
@@ -108,19 +108,19 @@
     },
     /// A worker ends at once, or drains, or another starts.
     Worker {
-        who: u8,
+        target: u8,
         what: u8,
     },
     /// Calls and answers between nodes are lost, or come twice, of a hundred.
     Lossy {
         of_hundred: u8,
-        long: u64,
+        duration_ms: u64,
     },
 }
 
 /// What an operator does.
 #[derive(Clone, Copy, Debug)]
-pub enum Ask {
+pub enum OperatorRequest {
     /// Sends a new configuration on the newest version it knows, or on an older one.
     Replace {
         older: u8,
@@ -136,16 +136,20 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub enum What {
+pub enum StepAction {
     Fault(Fault),
-    Ask { operator: u8, node: u8, ask: Ask },
+    OperatorRequest {
+        operator: u8,
+        node: u8,
+        ask: OperatorRequest,
+    },
 }
 
 #[derive(Clone, Copy, Debug)]
 pub struct Step {
     /// Pause before it, ms.
     pub after: u64,
-    pub what: What,
+    pub what: StepAction,
 }
 
 /// One random world.
@@ -168,43 +172,47 @@
 const REGIONS: u8 = 3;
 
 fn faults() -> impl Strategy<Value = Fault> {
-    let who = || 0..MACHINES;
+    let target = || 0..MACHINES;
     let region = || 0..REGIONS;
     let pause = || 10..3000u64;
-    let long = || prop_oneof![3 => 50..1500u64, 2 => 1500..6000u64, 1 => 6000..20_000u64];
-    let way = || prop_oneof![2 => Just(Way::Both), 1 => Just(Way::In), 1 => Just(Way::Out)];
+    let duration_ms = || prop_oneof![3 => 50..1500u64, 2 => 1500..6000u64, 1 => 6000..20_000u64];
+    let way = || prop_oneof![2 => Just(Direction::Both), 1 => Just(Direction::In), 1 => Just(Direction::Out)];
     prop_oneof![
-        4 => (who(), pause()).prop_map(|(who, pause)| Fault::Kill { who, pause }),
-        4 => (who(), pause()).prop_map(|(who, pause)| Fault::Power { who, pause }),
-        4 => (who(), pause()).prop_map(|(who, pause)| Fault::Wipe { who, pause }),
+        4 => (target(), pause()).prop_map(|(target, pause)| Fault::Kill { target, pause }),
+        4 => (target(), pause()).prop_map(|(target, pause)| Fault::Power { target, pause }),
+        4 => (target(), pause()).prop_map(|(target, pause)| Fault::Wipe { target, pause }),
         2 => (any::<bool>(), pause()).prop_map(|(power, pause)| Fault::All { power, pause }),
-        1 => (who(), pause()).prop_map(|(who, pause)| Fault::WipeAndAll { who, pause }),
+        1 => (target(), pause()).prop_map(|(target, pause)| Fault::WipeAndAll { target, pause }),
         1 => (region(), pause()).prop_map(|(region, pause)| Fault::WipeRegion { region, pause }),
-        3 => (who(), who(), way(), long()).prop_map(|(a, b, way, long)| Fault::Cut { a, b, way, long }),
-        4 => (who(), way(), long()).prop_map(|(who, way, long)| Fault::Isolate { who, way, long }),
-        1 => (region(), long()).prop_map(|(region, long)| Fault::Split { region, long }),
-        4 => (who(), long()).prop_map(|(who, long)| Fault::Freeze { who, long }),
-        2 => (who(), 50..1500u64, long()).prop_map(|(who, by, long)| Fault::SlowDisk { who, by, long }),
-        2 => (who(), long()).prop_map(|(who, long)| Fault::StuckDisk { who, long }),
-        3 => (who(), who()).prop_map(|(a, b)| Fault::Reset { a, b }),
-        2 => (who(), any::<bool>(), pause()).prop_map(|(who, told, pause)| Fault::Replace { who, told, pause }),
-        2 => (who(), pause()).prop_map(|(who, pause)| Fault::Restart { who, pause }),
+        3 => (target(), target(), way(), duration_ms()).prop_map(|(a, b, way, duration_ms)| Fault::Cut { a, b, way, duration_ms }),
+        4 => (target(), way(), duration_ms()).prop_map(|(target, way, duration_ms)| Fault::Isolate { target, way, duration_ms }),
+        1 => (region(), duration_ms()).prop_map(|(region, duration_ms)| Fault::Split { region, duration_ms }),
+        4 => (target(), duration_ms()).prop_map(|(target, duration_ms)| Fault::Freeze { target, duration_ms }),
+        2 => (target(), 50..1500u64, duration_ms()).prop_map(|(target, by, duration_ms)| Fault::SlowDisk { target, by, duration_ms }),
+        2 => (target(), duration_ms()).prop_map(|(target, duration_ms)| Fault::StuckDisk { target, duration_ms }),
+        3 => (target(), target()).prop_map(|(a, b)| Fault::Reset { a, b }),
+        2 => (target(), any::<bool>(), pause()).prop_map(|(target, graceful, pause)| Fault::Replace { target, graceful, pause }),
+        2 => (target(), pause()).prop_map(|(target, pause)| Fault::Restart { target, pause }),
         1 => region().prop_map(|region| Fault::Join { region }),
         1 => (5..60u8).prop_map(|count| Fault::Fill { count }),
-        1 => (0..3u8, 0..3u8).prop_map(|(who, what)| Fault::Worker { who, what }),
-        1 => (1..40u8, long()).prop_map(|(of_hundred, long)| Fault::Lossy { of_hundred, long }),
+        1 => (0..3u8, 0..3u8).prop_map(|(target, what)| Fault::Worker { target, what }),
+        1 => (1..40u8, duration_ms()).prop_map(|(of_hundred, duration_ms)| Fault::Lossy { of_hundred, duration_ms }),
     ]
 }
 
-fn asks() -> impl Strategy<Value = What> {
+fn asks() -> impl Strategy<Value = StepAction> {
     let ask = prop_oneof![
         8 => (prop_oneof![6 => Just(0u8), 1 => 1..4u8], prop::bool::weighted(0.05))
-            .prop_map(|(older, invalid)| Ask::Replace { older, invalid }),
-        1 => Just(Ask::Twin),
-        2 => (0..2u8, any::<bool>()).prop_map(|(zone, begin)| Ask::Evacuate { zone, begin }),
-        3 => Just(Ask::Read),
+            .prop_map(|(older, invalid)| OperatorRequest::Replace { older, invalid }),
+        1 => Just(OperatorRequest::Twin),
+        2 => (0..2u8, any::<bool>()).prop_map(|(zone, begin)| OperatorRequest::Evacuate { zone, begin }),
+        3 => Just(OperatorRequest::Read),
     ];
-    (0..2u8, 0..MACHINES, ask).prop_map(|(operator, node, ask)| What::Ask { operator, node, ask })
+    (0..2u8, 0..MACHINES, ask).prop_map(|(operator, node, ask)| StepAction::OperatorRequest {
+        operator,
+        node,
+        ask,
+    })
 }
 
 /// Plans with at most so many steps.
@@ -212,7 +220,7 @@
     let after = prop_oneof![3 => 0..40u64, 3 => 40..400u64, 1 => 400..2500u64];
     let what = prop_oneof![
         2 => asks(),
-        1 => faults().prop_map(What::Fault),
+        1 => faults().prop_map(StepAction::Fault),
     ];
     let step = (after, what).prop_map(|(after, what)| Step { after, what });
     (
@@ -232,17 +240,17 @@
 }
 
 /// A plan, and smaller ones on demand.
-pub struct Tree(Box<dyn ValueTree<Value = Plan>>);
+pub struct PlanTree(Box<dyn ValueTree<Value = Plan>>);
 
-impl Tree {
+impl PlanTree {
     /// The plan of a seed: the same in every run of one build.
-    pub fn of_seed(seed: u64, most: usize) -> Result<Tree, String> {
+    pub fn of_seed(seed: u64, most: usize) -> Result<PlanTree, String> {
         let mut bytes = [0u8; 32];
         bytes[..8].copy_from_slice(&seed.to_le_bytes());
         let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &bytes);
         let mut runner = TestRunner::new_with_rng(Config::default(), rng);
         let tree = plans(most).new_tree(&mut runner);
-        tree.map(|t| Tree(Box::new(t))).map_err(|e| e.to_string())
+        tree.map(|t| PlanTree(Box::new(t))).map_err(|e| e.to_string())
     }
 
     pub fn plan(&self) -> Plan {
