--- a/crates/simulation/src/script.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,42 +1,42 @@
-//! Reads and plays scenarios: one line, one step. `#` begins a remark.
+//! Reads and runs scenarios: one line, one step. `#` begins a remark.
 //!
 //! ```text
 //! voters a/r1 b/r1 c/r2      machines with a disk, and their regions
-//! observers x/r1             machines without
+//! learners x/r1              machines without
 //! workers w1 w2              workers of the divided service
 //! run 2000                   lets time pass, in ms
-//! order one 0 3              sends version 3 on top of 0; must be taken
-//! try two 0 4                the same, but nobody may be able to take it
-//! orders 3 40                one version after the other, from 3 to 40
-//! kill a | power a | wipe a | start a | newcomer g/r2     ("leader" names who leads)
-//! leave a                                              told to end, until `kill a`
-//! cut a b | oneway a b | isolate a | mend                  (oneway: a's words don't reach b)
-//! slow a 500 | stuck a | well a                            disks
-//! drain w1 | gone w1 | dark w1 | mute w1 | worker w9
+//! command one 0 3            sends version 3 on top of 0; must be taken
+//! try-command two 0 4        the same, but nobody may be able to take it
+//! commands 3 40              one version after the other, from 3 to 40
+//! kill a | lose-power a | lose-disk a | start a | join g/r2     ("leader" names who leads, "last-leader" who did)
+//! shut-down a                                          told to end, until `kill a`
+//! cut a b | cut-one-way a b | isolate a | heal             (one way: a does not reach b)
+//! disk-slow a 500 | disk-stuck a | disk-ok a
+//! drain-worker w1 | deregister w1 | crash-worker w1 | mute-worker w1 | worker w9
 //! expect leader | no-leader | answer NAME OUTCOME | version N [NODE...] | current NODE...
-//! crowd 291                  machines without a disk, over regions r1 to r3
-//! region power r2 | region start all | roll 30             many machines; one after the other
+//! many-learners 291          machines without a disk, over regions r1 to r3
+//! region lose-power r2 | region start all | rolling-restart 30   many machines; one after the other
 //! measure                    counts the bytes of the agreement from now on
 //! expect all-current | voter-bytes N | node-bytes N        at the most, a second
-//! lag 1200                   calls to workers take up to so much longer
-//! routes 300 [all]           configurations have so many routes from now on; each
+//! call-lag 1200              calls to workers take up to so much longer
+//! configuration-routes 300 [all]  configurations have so many routes from now on; each
 //!                            changes one of them, or all
-//! narrow a 250000            bytes a second that a's link carries, each way
+//! bandwidth a 250000         bytes a second that a's link carries, each way
 //! await 4000 version 8 c     like expect, which must hold before so many ms are over
 //! expect covered             every key is held by a worker that is up and stays
-//! expect may-end a | stays a                           a was told to end: whether it may
-//! expect voters N | not-voter ADDRESS | holds w1 yes|no | another-leader | leaving w1
+//! expect can-shut-down a | must-stay a                 a was told to end: whether it may
+//! expect voters N | not-voter ADDRESS | holds w1 yes|no | another-leader | draining w1
 //! ```
 
-use crate::workers::StandIn;
-use crate::world::World;
+use crate::cluster::Cluster;
+use crate::worker::SimulatedWorker;
 use control_state::Outcome;
 use protocol::{ConfigurationCommand, Worker};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-pub struct Player {
-    pub world: World,
+pub struct ScenarioRunner {
+    pub cluster: Cluster,
     /// Routes of the configurations that are ordered.
     routes: u64,
     /// Whether each changes all of its routes.
@@ -45,7 +45,7 @@
 }
 
 /// Plays every scenario of a folder of this crate under a few seeds.
-pub fn play_folder(folder: &str, least: usize, seeds: u64, play: impl Fn(&str, u64)) {
+pub fn run_folder(folder: &str, least: usize, seeds: u64, run_scenario: impl Fn(&str, u64)) {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join(folder);
     let mut files: Vec<_> = std::fs::read_dir(folder)
         .expect("the folder is there")
@@ -58,15 +58,15 @@
         let text = std::fs::read_to_string(&file).expect("readable");
         for seed in 1..=seeds {
             println!("{} seed {seed}", file.display());
-            play(&text, seed);
+            run_scenario(&text, seed);
         }
     }
 }
 
 /// Plays a scenario; a step that fails ends the test with its line.
-pub fn play(text: &str, seed: u64) {
-    let mut player = Player {
-        world: World::new(seed),
+pub fn run_scenario(text: &str, seed: u64) {
+    let mut player = ScenarioRunner {
+        cluster: Cluster::new(seed),
         routes: 0,
         all: false,
         last_leader: String::new(),
@@ -82,7 +82,7 @@
             done.is_ok(),
             "line {} `{line}` at {} ms: {}",
             number + 1,
-            player.world.now,
+            player.cluster.now,
             done.err().unwrap_or_default()
         );
     }
@@ -125,8 +125,8 @@
     empty.replace(r#""AccessPoints":[]"#, &points).into_bytes()
 }
 
-fn worker(id: &str) -> StandIn {
-    StandIn::new(Worker {
+fn worker(id: &str) -> SimulatedWorker {
+    SimulatedWorker::new(Worker {
         id: id.into(),
         service: "s".into(),
         address: format!("at-{id}"),
@@ -142,74 +142,75 @@
         .ok_or_else(|| "a number is missing".to_string())
 }
 
-impl Player {
+impl ScenarioRunner {
     fn step(&mut self, words: &[&str]) -> Step {
         let rest = &words[1..];
         match words[0] {
-            "voters" | "observers" => {
+            "voters" | "learners" => {
                 for (i, place) in rest.iter().enumerate() {
                     let (name, region) = place.split_once('/').ok_or("name/region wanted")?;
-                    self.world.add(name, region, words[0] == "voters", true);
+                    self.cluster.add(name, region, words[0] == "voters", true);
                     if i == 0 && words[0] == "voters" {
-                        self.world.begin(name);
+                        self.cluster.begin(name);
                     }
                 }
             }
-            "newcomer" => {
+            "join" => {
                 let (name, region) = rest[0].split_once('/').ok_or("name/region wanted")?;
-                self.world.add(name, region, true, false);
+                self.cluster.add(name, region, true, false);
             }
             "workers" | "worker" => {
                 for id in rest {
-                    self.world.workers.insert(id.to_string(), worker(id));
+                    self.cluster.workers.insert(id.to_string(), worker(id));
                 }
             }
-            "run" => self.world.run(number(rest.first())?),
-            "order" | "try" => {
-                let order = ConfigurationCommand {
+            "run" => self.cluster.run(number(rest.first())?),
+            "command" | "try-command" => {
+                let command = ConfigurationCommand {
                     base: number(rest.get(1))?,
                     body: large_configuration(number(rest.get(2))?, self.routes, self.all),
                     ..Default::default()
                 };
-                if !self.world.order(rest[0], order) && words[0] == "order" {
+                if !self.cluster.command(rest[0], command) && words[0] == "command" {
                     return Err("nobody takes it".into());
                 }
             }
-            "orders" => {
+            "commands" => {
                 let (mut base, last) = (number(rest.first())?, number(rest.get(1))?);
                 while base < last {
                     let next = (base + 1).to_string();
-                    self.step(&["order", &format!("to-{next}"), &base.to_string(), &next])?;
-                    self.world.run(100);
+                    self.step(&["command", &format!("to-{next}"), &base.to_string(), &next])?;
+                    self.cluster.run(100);
                     base += 1;
                 }
             }
-            "kill" | "power" | "wipe" | "start" | "stuck" | "well" | "slow" | "isolate" => {
+            "kill" | "lose-power" | "lose-disk" | "start" | "disk-stuck" | "disk-ok" | "disk-slow"
+            | "isolate" => {
                 let name = self.named(rest[0])?;
                 self.machine(words[0], &name, rest)?;
             }
-            "leave" => {
+            "shut-down" => {
                 let name = self.named(rest[0])?;
-                let life = self.world.nodes.get_mut(&name).and_then(|n| n.life.as_mut());
-                life.ok_or("it is down")?.leaving = true;
+                let process = self.cluster.nodes.get_mut(&name).and_then(|n| n.process.as_mut());
+                process.ok_or("it is down")?.shutting_down = true;
             }
-            "cut" | "oneway" => {
+            "cut" | "cut-one-way" => {
                 let (a, b) = (self.named(rest[0])?, self.named(rest[1])?);
-                self.world.cuts.insert((a.clone(), b.clone()));
+                self.cluster.blocked_links.insert((a.clone(), b.clone()));
                 if words[0] == "cut" {
-                    self.world.cuts.insert((b, a));
+                    self.cluster.blocked_links.insert((b, a));
                 }
             }
-            "crowd" => {
+            "many-learners" => {
                 for i in 0..number(rest.first())? {
                     let region = format!("r{}", i % 3 + 1);
-                    self.world.add(&format!("o{i}"), &region, false, true);
+                    self.cluster.add(&format!("o{i}"), &region, false, true);
                 }
             }
             "region" => {
                 let of = |n: &&crate::node::Node| rest[1] == "all" || n.region == rest[1];
                 let names: Vec<String> = self
-                    .world
+                    .cluster
                     .nodes
                     .values()
                     .filter(of)
@@ -219,32 +220,36 @@
                     self.machine(rest[0], &name, rest)?;
                 }
             }
-            "roll" => {
+            "rolling-restart" => {
                 for i in 0..number(rest.first())? {
                     let name = format!("o{i}");
-                    self.world.end(&name, false);
-                    self.world.run(100);
-                    self.world.start(&name);
+                    self.cluster.end(&name, false);
+                    self.cluster.run(100);
+                    self.cluster.start(&name);
                 }
             }
-            "measure" => self.world.measure(),
-            "lag" => self.world.lag_ms = number(rest.first())?,
-            "routes" => (self.routes, self.all) = (number(rest.first())?, rest.get(1) == Some(&"all")),
-            "narrow" => {
+            "measure" => self.cluster.measure(),
+            "call-lag" => self.cluster.lag_ms = number(rest.first())?,
+            "configuration-routes" => {
+                (self.routes, self.all) = (number(rest.first())?, rest.get(1) == Some(&"all"))
+            }
+            "bandwidth" => {
                 let (name, width) = (self.named(rest[0])?, number(rest.get(1))?);
-                self.world.narrow.insert(name, width);
+                self.cluster.bandwidth.insert(name, width);
             }
             "await" => {
-                let end = self.world.now + number(rest.first())?;
+                let end = self.cluster.now + number(rest.first())?;
                 while let Err(e) = self.expect(&rest[1..]) {
-                    if self.world.now >= end {
+                    if self.cluster.now >= end {
                         return Err(e);
                     }
-                    self.world.run(10);
+                    self.cluster.run(10);
                 }
             }
-            "mend" => self.world.cuts.clear(),
-            "drain" | "gone" | "dark" | "mute" => self.worker(words[0], rest[0])?,
+            "heal" => self.cluster.blocked_links.clear(),
+            "drain-worker" | "deregister" | "crash-worker" | "mute-worker" => {
+                self.worker(words[0], rest[0])?
+            }
             "expect" => self.expect(rest)?,
             other => return Err(format!("no such step: {other}")),
         }
@@ -255,37 +260,47 @@
     fn named(&mut self, word: &str) -> Result<String, String> {
         match word {
             "leader" => {
-                self.last_leader = self.world.leader_name().ok_or("nobody leads")?;
+                self.last_leader = self.cluster.leader_name().ok_or("nobody leads")?;
                 Ok(self.last_leader.clone())
             }
-            "led" => Ok(self.last_leader.clone()),
-            name if self.world.nodes.contains_key(name) => Ok(name.to_string()),
+            "last-leader" => Ok(self.last_leader.clone()),
+            name if self.cluster.nodes.contains_key(name) => Ok(name.to_string()),
             name => Err(format!("no machine {name}")),
         }
     }
 
     fn machine(&mut self, what: &str, name: &str, rest: &[&str]) -> Step {
         match what {
-            "kill" => self.world.end(name, false),
-            "power" => self.world.end(name, true),
-            "wipe" => self.world.wipe(name),
-            "start" => self.world.start(name),
+            "kill" => self.cluster.end(name, false),
+            "lose-power" => self.cluster.end(name, true),
+            "lose-disk" => self.cluster.wipe(name),
+            "start" => self.cluster.start(name),
             "isolate" => {
-                let others: Vec<String> = self.world.nodes.keys().filter(|n| *n != name).cloned().collect();
+                let others: Vec<String> = self
+                    .cluster
+                    .nodes
+                    .keys()
+                    .filter(|n| *n != name)
+                    .cloned()
+                    .collect();
                 for o in others {
-                    self.world.cuts.insert((name.to_string(), o.clone()));
-                    self.world.cuts.insert((o, name.to_string()));
+                    self.cluster.blocked_links.insert((name.to_string(), o.clone()));
+                    self.cluster.blocked_links.insert((o, name.to_string()));
                 }
             }
             _ => {
-                let slow = if what == "slow" { number(rest.get(1))? } else { 0 };
+                let slow = if what == "disk-slow" {
+                    number(rest.get(1))?
+                } else {
+                    0
+                };
                 let disk = self
-                    .world
+                    .cluster
                     .nodes
                     .get_mut(name)
                     .and_then(|n| n.disk.as_mut())
                     .ok_or("it has no disk")?;
-                disk.stuck = what == "stuck";
+                disk.stuck = what == "disk-stuck";
                 disk.slow_ms = slow;
             }
         }
@@ -293,26 +308,26 @@
     }
 
     fn worker(&mut self, what: &str, id: &str) -> Step {
-        let w = self.world.workers.get_mut(id).ok_or("no such worker")?;
+        let w = self.cluster.workers.get_mut(id).ok_or("no such worker")?;
         match what {
-            "drain" => w.listed.draining = true,
-            "dark" => w.up = false,
-            "mute" => w.mute = true,
+            "drain-worker" => w.listed.draining = true,
+            "crash-worker" => w.up = false,
+            "mute-worker" => w.mute = true,
             _ => {
-                self.world.workers.remove(id);
+                self.cluster.workers.remove(id);
             }
         }
         Ok(())
     }
 
     fn expect(&mut self, words: &[&str]) -> Step {
-        let world = &self.world;
+        let cluster = &self.cluster;
         let fine = match words[0] {
-            "leader" => world.leader().is_some(),
-            "no-leader" => world.leader().is_none(),
-            "another-leader" => world.leader().is_some_and(|l| l.name != self.last_leader),
+            "leader" => cluster.leader().is_some(),
+            "no-leader" => cluster.leader().is_none(),
+            "another-leader" => cluster.leader().is_some_and(|l| l.name != self.last_leader),
             "answer" => {
-                let got = world.answers.get(words[1]).cloned().flatten();
+                let got = cluster.answers.get(words[1]).cloned().flatten();
                 match words[2] {
                     "taken" => matches!(got, Some(Outcome::Applied | Outcome::AlreadyApplied)),
                     "lost" => matches!(got, Some(Outcome::Conflict(_))),
@@ -324,43 +339,47 @@
             "version" => {
                 let wanted = number(words.get(1))?;
                 let named = &words[2..];
-                world
+                cluster
                     .nodes
                     .values()
                     .filter(|n| named.is_empty() || named.contains(&n.name.as_str()))
-                    .filter_map(|n| n.life.as_ref())
-                    .all(|l| l.stage.version() == wanted)
+                    .filter_map(|n| n.process.as_ref())
+                    .all(|l| l.state.version() == wanted)
             }
             // All running nodes know that a worker leaves.
-            "leaving" => {
-                let knows = |l: &crate::node::Life| {
-                    let w = l.stage.workers.get(words[1]);
+            "draining" => {
+                let knows = |l: &crate::node::Process| {
+                    let w = l.state.workers.get(words[1]);
                     w.is_some_and(|w| w.draining)
                 };
-                world.nodes.values().filter_map(|n| n.life.as_ref()).all(knows)
+                cluster
+                    .nodes
+                    .values()
+                    .filter_map(|n| n.process.as_ref())
+                    .all(knows)
             }
             "voter-bytes" | "node-bytes" => {
-                let most = world.busiest(words[0] == "voter-bytes");
+                let most = cluster.busiest(words[0] == "voter-bytes");
                 let bound = number(words.get(1))?;
                 if most > bound {
                     return Err(format!("{most} bytes a second"));
                 }
                 most > 0
             }
-            "all-current" => world
+            "all-current" => cluster
                 .nodes
                 .values()
-                .all(|n| n.life.as_ref().is_some_and(|l| l.current)),
+                .all(|n| n.process.as_ref().is_some_and(|l| l.current)),
             "acked-stands" => {
-                let leader = world
+                let leader = cluster
                     .leader()
-                    .and_then(|n| n.life.as_ref())
+                    .and_then(|n| n.process.as_ref())
                     .ok_or("nobody leads")?;
-                leader.stage.version() >= world.acked_version
+                leader.state.version() >= cluster.acked_version
             }
             "covered" => {
-                let able = world.workers.values().filter(|w| w.up && !w.listed.draining);
-                let mut held: Vec<(u32, u32)> = able.flat_map(|w| w.holds(world.now)).collect();
+                let able = cluster.workers.values().filter(|w| w.up && !w.listed.draining);
+                let mut held: Vec<(u32, u32)> = able.flat_map(|w| w.holds(cluster.now)).collect();
                 held.sort_unstable();
                 let mut next = 0;
                 for (from, to) in held {
@@ -373,26 +392,26 @@
             }
             "current" => words[1..]
                 .iter()
-                .all(|n| world.nodes[*n].life.as_ref().is_some_and(|l| l.current)),
+                .all(|n| cluster.nodes[*n].process.as_ref().is_some_and(|l| l.current)),
             "voters" => {
-                let leader = world
+                let leader = cluster
                     .leader()
-                    .and_then(|n| n.life.as_ref())
+                    .and_then(|n| n.process.as_ref())
                     .ok_or("nobody leads")?;
                 leader.raft.membership().voters.len() as u64 == number(words.get(1))?
             }
-            "may-end" | "stays" => {
-                let name = if words[1] == "led" {
+            "can-shut-down" | "must-stay" => {
+                let name = if words[1] == "last-leader" {
                     &self.last_leader
                 } else {
                     words[1]
                 };
-                let life = world.nodes.get(name).and_then(|n| n.life.as_ref());
-                life.ok_or("it is down")?.raft.is_shutdown_safe() == (words[0] == "may-end")
+                let process = cluster.nodes.get(name).and_then(|n| n.process.as_ref());
+                process.ok_or("it is down")?.raft.is_shutdown_safe() == (words[0] == "can-shut-down")
             }
             "holds" => {
-                let w = world.workers.get(words[1]).ok_or("no such worker")?;
-                (w.holds(world.now).next().is_some()) == (words[2] == "yes")
+                let w = cluster.workers.get(words[1]).ok_or("no such worker")?;
+                (w.holds(cluster.now).next().is_some()) == (words[2] == "yes")
             }
             other => return Err(format!("nothing to expect: {other}")),
         };
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/worker.rs
@@ -12,25 +12,25 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct StandIn {
+pub struct SimulatedWorker {
     pub listed: Worker,
     pub up: bool,
     /// Calls reach it and are carried out, but no answer comes back.
     pub mute: bool,
     held: Vec<Held>,
-    seen: Vec<Held>,
+    evidence: Vec<Held>,
     /// What it took and gave back, and since when: from, to, fence, until.
     pub took: Vec<(u32, u32, u64, u64)>,
 }
 
-impl StandIn {
-    pub fn new(listed: Worker) -> StandIn {
-        StandIn {
+impl SimulatedWorker {
+    pub fn new(listed: Worker) -> SimulatedWorker {
+        SimulatedWorker {
             listed,
             up: true,
             mute: false,
             held: Vec::new(),
-            seen: Vec::new(),
+            evidence: Vec::new(),
             took: Vec::new(),
         }
     }
@@ -38,7 +38,7 @@
     /// Takes a grant that arrives now. Its clock for the hold runs 2% slow.
     pub fn grant(&mut self, now: u64, h: &KeyLease, hold_ms: u64) -> GrantResult {
         if self
-            .seen
+            .evidence
             .iter()
             .any(|s| s.from <= h.to && s.to >= h.from && s.fence > h.fencing_token)
         {
@@ -53,7 +53,7 @@
         self.took.push((h.from, h.to, h.fencing_token, held.until));
         self.cut(h.from, h.to);
         self.held.push(held.clone());
-        self.seen.push(held);
+        self.evidence.push(held);
         GrantResult::Accepted
     }
 
--- a/crates/simulation/tests/catch_up.rs
+++ b/crates/simulation/tests/catch_up.rs
@@ -4,8 +4,8 @@
 use config::Configuration;
 use control_state::Outcome;
 use protocol::ConfigurationCommand;
-use simulation::script::large_configuration;
-use simulation::world::World;
+use simulation::cluster::Cluster;
+use simulation::scenario::large_configuration;
 
 /// 2 Mbit/s, in bytes.
 const NARROW: u64 = 250_000;
@@ -23,34 +23,34 @@
 
 const VOTERS: [(&str, &str); 5] = [("a", "r1"), ("b", "r1"), ("c", "r2"), ("d", "r2"), ("e", "r3")];
 
-fn world(seed: u64, routes: u64) -> World {
-    let mut world = World::new(seed);
+fn cluster(seed: u64, routes: u64) -> Cluster {
+    let mut cluster = Cluster::new(seed);
     for (i, (name, region)) in VOTERS.iter().enumerate() {
-        world.add(name, region, true, true);
+        cluster.add(name, region, true, true);
         if i == 0 {
-            world.begin(name);
+            cluster.begin(name);
         }
     }
-    world.add("x", "r3", false, true);
-    world.run(5000);
-    change(&mut world, 1, routes);
-    world
+    cluster.add("x", "r3", false, true);
+    cluster.run(5000);
+    change(&mut cluster, 1, routes);
+    cluster
 }
 
 /// Orders a version on top of the one before, until it is taken.
-fn change(world: &mut World, version: u64, routes: u64) {
+fn change(cluster: &mut Cluster, version: u64, routes: u64) {
     let name = format!("to-{version}");
     let body = large_configuration(version, routes, false);
     for _ in 0..100 {
-        let order = ConfigurationCommand {
+        let command = ConfigurationCommand {
             base: version - 1,
             body: body.clone(),
             ..Default::default()
         };
-        if world.order(&name, order) {
+        if cluster.command(&name, command) {
             for _ in 0..100 {
-                world.run(10);
-                match world.answers.get(&name) {
+                cluster.run(10);
+                match cluster.answers.get(&name) {
                     Some(Some(Outcome::Applied | Outcome::AlreadyApplied)) => return,
                     Some(Some(other)) => panic!("version {version}: {other:?}"),
                     Some(None) => break,
@@ -58,38 +58,38 @@
                 }
             }
         }
-        world.run(100);
+        cluster.run(100);
     }
     panic!("version {version} is never taken");
 }
 
-fn version(world: &World, name: &str) -> u64 {
-    let life = world.nodes[name].life.as_ref();
-    life.map_or(0, |l| if l.current { l.stage.version() } else { 0 })
+fn version(cluster: &Cluster, name: &str) -> u64 {
+    let process = cluster.nodes[name].process.as_ref();
+    process.map_or(0, |l| if l.current { l.state.version() } else { 0 })
 }
 
 /// Time until a machine that was down during so many changes has caught up, ms.
 fn recovery(seed: u64, routes: u64, changes: u64, width: u64, wipe: bool) -> Option<u64> {
-    let mut world = world(seed, routes);
-    world.end("e", false);
+    let mut cluster = cluster(seed, routes);
+    cluster.end("e", false);
     for v in 2..=changes + 1 {
-        change(&mut world, v, routes);
+        change(&mut cluster, v, routes);
     }
     if wipe {
-        world.wipe("e");
+        cluster.wipe("e");
     }
     if width > 0 {
-        world.narrow.insert("e".into(), width);
+        cluster.bandwidth.insert("e".into(), width);
     }
-    let from = world.now;
-    world.start("e");
-    while version(&world, "e") < changes + 1 {
-        world.run(10);
-        if world.now - from > 30_000 {
+    let from = cluster.now;
+    cluster.start("e");
+    while version(&cluster, "e") < changes + 1 {
+        cluster.run(10);
+        if cluster.now - from > 30_000 {
             return None;
         }
     }
-    Some(world.now - from)
+    Some(cluster.now - from)
 }
 
 /// Twenty changes of real size, seen by members that were down, empty or narrow.
--- a/crates/simulation/tests/checker.rs
+++ b/crates/simulation/tests/checker.rs
@@ -13,8 +13,8 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use simulation::checker::{judge, Check, Promise};
-use simulation::history::{digest, Content, History, Replica, Reply, Request, Saw};
+use simulation::checker::{check_history, Check, Guarantees};
+use simulation::history::{digest, Content, History, Observation, Replica, Reply, Request};
 use std::collections::BTreeMap;
 
 fn number(word: &str) -> u64 {
@@ -67,15 +67,15 @@
     }
 }
 
-fn saw(words: &[&str], life: u64) -> Saw {
+fn observation(words: &[&str], process: u64) -> Observation {
     match words {
-        ["sends", order, attempt, to, rest @ ..] => Saw::Sent {
-            order: number(order),
+        ["sends", command, attempt, to, rest @ ..] => Observation::Sent {
+            command: number(command),
             attempt: number(attempt),
             to: to.to_string(),
             request: request(rest),
         },
-        ["replies", attempt, status] => Saw::Replied {
+        ["replies", attempt, status] => Observation::ReplySent {
             attempt: number(attempt),
             status: number(status) as u16,
         },
@@ -88,7 +88,7 @@
                 [version, body] => Some((number(version), digest(body.as_bytes()))),
                 _ => None,
             };
-            Saw::Heard {
+            Observation::ReplyReceived {
                 attempt: number(attempt),
                 reply: Reply {
                     status: number(status) as u16,
@@ -97,28 +97,30 @@
                 },
             }
         }
-        ["applies", index, rest @ ..] => Saw::Applied {
-            life,
+        ["applies", index, rest @ ..] => Observation::Applied {
+            process,
             replica: replica(index, rest),
         },
-        ["effect", index, order, attempt, what] => Saw::Effect {
-            life,
+        ["effect", index, command, attempt, what] => Observation::Effect {
+            process,
             index: number(index),
-            order: number(order),
+            command: number(command),
             attempt: number(attempt),
             changed: *what == "changed",
         },
-        ["leads", term] => Saw::Leads {
-            life,
+        ["leads", term] => Observation::Leads {
+            process,
             term: number(term),
         },
-        ["synced", index] => Saw::Synced { index: number(index) },
-        ["ends", how] => Saw::LifeEnded {
-            life,
+        ["synced", index] => Observation::Synced { index: number(index) },
+        ["ends", how] => Observation::ProcessEnded {
+            process,
             how: if *how == "wiped" { "disk lost" } else { "killed" },
         },
-        ["begins", life] => Saw::LifeBegan { life: number(life) },
-        ["holds", from, to, fence, until] => Saw::Holds {
+        ["begins", process] => Observation::ProcessStarted {
+            process: number(process),
+        },
+        ["holds", from, to, fence, until] => Observation::KeysHeld {
             from: number(from) as u32,
             to: number(to) as u32,
             fence: number(fence),
@@ -130,21 +132,21 @@
 
 /// Reads a history; a node's life is 1 until a line says that another begins.
 fn history(text: &str) -> History {
-    let mut lives: BTreeMap<String, u64> = BTreeMap::new();
+    let mut processes: BTreeMap<String, u64> = BTreeMap::new();
     let mut history = History::default();
     for line in text.lines().map(str::trim).filter(|l| !l.is_empty()) {
         let words: Vec<&str> = line.split_whitespace().collect();
-        let saw = saw(&words[2..], lives.get(words[1]).copied().unwrap_or(1));
-        if let Saw::LifeBegan { life } = saw {
-            lives.insert(words[1].into(), life);
+        let observation = observation(&words[2..], processes.get(words[1]).copied().unwrap_or(1));
+        if let Observation::ProcessStarted { process } = observation {
+            processes.insert(words[1].into(), process);
         }
-        history.note(number(words[0]), words[1], saw);
+        history.record(number(words[0]), words[1], observation);
     }
     history
 }
 
-fn found(text: &str, promise: Promise) -> Vec<Check> {
-    let mut found: Vec<Check> = judge(&history(text), promise)
+fn found(text: &str, guarantees: Guarantees) -> Vec<Check> {
+    let mut found: Vec<Check> = check_history(&history(text), guarantees)
         .into_iter()
         .map(|v| v.check)
         .collect();
@@ -480,7 +482,7 @@
 #[test]
 fn what_one_register_explains_is_accepted() {
     for (name, text) in SOUND {
-        assert_eq!(judge(&history(text), Promise::default()), [], "{name}");
+        assert_eq!(check_history(&history(text), Guarantees::default()), [], "{name}");
     }
 }
 
@@ -488,12 +490,12 @@
 fn each_planted_fault_is_found() {
     for (name, check, text) in FAULTS {
         let disks = if *check == Check::TooFewDisks { 2 } else { 0 };
-        let promise = Promise {
+        let guarantees = Guarantees {
             disks,
             alike_ms: 100,
-            ..Promise::default()
+            ..Guarantees::default()
         };
-        let found = found(text, promise);
+        let found = found(text, guarantees);
         assert!(found.contains(check), "{name}: {found:?} instead of {check:?}");
     }
 }
@@ -501,12 +503,12 @@
 #[test]
 fn a_read_that_is_never_answered_in_calm_times_is_found() {
     let text = "1 ann sends 1 1 a read\n20 ann sends 2 2 a read\n21 a replies 2 503\n22 ann hears 2 503";
-    let promise = Promise {
+    let guarantees = Guarantees {
         disks: 0,
         calm_from: Some(10),
         alike_ms: 0,
     };
-    assert_eq!(found(text, promise), [Check::NoReadBack]);
+    assert_eq!(found(text, guarantees), [Check::NoReadBack]);
 }
 
 /// One attempt in a run of a true register: what is asked, how long the way there and
@@ -546,7 +548,7 @@
 }
 
 /// Plays attempts against a register that does what it should.
-fn played(mut tries: Vec<Try>) -> History {
+fn outcome(mut tries: Vec<Try>) -> History {
     tries.sort_by_key(|t| t.at);
     // What happens when: 0 sent, 1 at the register, 2 heard.
     let mut agenda: Vec<(u64, u8, usize)> = Vec::new();
@@ -568,7 +570,7 @@
             0 => {
                 let t = &tries[i];
                 let last = asked.iter().rev().find(|(_, r)| *r != Request::Read).cloned();
-                let (order, request) = match last {
+                let (command, request) = match last {
                     _ if t.read => (attempt, Request::Read),
                     Some(last) if t.again => last,
                     _ => {
@@ -581,13 +583,13 @@
                         (attempt, Request::Replace { content, valid: true })
                     }
                 };
-                asked.push((order, request.clone()));
+                asked.push((command, request.clone()));
                 let to = "a".into();
-                history.note(
+                history.record(
                     at,
                     "ann",
-                    Saw::Sent {
-                        order,
+                    Observation::Sent {
+                        command,
                         attempt,
                         to,
                         request,
@@ -610,7 +612,7 @@
                         status = if read.is_some() { 200 } else { 404 };
                     }
                 }
-                history.note(at, "a", Saw::Replied { attempt, status });
+                history.record(at, "a", Observation::ReplySent { attempt, status });
                 let made_for = attempt;
                 replies.insert(
                     i,
@@ -628,7 +630,7 @@
                     known.push(content.version);
                     known.sort_unstable();
                 }
-                history.note(at, "ann", Saw::Heard { attempt, reply });
+                history.record(at, "ann", Observation::ReplyReceived { attempt, reply });
             }
         }
     }
@@ -646,30 +648,30 @@
     /// No false alarm, and three mutations that break a history are seen.
     #[test]
     fn a_true_register_is_accepted_and_a_changed_reply_is_not(tries in tries(), pick in any::<prop::sample::Index>()) {
-        let history = played(tries);
-        prop_assert_eq!(judge(&history, Promise::default()), []);
+        let history = outcome(tries);
+        prop_assert_eq!(check_history(&history, Guarantees::default()), []);
         let heard = |h: &History| -> Vec<usize> {
-            let is = |i: &usize| matches!(h.events[*i].saw, Saw::Heard { .. });
+            let is = |i: &usize| matches!(h.events[*i].observation, Observation::ReplyReceived { .. });
             (0..h.events.len()).filter(is).collect()
         };
         let all = heard(&history);
         prop_assume!(!all.is_empty());
         let mut changed = history.clone();
-        if let Saw::Heard { reply, .. } = &mut changed.events[all[pick.index(all.len())]].saw {
+        if let Observation::ReplyReceived { reply, .. } = &mut changed.events[all[pick.index(all.len())]].observation {
             reply.made_for += 1;
         }
-        prop_assert!(!judge(&changed, Promise::default()).is_empty(), "another's reply");
+        prop_assert!(!check_history(&changed, Guarantees::default()).is_empty(), "another's reply");
         // The last read hears what was true at the beginning, when more is known.
         let mut changed = history.clone();
-        let acknowledged = |e: &simulation::history::Event| matches!(&e.saw, Saw::Heard { reply, .. } if reply.status == 200 && reply.read.is_none());
+        let acknowledged = |e: &simulation::history::Event| matches!(&e.observation, Observation::ReplyReceived { reply, .. } if reply.status == 200 && reply.read.is_none());
         if let Some(first) = history.events.iter().find(|e| acknowledged(e)) {
             let (at, attempt) = (first.at + 1000, 900);
-            let (order, request) = (900, Request::Read);
-            changed.note(at, "ann", Saw::Sent { order, attempt, to: "a".into(), request });
-            changed.note(at + 1, "a", Saw::Replied { attempt, status: 404 });
+            let (command, request) = (900, Request::Read);
+            changed.record(at, "ann", Observation::Sent { command, attempt, to: "a".into(), request });
+            changed.record(at + 1, "a", Observation::ReplySent { attempt, status: 404 });
             let reply = Reply { status: 404, made_for: attempt, read: None };
-            changed.note(at + 2, "ann", Saw::Heard { attempt, reply });
-            let found = judge(&changed, Promise::default());
+            changed.record(at + 2, "ann", Observation::ReplyReceived { attempt, reply });
+            let found = check_history(&changed, Guarantees::default());
             prop_assert!(found.iter().any(|v| v.check == Check::LostAfterAck), "{:?}", found);
         }
     }
--- a/crates/simulation/tests/cold.rs
+++ b/crates/simulation/tests/cold.rs
@@ -163,14 +163,14 @@
         self.workers.insert(id.into(), worker);
     }
 
-    fn stage(&self) -> Arc<ControlState> {
+    fn state(&self) -> Arc<ControlState> {
         self.log[self.log.len() - 1].1.clone()
     }
 
     fn change(&mut self, kind: ChangeKind) {
-        let mut stage = (*self.stage()).clone();
-        stage.apply(stage.index + 1, &Change::encode(kind));
-        self.log.push((self.now, Arc::new(stage)));
+        let mut state = (*self.state()).clone();
+        state.apply(state.index + 1, &Change::encode(kind));
+        self.log.push((self.now, Arc::new(state)));
     }
 
     fn give_keys(&mut self, worker: &str) {
@@ -231,7 +231,7 @@
         let mut listed = BTreeMap::new();
         for (id, w) in &self.workers {
             let mut row = w.row.clone();
-            if w.cold_from <= shown || !self.stage().workers.contains_key(id) {
+            if w.cold_from <= shown || !self.state().workers.contains_key(id) {
                 row.warmup_ms = w.cold_until.saturating_sub(shown);
             }
             listed.insert(id.clone(), row);
@@ -245,10 +245,10 @@
                 zone: format!("z{}", n.zone),
             })
             .collect();
-        let stage = self.stage();
+        let state = self.state();
         let input = DiscoveryInput {
-            state: &stage,
-            as_of: stage.index,
+            state: &state,
+            as_of: state.index,
             nodes: &callers,
             bounds: &self.bounds,
             lag_ms: LAG_MS,
--- a/crates/simulation/tests/explore.rs
+++ b/crates/simulation/tests/explore.rs
@@ -4,9 +4,9 @@
 
 use proptest::strategy::Strategy;
 use proptest::test_runner::{Config, RngSeed, TestCaseError, TestRunner};
-use simulation::faults::{plans, Ask, Fault, Plan, Step, Tree, Way, What};
-use simulation::front::Mutant;
-use simulation::run::{verdict, Reached};
+use simulation::command_handler::Mutant;
+use simulation::exploration::{run_and_check, Coverage};
+use simulation::plan::{plans, Direction, Fault, OperatorRequest, Plan, PlanTree, Step, StepAction};
 use std::time::{Duration, Instant};
 
 /// Most steps of a world.
@@ -14,11 +14,11 @@
 /// Worlds of each search: some seconds in a test build.
 const WORLDS: u32 = 60;
 
-fn is_evacuation(what: &What) -> bool {
+fn is_evacuation(what: &StepAction) -> bool {
     matches!(
         what,
-        What::Ask {
-            ask: Ask::Evacuate { .. },
+        StepAction::OperatorRequest {
+            ask: OperatorRequest::Evacuate { .. },
             ..
         }
     )
@@ -26,12 +26,15 @@
 
 /// Machines that join, or go and are replaced: the roll changes for other reasons than
 /// losses of disks.
-fn changes_machines(what: &What) -> bool {
-    matches!(what, What::Fault(Fault::Join { .. } | Fault::Replace { .. }))
+fn changes_machines(what: &StepAction) -> bool {
+    matches!(
+        what,
+        StepAction::Fault(Fault::Join { .. } | Fault::Replace { .. })
+    )
 }
 
 /// Searches plans, without some steps, until one fails; that is made smaller.
-fn search(seed: u64, without: fn(&What) -> bool) {
+fn search(seed: u64, without: fn(&StepAction) -> bool) {
     let mut runner = TestRunner::new(Config {
         cases: WORLDS,
         rng_seed: RngSeed::Fixed(seed),
@@ -44,8 +47,8 @@
         plan
     });
     let done = runner.run(&kept, |plan| {
-        let (_, wrong, history) = verdict(&plan, Mutant::None);
-        match wrong.first() {
+        let (_, violations, history) = run_and_check(&plan, Mutant::None);
+        match violations.first() {
             None => Ok(()),
             Some(first) => Err(TestCaseError::fail(format!("{first}\n{}", history.trace()))),
         }
@@ -74,16 +77,16 @@
 /// if wanted each order is followed by a restart of the node that it was sent to.
 fn worlds(count: u64, restarts: bool) -> impl Iterator<Item = Plan> {
     (0..count).filter_map(move |seed| {
-        let mut plan = Tree::of_seed(seed, 60).ok()?.plan();
+        let mut plan = PlanTree::of_seed(seed, 60).ok()?.plan();
         plan.steps.retain(|s| !changes_machines(&s.what));
         if restarts {
             let followed = plan.steps.iter().flat_map(|s| {
                 let kill = match s.what {
-                    What::Ask { node: who, .. } => Some(Step {
+                    StepAction::OperatorRequest { node: target, .. } => Some(Step {
                         after: 150,
-                        what: What::Fault(Fault::Kill { who, pause: 20 }),
+                        what: StepAction::Fault(Fault::Kill { target, pause: 20 }),
                     }),
-                    What::Fault(_) => None,
+                    StepAction::Fault(_) => None,
                 };
                 [Some(*s), kill]
             });
@@ -94,7 +97,7 @@
 }
 
 /// Worlds of three voters that play the same steps under many seeds; the first leads.
-fn staged(steps: &[(u64, What)]) -> impl Iterator<Item = Plan> + '_ {
+fn staged(steps: &[(u64, StepAction)]) -> impl Iterator<Item = Plan> + '_ {
     (0..2000).map(|seed| Plan {
         disks: 3,
         others: 0,
@@ -110,51 +113,71 @@
     })
 }
 
-const CHANGE: Ask = Ask::Replace {
+const CHANGE: OperatorRequest = OperatorRequest::Replace {
     older: 0,
     invalid: false,
 };
 
-fn ask(operator: u8, node: u8, ask: Ask) -> What {
-    What::Ask { operator, node, ask }
+fn ask(operator: u8, node: u8, ask: OperatorRequest) -> StepAction {
+    StepAction::OperatorRequest { operator, node, ask }
 }
 
 /// The leader is cut off and frozen; meanwhile another one takes a change, of which the
 /// old leader is asked at the moment at which it goes on.
-fn frozen_leader() -> Vec<(u64, What)> {
-    let (way, long) = (Way::Both, 3000);
+fn frozen_leader() -> Vec<(u64, StepAction)> {
+    let (way, duration_ms) = (Direction::Both, 3000);
     vec![
         (300, ask(0, 0, CHANGE)),
-        (400, ask(1, 0, Ask::Read)),
-        (300, What::Fault(Fault::Isolate { who: 0, way, long })),
-        (0, What::Fault(Fault::Freeze { who: 0, long: 2700 })),
+        (400, ask(1, 0, OperatorRequest::Read)),
+        (
+            300,
+            StepAction::Fault(Fault::Isolate {
+                target: 0,
+                way,
+                duration_ms,
+            }),
+        ),
+        (
+            0,
+            StepAction::Fault(Fault::Freeze {
+                target: 0,
+                duration_ms: 2700,
+            }),
+        ),
         (1000, ask(1, 1, CHANGE)),
         (1500, ask(1, 0, CHANGE)),
-        (0, ask(0, 0, Ask::Read)),
-        (1500, ask(1, 1, Ask::Read)),
+        (0, ask(0, 0, OperatorRequest::Read)),
+        (1500, ask(1, 1, OperatorRequest::Read)),
     ]
 }
 
 /// Nobody hears the leader any more; others take its place and its place in the log.
-fn unheard_leader() -> Vec<(u64, What)> {
-    let (way, long) = (Way::Out, 3000);
+fn unheard_leader() -> Vec<(u64, StepAction)> {
+    let (way, duration_ms) = (Direction::Out, 3000);
     let mut steps = vec![
         (300, ask(0, 0, CHANGE)),
-        (700, What::Fault(Fault::Isolate { who: 0, way, long })),
+        (
+            700,
+            StepAction::Fault(Fault::Isolate {
+                target: 0,
+                way,
+                duration_ms,
+            }),
+        ),
     ];
     let (begin, zone) = (true, 0);
     steps.push((380, ask(0, 0, CHANGE)));
-    steps.extend((0..5).map(|_| (0, ask(0, 0, Ask::Evacuate { zone, begin }))));
+    steps.extend((0..5).map(|_| (0, ask(0, 0, OperatorRequest::Evacuate { zone, begin }))));
     let zone = 1;
-    steps.extend((0..8).map(|i| (60, ask(1, 1 + i % 2, Ask::Evacuate { zone, begin }))));
+    steps.extend((0..8).map(|i| (60, ask(1, 1 + i % 2, OperatorRequest::Evacuate { zone, begin }))));
     steps
 }
 
 fn is_found(mutant: Mutant, by: &[&str], worlds: impl Iterator<Item = Plan>) {
     let begun = Instant::now();
     for (i, plan) in worlds.enumerate() {
-        let (_, wrong, _) = verdict(&plan, mutant);
-        if let Some(w) = wrong.iter().find(|w| by.iter().any(|b| w.starts_with(b))) {
+        let (_, violations, _) = run_and_check(&plan, mutant);
+        if let Some(w) = violations.iter().find(|w| by.iter().any(|b| w.starts_with(b))) {
             println!("{mutant:?}: world {i}, {:?}: {w}", begun.elapsed());
             return;
         }
@@ -212,7 +235,7 @@
     for steps in [frozen_leader(), unheard_leader()] {
         for plan in staged(&steps).take(40) {
             assert_eq!(
-                verdict(&plan, Mutant::None).1,
+                run_and_check(&plan, Mutant::None).1,
                 Vec::<String>::new(),
                 "{}",
                 plan.seed
@@ -224,18 +247,18 @@
 /// The worlds do reach what they are for.
 #[test]
 fn worlds_reach_what_they_are_for_and_repeat() {
-    let mut reached = Reached::default();
+    let mut coverage = Coverage::default();
     for seed in 0..30 {
-        let plan = Tree::of_seed(seed, 60).expect("a plan").plan();
-        let (this, _, history) = verdict(&plan, Mutant::None);
-        let (_, _, again) = verdict(&plan, Mutant::None);
+        let plan = PlanTree::of_seed(seed, 60).expect("a plan").plan();
+        let (this, _, history) = run_and_check(&plan, Mutant::None);
+        let (_, _, again) = run_and_check(&plan, Mutant::None);
         assert_eq!(history.events, again.events, "seed {seed} repeats");
-        reached.add(&this);
+        coverage.add(&this);
     }
-    assert!(reached.snapshots > 0 && reached.wipes > 5, "{reached:?}");
-    assert!(reached.resends > 100 && reached.refusals > 50, "{reached:?}");
+    assert!(coverage.snapshots > 0 && coverage.wipes > 5, "{coverage:?}");
+    assert!(coverage.resends > 100 && coverage.refusals > 50, "{coverage:?}");
     assert!(
-        reached.roll_changes > 100 && reached.acknowledged > 50,
-        "{reached:?}"
+        coverage.membership_changes > 100 && coverage.acknowledged > 50,
+        "{coverage:?}"
     );
 }
--- a/crates/simulation/tests/histories.rs
+++ b/crates/simulation/tests/histories.rs
@@ -48,9 +48,9 @@
 }
 
 /// Versions of a service that get requests, by their side.
-fn split(stage: &ControlState, service: &str) -> Vec<(String, Cohort)> {
+fn split(state: &ControlState, service: &str) -> Vec<(String, Cohort)> {
     let versions = (1..5).map(|v| format!("v{v}"));
-    let side = |v: &str| stage.rollouts.get(service).map_or(Cohort::Old, |p| p.cohort(v));
+    let side = |v: &str| state.rollouts.get(service).map_or(Cohort::Old, |p| p.cohort(v));
     versions.map(|v| (v.clone(), side(&v))).collect()
 }
 
@@ -64,7 +64,7 @@
 
     #[test]
     fn histories_keep_the_promises(moves in moves()) {
-        let mut stage = ControlState::default();
+        let mut state = ControlState::default();
         // What each service's rollout was at, over time.
         let mut seen: BTreeMap<String, Vec<u64>> = BTreeMap::new();
         for m in moves {
@@ -84,12 +84,12 @@
                 previous_versions: vec!["v1".into()],
                 ..Default::default()
             };
-            let before = stage.rollouts.get(&service).cloned();
-            let other = stage.rollouts.get(&format!("s{}", 1 - m.service)).cloned();
-            let index = stage.index + 1;
-            let outcome = stage.apply(index, &Change::encode(ChangeKind::Rollout(change.clone())));
-            let after = stage.rollouts.get(&service).cloned();
-            prop_assert_eq!(&other, &stage.rollouts.get(&format!("s{}", 1 - m.service)).cloned());
+            let before = state.rollouts.get(&service).cloned();
+            let other = state.rollouts.get(&format!("s{}", 1 - m.service)).cloned();
+            let index = state.index + 1;
+            let outcome = state.apply(index, &Change::encode(ChangeKind::Rollout(change.clone())));
+            let after = state.rollouts.get(&service).cloned();
+            prop_assert_eq!(&other, &state.rollouts.get(&format!("s{}", 1 - m.service)).cloned());
             match outcome {
                 Outcome::Applied => {
                     let after = after.expect("there");
@@ -105,14 +105,14 @@
                     }
                     match after.state_now() {
                         State::RolledBack | State::Cancelled => {
-                            for (version, side) in split(&stage, &service) {
+                            for (version, side) in split(&state, &service) {
                                 let new = version == after.target;
                                 prop_assert_eq!(side, if new { Cohort::Excluded } else { Cohort::Old });
                             }
                             prop_assert_eq!(after.share(), 0.0);
                         }
                         State::Completed => {
-                            let gone = split(&stage, &service);
+                            let gone = split(&state, &service);
                             prop_assert!(gone.contains(&("v1".into(), Cohort::Excluded)));
                             prop_assert!(gone.contains(&(after.target.clone(), Cohort::Old)));
                         }
@@ -132,8 +132,8 @@
                 }
                 other => prop_assert!(false, "{other:?}"),
             }
-            let again = ControlState::from_image(stage.image()).expect("readable");
-            prop_assert_eq!(&again.rollouts, &stage.rollouts);
+            let again = ControlState::from_image(state.image()).expect("readable");
+            prop_assert_eq!(&again.rollouts, &state.rollouts);
         }
     }
 }
--- a/crates/simulation/tests/model.rs
+++ b/crates/simulation/tests/model.rs
@@ -7,7 +7,7 @@
 use control_state::ControlState;
 use key_ownership::{Action, GrantCall, GrantResult, OwnershipManager, ReleaseCall, ReleaseResult};
 use protocol::*;
-use simulation::workers::StandIn;
+use simulation::worker::SimulatedWorker;
 
 const TICK_MS: u64 = 100;
 /// A call that has not arrived by then never does: its connection has ended.
@@ -74,24 +74,24 @@
 #[derive(Clone)]
 struct Model {
     now: u64,
-    stage: ControlState,
+    state: ControlState,
     leaders: [OwnershipManager; 2],
     leading: usize,
     flights: Vec<Flight>,
-    workers: Vec<StandIn>,
+    workers: Vec<SimulatedWorker>,
     done: [bool; 9],
     forgets: bool,
 }
 
 impl Model {
     fn new(forgets: bool) -> Model {
-        let mut stage = ControlState::default();
+        let mut state = ControlState::default();
         let mut change = |kind| {
-            let index = stage.index + 1;
-            stage.apply(index, &Change::encode(kind));
+            let index = state.index + 1;
+            state.apply(index, &Change::encode(kind));
         };
         change(ChangeKind::Replace(ConfigurationCommand {
-            body: simulation::script::configuration(1),
+            body: simulation::scenario::configuration(1),
             ..Default::default()
         }));
         let rows: Vec<Worker> = (0..3)
@@ -110,19 +110,19 @@
         let new = || OwnershipManager::new(10_000, 300);
         Model {
             now: 10_000,
-            stage,
+            state,
             leaders: [new(), new()],
             leading: 0,
             flights: Vec::new(),
-            workers: rows.into_iter().map(StandIn::new).collect(),
+            workers: rows.into_iter().map(SimulatedWorker::new).collect(),
             done: [false; 9],
             forgets,
         }
     }
 
     fn change(&mut self, kind: ChangeKind) {
-        let index = self.stage.index + 1;
-        self.stage.apply(index, &Change::encode(kind));
+        let index = self.state.index + 1;
+        self.state.apply(index, &Change::encode(kind));
     }
 
     fn lead(&mut self) {
@@ -130,8 +130,8 @@
         if self.forgets {
             self.leaders[self.leading] = OwnershipManager::new(10_000, 300);
         } else {
-            let (now, stage) = (self.now, self.stage.clone());
-            self.leaders[self.leading].begin(now, &stage);
+            let (now, state) = (self.now, self.state.clone());
+            self.leaders[self.leading].begin(now, &state);
         }
     }
 
@@ -182,8 +182,8 @@
                 self.arrive(step);
             }
             self.give_up();
-            let (now, stage) = (self.now, self.stage.clone());
-            for act in self.leaders[self.leading].tick(now, &stage) {
+            let (now, state) = (self.now, self.state.clone());
+            for act in self.leaders[self.leading].tick(now, &state) {
                 let call = match act {
                     Action::Log(put) => {
                         self.change(ChangeKind::KeyLeases(KeyLeaseChange { put }));
--- a/crates/simulation/tests/repeat.rs
+++ b/crates/simulation/tests/repeat.rs
@@ -1,9 +1,9 @@
 //! Random worlds repeat exactly: what a change of names or shape leaves alone must give the
 //! same counts to the last digit. A change of behaviour may move them, and says why.
 
-use simulation::faults::Tree;
-use simulation::front::Mutant;
-use simulation::run::{verdict, Reached};
+use simulation::command_handler::Mutant;
+use simulation::exploration::{run_and_check, Coverage};
+use simulation::plan::PlanTree;
 
 /// The first seed, and how many worlds follow one by one.
 const FIRST: u64 = 90_210;
@@ -13,25 +13,25 @@
 
 #[test]
 fn random_worlds_repeat_to_the_last_digit() {
-    let mut total = Reached::default();
+    let mut total = Coverage::default();
     let mut events = 0;
     for seed in FIRST..FIRST + WORLDS {
-        let tree = Tree::of_seed(seed, STEPS).expect("a world");
-        let (reached, wrong, history) = verdict(&tree.plan(), Mutant::None);
-        assert_eq!(wrong, Vec::<String>::new(), "seed {seed}");
-        total.add(&reached);
+        let tree = PlanTree::of_seed(seed, STEPS).expect("a world");
+        let (coverage, violations, history) = run_and_check(&tree.plan(), Mutant::None);
+        assert_eq!(violations, Vec::<String>::new(), "seed {seed}");
+        total.add(&coverage);
         events += history.events.len();
     }
     let counts = [
         events as u64,
         total.terms,
         total.snapshots,
-        total.roll_changes,
+        total.membership_changes,
         total.resends,
         total.refusals,
         total.acknowledged,
         total.wipes,
-        total.lives,
+        total.processes,
     ];
     assert_eq!(counts, [29079, 215, 4, 218, 1348, 572, 336, 26, 703]);
 }
--- a/crates/simulation/tests/rollouts.rs
+++ b/crates/simulation/tests/rollouts.rs
@@ -1,18 +1,18 @@
-//! Plays rollouts on simulated time: proxies, workers of two versions, the log
+//! Runs rollouts on simulated time: proxies, workers of two versions, the log
 //! and the watchdog, with whatever fails meanwhile. One line, one step:
 //!
 //! ```text
 //! nodes 60 | workers 30 | rate 500        proxies, workers of each version, requests a second
-//! new good|errors|slow|late MS|under-load|one-route    what the new version is like
-//! begin 14000                             the order; also `begin-other` for another version
+//! new-version good|errors|slow|late MS|under-load|one-route    what the new version is like
+//! begin 14000                             creates the rollout; also `begin-other` for another version
 //! run 2000
-//! lead                                    the leader is lost; another after 900 ms
+//! lose-leader                             the leader is lost; another after 900 ms
 //! core-cut 4000                           nobody hears the core
-//! cut 0.4 3000 | herd 0.6 1000            a part of the nodes is cut off, or ends and is back
+//! cut 0.4 3000 | restart-nodes 0.6 1000            a part of the nodes is cut off, or ends and is back
 //! region-loss 3000                        a zone's workers answer nobody
-//! add 20 | storm 30                       nodes join; changes of the configuration
+//! add-nodes 20 | change-configuration 30                       nodes join; changes of the configuration
 //! evacuate z1 | finish z1
-//! say pause|resume|promote|rollback|cancel ; kill-switch on|off
+//! operator pause|resume|promote|rollback|cancel ; kill-switch on|off
 //! expect in_progress|completed|reverted | expect phase PAUSED | expect refused
 //! ```
 //!
@@ -65,7 +65,7 @@
 }
 
 #[derive(Default)]
-struct StandIn {
+struct SimulatedWorker {
     zone: u64,
     new: bool,
     inflight: u32,
@@ -74,12 +74,12 @@
 }
 
 /// A request under way: when it ends, and for whom.
-struct Flight {
+struct InFlight {
     at: u64,
     node: usize,
     life: u64,
     worker: String,
-    ticket: Option<SampleLabel>,
+    label: Option<SampleLabel>,
     end: AttemptResult,
 }
 
@@ -87,14 +87,14 @@
     now: u64,
     rng: SmallRng,
     nodes: Vec<Node>,
-    workers: BTreeMap<String, StandIn>,
+    workers: BTreeMap<String, SimulatedWorker>,
     log: Vec<(u64, Arc<ControlState>)>,
-    flights: Vec<Flight>,
+    in_flight: Vec<InFlight>,
     reports: Vec<(u64, Vec<CohortSample>, u64, u64)>,
-    critic: Watchdog,
+    watchdog: Watchdog,
     /// Another voter's, which follows the log only.
     standby: Watchdog,
-    levels: EmergencyTracker,
+    emergency: EmergencyTracker,
     reported_at: u64,
     leads_from: u64,
     core_cut_until: u64,
@@ -127,11 +127,11 @@
             nodes: Vec::new(),
             workers: BTreeMap::new(),
             log: vec![(0, Arc::new(ControlState::default()))],
-            flights: Vec::new(),
+            in_flight: Vec::new(),
             reports: Vec::new(),
-            critic: Watchdog::default(),
+            watchdog: Watchdog::default(),
             standby: Watchdog::default(),
-            levels: EmergencyTracker::default(),
+            emergency: EmergencyTracker::default(),
             reported_at: 0,
             leads_from: 0,
             core_cut_until: 0,
@@ -157,14 +157,14 @@
         fleet
     }
 
-    fn stage(&self) -> Arc<ControlState> {
+    fn state(&self) -> Arc<ControlState> {
         self.log[self.log.len() - 1].1.clone()
     }
 
     fn change(&mut self, kind: ChangeKind) -> Outcome {
-        let mut stage = (*self.stage()).clone();
-        let outcome = stage.apply(stage.index + 1, &Change::encode(kind));
-        self.log.push((self.now, Arc::new(stage)));
+        let mut state = (*self.state()).clone();
+        let outcome = state.apply(state.index + 1, &Change::encode(kind));
+        self.log.push((self.now, Arc::new(state)));
         outcome
     }
 
@@ -229,7 +229,7 @@
                 version: version.into(),
                 ..Default::default()
             });
-            let worker = StandIn {
+            let worker = SimulatedWorker {
                 zone: i % ZONES,
                 new,
                 started: self.now,
@@ -267,19 +267,19 @@
         }
     }
 
-    fn say(&mut self, action: Action) {
-        let stage = self.stage();
-        let p = &stage.rollouts["s"];
+    fn operate(&mut self, action: Action) {
+        let state = self.state();
+        let p = &state.rollouts["s"];
         let change = RolloutChange {
             service: "s".into(),
             action: action as i32,
             expected: p.version,
             who: "test".into(),
-            elapsed_ms: self.critic.elapsed(self.now, p),
+            elapsed_ms: self.watchdog.elapsed(self.now, p),
             ..Default::default()
         };
-        let facts = self.facts(&stage);
-        if action == Action::Promote && Watchdog::check_gate(self.now, &facts).is_err() {
+        let conditions = self.conditions(&state);
+        if action == Action::Promote && Watchdog::check_gate(self.now, &conditions).is_err() {
             self.refused = Some("gate".into());
             return;
         }
@@ -288,11 +288,11 @@
         }
     }
 
-    fn facts(&mut self, stage: &ControlState) -> Conditions {
-        let able = |w: &&Arc<Worker>| !stage.evacuated.contains_key(&w.zone);
-        let p = stage.rollouts.get("s");
+    fn conditions(&mut self, state: &ControlState) -> Conditions {
+        let able = |w: &&Arc<Worker>| !state.evacuated.contains_key(&w.zone);
+        let p = state.rollouts.get("s");
         let of = |side: Cohort| {
-            let workers = stage.workers.values().filter(able);
+            let workers = state.workers.values().filter(able);
             workers
                 .filter(|w| p.is_some_and(|p| p.cohort(&w.version) == side))
                 .count()
@@ -305,16 +305,16 @@
             is_behind: self.nodes.iter().any(behind),
             keys_remain: false,
             reported_at: self.reported_at,
-            level: self.levels.clone().check(),
-            kill_switch: stage.kill_switch.as_ref().is_some_and(|k| k.on),
+            level: self.emergency.clone().check(),
+            kill_switch: state.kill_switch.as_ref().is_some_and(|k| k.on),
         }
     }
 
     fn lead(&mut self) {
         let now = self.now;
-        let stage = self.stage();
-        self.critic.follow(now, &stage.rollouts);
-        self.standby.follow(now, &stage.rollouts);
+        let state = self.state();
+        self.watchdog.follow(now, &state.rollouts);
+        self.standby.follow(now, &state.rollouts);
         if now < self.leads_from || now < self.core_cut_until {
             self.unsettled_at = now;
             return;
@@ -323,27 +323,27 @@
             .into_iter()
             .partition(|r| r.0 <= now);
         self.reports = rest;
-        for (_, trials, served, failed) in due {
+        for (_, samples, served, failed) in due {
             self.reported_at = now;
-            self.levels.add(served, failed);
-            self.critic.add(&trials, name_hash);
+            self.emergency.add(served, failed);
+            self.watchdog.add(&samples, name_hash);
         }
         if now % 260 >= STEP {
             return;
         }
-        let level = self.levels.check();
-        for p in stage.rollouts.values().filter(|p| p.is_active()) {
-            let facts = Conditions {
+        let level = self.emergency.check();
+        for p in state.rollouts.values().filter(|p| p.is_active()) {
+            let conditions = Conditions {
                 level,
-                ..self.facts(&stage)
+                ..self.conditions(&state)
             };
-            if let Some(change) = self.critic.decide(now, p, &facts) {
+            if let Some(change) = self.watchdog.decide(now, p, &conditions) {
                 println!("  {} {}", now - self.ordered_at, change.why);
                 self.change(ChangeKind::Rollout(change));
             }
         }
         let ended = |p: &Arc<rollout::Rollout>| p.state_now() == State::Completed;
-        if self.ended_at == 0 && self.stage().rollouts.values().any(ended) {
+        if self.ended_at == 0 && self.state().rollouts.values().any(ended) {
             self.ended_at = now;
         }
     }
@@ -351,10 +351,10 @@
     fn step(&mut self) {
         self.now += STEP;
         let now = self.now;
-        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.flights)
+        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
             .into_iter()
             .partition(|f| f.at <= now);
-        self.flights = rest;
+        self.in_flight = rest;
         for f in due {
             let worker = self.workers.get_mut(&f.worker);
             let new = worker.as_ref().is_some_and(|w| w.new);
@@ -373,8 +373,8 @@
             }
             let node = &mut self.nodes[f.node];
             if node.id == f.life {
-                if let Some(ticket) = &f.ticket {
-                    node.balancer.observe_sample(ticket, f.end);
+                if let Some(label) = &f.label {
+                    node.balancer.observe_sample(label, f.end);
                 }
                 node.balancer.observe(now, &f.worker, f.end);
             }
@@ -386,7 +386,7 @@
             for i in 0..self.nodes.len() {
                 let delay = self.rng.gen_range(100..700);
                 let node = &mut self.nodes[i];
-                let trials = node.balancer.take_samples();
+                let samples = node.balancer.take_samples();
                 let sums = node
                     .balancer
                     .take_observations()
@@ -396,7 +396,7 @@
                         (sum.0 + observation.served, sum.1 + observation.failed)
                     });
                 if node.up_at <= now && node.cut_until <= now && now >= self.core_cut_until {
-                    self.reports.push((now + delay, trials, sums.0, sums.1));
+                    self.reports.push((now + delay, samples, sums.0, sums.1));
                 }
             }
         }
@@ -498,12 +498,12 @@
                 end = Some(AttemptResult::Failed);
                 ms = 300.0;
             }
-            self.flights.push(Flight {
+            self.in_flight.push(InFlight {
                 at: now + ms as u64,
                 node: i,
                 life: self.nodes[i].id,
                 worker: found.id.clone(),
-                ticket: found.label,
+                label: found.label,
                 end: end.unwrap_or(AttemptResult::Answered(ms)),
             });
             // What failed is tried once more, on the old version.
@@ -533,9 +533,9 @@
         );
         assert_eq!(self.lost_sends, 0, "sent to a new version without the core");
         assert_eq!(self.old_after_end, 0, "sent to the old version after its end");
-        let stage = self.stage();
-        let again = ControlState::from_image(stage.image()).expect("readable");
-        assert_eq!(again.rollouts, stage.rollouts, "it survives in a snapshot");
+        let state = self.state();
+        let again = ControlState::from_image(state.image()).expect("readable");
+        assert_eq!(again.rollouts, state.rollouts, "it survives in a snapshot");
     }
 }
 
@@ -543,7 +543,7 @@
     word.and_then(|w| w.parse().ok()).expect("a number")
 }
 
-fn play(text: &str, seed: u64) {
+fn run_scenario(text: &str, seed: u64) {
     let mut fleet = Fleet::new(seed);
     let mut workers = 30;
     for line in text.lines() {
@@ -553,13 +553,13 @@
             continue;
         };
         match *step {
-            "nodes" | "add" => fleet.add_nodes(number(rest.first())),
+            "nodes" | "add-nodes" => fleet.add_nodes(number(rest.first())),
             "workers" => {
                 workers = number(rest.first());
                 fleet.add_workers(workers, false);
             }
             "rate" => fleet.rate = number(rest.first()),
-            "new" => {
+            "new-version" => {
                 fleet.kind = match rest[0] {
                     "good" => Kind::Good,
                     "errors" => Kind::Errors,
@@ -578,10 +578,10 @@
             "again" => fleet.begin("v2", number(rest.first())),
             "begin-other" => fleet.begin("v3", number(rest.first())),
             "run" => fleet.run(number(rest.first())),
-            "lead" => {
+            "lose-leader" => {
                 fleet.leads_from = fleet.now + 900;
-                fleet.critic = std::mem::take(&mut fleet.standby);
-                fleet.levels = EmergencyTracker::default();
+                fleet.watchdog = std::mem::take(&mut fleet.standby);
+                fleet.emergency = EmergencyTracker::default();
                 fleet.reported_at = 0;
             }
             "core-cut" => fleet.core_cut_until = fleet.now + number::<u64>(rest.first()),
@@ -593,7 +593,7 @@
                     }
                 }
             }
-            "herd" => {
+            "restart-nodes" => {
                 let (part, dark) = (number(rest.first()), number::<u64>(rest.get(1)));
                 for i in 0..fleet.nodes.len() {
                     if fleet.rng.gen_bool(part) {
@@ -604,7 +604,7 @@
                 }
             }
             "region-loss" => fleet.dark_zone = Some((1, fleet.now + number::<u64>(rest.first()))),
-            "storm" => {
+            "change-configuration" => {
                 for _ in 0..number::<u64>(rest.first()) {
                     fleet.configure();
                     fleet.run(60);
@@ -624,10 +624,10 @@
                 };
                 fleet.change(ChangeKind::KillSwitch(switch));
             }
-            "say" => fleet.say(Action::from_name(rest[0]).expect("an action")),
+            "operator" => fleet.operate(Action::from_name(rest[0]).expect("an action")),
             "expect" => {
-                let stage = fleet.stage();
-                let p = stage.rollouts.get("s");
+                let state = fleet.state();
+                let p = state.rollouts.get("s");
                 let got = match rest[0] {
                     "refused" => {
                         assert!(fleet.refused.take().is_some(), "`{line}`: it was not refused");
@@ -638,7 +638,7 @@
                 };
                 let elapsed = fleet.now - fleet.ordered_at;
                 assert_eq!(Some(&got), rest.last(), "`{line}` at {elapsed}, level {:?}", {
-                    let level: EmergencyLevel = fleet.levels.clone().check();
+                    let level: EmergencyLevel = fleet.emergency.clone().check();
                     level
                 });
             }
@@ -650,5 +650,5 @@
 
 #[test]
 fn every_rollout() {
-    simulation::script::play_folder("previews", 10, 3, play);
+    simulation::scenario::run_folder("rollout-scenarios", 10, 3, run_scenario);
 }
--- a/crates/simulation/tests/scenarios.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -1,14 +1,14 @@
-//! Plays every scenario under a few seeds.
+//! Runs every scenario under a few seeds.
 
-use simulation::script::{play, play_folder};
+use simulation::scenario::{run_folder, run_scenario};
 
 #[test]
 fn every_scenario() {
-    play_folder("scenarios", 11, 6, play);
+    run_folder("scenarios", 11, 6, run_scenario);
 }
 
 /// The control side of three hundred nodes.
 #[test]
-fn every_crowd() {
-    play_folder("crowds", 1, 1, play);
+fn every_large_scenario() {
+    run_folder("large-scenarios", 1, 1, run_scenario);
 }
