--- a/crates/simulation/examples/capacity.rs
+++ b/crates/simulation/examples/capacity.rs
@@ -414,7 +414,7 @@
     }
 }
 
-/// Bytes of the agreement that the busiest voter and follower send.
+/// Bytes of Raft that the busiest voter and follower send.
 fn agreement() {
     let (mut calm, mut changing, mut follower) = (vec![], vec![], vec![]);
     for nodes in [75usize, 150, 300] {
--- a/crates/simulation/examples/explore.rs
+++ b/crates/simulation/examples/explore.rs
@@ -16,21 +16,21 @@
 use std::time::Instant;
 
 #[derive(Parser)]
-#[command(about = "Plays random worlds and judges what was seen of them")]
+#[command(about = "Runs random worlds and checks what was observed of them")]
 struct Args {
-    /// How many worlds to play.
+    /// How many random worlds to run.
     #[arg(long, default_value_t = 1000)]
     worlds: u64,
     /// The seed of the first world; the others follow one by one.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Threads to play on.
+    /// Threads to use.
     #[arg(long, default_value_t = 2)]
     jobs: usize,
     /// Most steps of a world.
     #[arg(long, default_value_t = 60)]
     steps: usize,
-    /// Plays one world, makes it as small as it fails, and tells what happened.
+    /// Runs one world, makes it as small as it fails, and tells what happened.
     #[arg(long)]
     replay: Option<u64>,
     /// Tells what happened in the whole world, not in the smallest one that fails.
--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -1,12 +1,12 @@
-//! Judges a [`History`]: what operators, nodes, disks and workers saw of one run must
-//! be explained by one register of the configuration that orders replace by compare
+//! Checks a [`History`]: what operators, nodes, disks and workers saw of one run must
+//! be explained by one register of the configuration that commands replace by compare
 //! and set, and by one count of evacuations for each zone.
 //!
-//! Linearizability is costly to decide in general. Here it is cheap: an order to
+//! Linearizability is costly to decide in general. Here it is cheap: a command to
 //! replace names the version that it builds on, so those that were taken form one
 //! chain, and their order is known. What is left is whether each can have taken effect
 //! at one moment between its sending and its first sight, in the order of the chain;
-//! that is an interval for each, narrowed by the replies and the reads. Orders without
+//! that is an interval for each, narrowed by the replies and the reads. Commands without
 //! a clear reply may take effect at any time after they were sent, or never.
 
 mod configuration;
@@ -22,31 +22,31 @@
 pub enum Check {
     /// Replies and reads cannot be explained by one register.
     Register,
-    /// An order that was taken was refused when it came again.
+    /// A command that was taken was refused when it came again.
     TakenRefused,
-    /// A valid order was called invalid.
+    /// A valid command was called invalid.
     ValidRefused,
-    /// Two orders on top of one version were both taken.
+    /// Two commands on top of one version were both taken.
     TwoForOneBase,
-    /// An order came into force after it had been refused.
+    /// A command came into force after it had been refused.
     RefusedInForce,
-    /// An invalid order was acknowledged or is in force.
+    /// An invalid command was acknowledged or is in force.
     InvalidInForce,
     /// A configuration is in force that nobody sent.
     UnknownInForce,
     /// What was acknowledged is gone.
     LostAfterAck,
-    /// An order was acknowledged while too few disks held it.
+    /// A command was acknowledged while too few disks held it.
     TooFewDisks,
     /// A read missed what had been acknowledged before it was sent.
     StaleRead,
     /// Evacuations do not add up, or took effect in an order that nobody saw.
     Evacuations,
-    /// One order took effect more than once.
+    /// One command took effect more than once.
     MoreThanOnce,
     /// A reply reached another caller than the one it was made for.
     WrongCaller,
-    /// A process went back within its life.
+    /// A process went back.
     WentBack,
     /// Two copies differ at the same index.
     CopiesDiffer,
@@ -56,7 +56,7 @@
     TwoHolders,
     /// In calm times nothing could be read back.
     NoReadBack,
-    /// In calm times no valid order was acknowledged.
+    /// In calm times no valid command was acknowledged.
     NotAcknowledged,
 }
 
@@ -81,15 +81,15 @@
     /// Disks that must hold what is acknowledged; 0 if disks saw nothing.
     pub disks: usize,
     /// From then on all is calm: a read that is sent later must be answered, and a
-    /// valid order acknowledged.
+    /// valid command acknowledged.
     pub calm_from: Option<u64>,
-    /// Orders on a zone that are byte for byte alike cannot be told apart on the wire:
+    /// Commands on a zone that are byte for byte alike cannot be told apart on the wire:
     /// one that comes within this time of its like, nothing else about the zone between
-    /// them, is taken for the same order sent again, ms.
+    /// them, is taken for the same command sent again, ms.
     pub alike_ms: u64,
 }
 
-/// An attempt of an operator to have an order carried out.
+/// An attempt of an operator to have a command carried out.
 pub(crate) struct Attempt {
     pub command: u64,
     pub sent: u64,
@@ -99,7 +99,7 @@
     pub heard: Option<(u64, Reply)>,
 }
 
-/// What a node did to the copy of the state for one order.
+/// What a node did to the copy of the state for one command.
 pub(crate) struct Effect {
     pub at: u64,
     pub index: u64,
@@ -223,7 +223,7 @@
     }
 }
 
-/// Lives of processes: nothing goes back, copies are alike, one leads in a term.
+/// Processes: nothing goes back, copies are alike, one leads in a term.
 fn processes(evidence: &mut Evidence) {
     let mut stands: BTreeMap<(&str, u64), (u64, u64)> = BTreeMap::new();
     let mut ended: BTreeSet<(&str, u64)> = BTreeSet::new();
@@ -260,8 +260,8 @@
     }
 }
 
-/// One attempt changes the state at one index at the most, and an index is one order's.
-/// (Whether several attempts of one order may, its kind says.)
+/// One attempt changes the state at one index at the most, and an index is one command's.
+/// (Whether several attempts of one command may, its kind says.)
 fn once(evidence: &mut Evidence) {
     let mut changed_at: BTreeMap<u64, u64> = BTreeMap::new();
     let mut owner: BTreeMap<u64, u64> = BTreeMap::new();
@@ -338,7 +338,7 @@
     }
 }
 
-/// In calm times a read is answered and an order acknowledged.
+/// In calm times a read is answered and a command acknowledged.
 fn answered(evidence: &mut Evidence, from: u64) {
     let status = |a: &Attempt| a.heard.as_ref().map(|(_, r)| r.status);
     let later = || evidence.attempts.values().filter(|a| a.sent >= from);
--- a/crates/simulation/src/checker/configuration.rs
+++ b/crates/simulation/src/checker/configuration.rs
@@ -4,12 +4,12 @@
 use crate::history::{Content, Observation, Request};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Status of an order that was taken, that lost its race, and of an invalid one.
-const TAKEN: u16 = 200;
-const LOST: u16 = 412;
-const INVALID: u16 = 400;
+/// Status of a command that was taken, that lost its race, and of an invalid one.
+const OK: u16 = 200;
+const PRECONDITION_FAILED: u16 = 412;
+const BAD_REQUEST: u16 = 400;
 
-/// What is known of one order, over all its attempts and all who sent it alike.
+/// What is known of one command, over all its attempts and all who sent it alike.
 struct KnownCommand {
     numbers: BTreeSet<u64>,
     valid: bool,
@@ -30,7 +30,7 @@
     content: Option<Content>,
 }
 
-/// An order of the chain, and between which times it took effect.
+/// A command of the chain, and between which times it took effect.
 #[derive(Clone, Copy, Debug)]
 struct Link {
     content: Content,
@@ -68,11 +68,11 @@
         command.first_sent = command.first_sent.min(a.sent);
         let Some((at, reply)) = &a.heard else { continue };
         match reply.status {
-            TAKEN => {
+            OK => {
                 command.in_force = earlier(command.in_force, *at);
                 command.acknowledged = earlier(command.acknowledged, *at);
             }
-            LOST | INVALID => command.refused.push((a.sent, *at, reply.status)),
+            PRECONDITION_FAILED | BAD_REQUEST => command.refused.push((a.sent, *at, reply.status)),
             _ => {}
         }
     }
@@ -142,7 +142,7 @@
     }
 }
 
-/// What must hold of each order for itself, and of two on one base.
+/// What must hold of each command for itself, and of two on one base.
 fn single_orders(evidence: &mut Evidence, known_commands: &BTreeMap<Content, KnownCommand>) {
     let mut on_base: BTreeMap<u64, (Content, u64)> = BTreeMap::new();
     for (content, command) in known_commands {
@@ -156,7 +156,7 @@
             evidence.fail(check, at, what);
         }
         for (_, at, status) in &command.refused {
-            if command.valid && *status == INVALID {
+            if command.valid && *status == BAD_REQUEST {
                 evidence.fail(Check::ValidRefused, *at, format!("version {content} is valid"));
             }
         }
@@ -201,7 +201,7 @@
     }
 }
 
-/// Orders that were taken, from the first on, and those without a clear reply that
+/// Commands that were taken, from the first on, and those without a clear reply that
 /// must have been taken since others build on them.
 fn chain(evidence: &mut Evidence, known_commands: &BTreeMap<Content, KnownCommand>) -> Option<Vec<Link>> {
     let mut taken: BTreeMap<u64, Content> = BTreeMap::new();
@@ -298,7 +298,7 @@
     Done,
 }
 
-/// An order that lost its race found another version than its base: at some moment of
+/// A command that lost its race found another version than its base: at some moment of
 /// each refused attempt the base was not yet, or no longer, in force.
 fn refusals(
     evidence: &mut Evidence,
@@ -308,7 +308,7 @@
     let mut again = false;
     for (content, command) in known_commands {
         for (sent, heard, status) in &command.refused {
-            if *status != LOST {
+            if *status != PRECONDITION_FAILED {
                 continue;
             }
             let base = chain.iter().position(|l| l.content.version == content.base);
--- a/crates/simulation/src/checker/evacuations.rs
+++ b/crates/simulation/src/checker/evacuations.rs
@@ -1,8 +1,8 @@
 //! Evacuations: for each zone a count that a begin raises and a finish lowers, not
-//! below zero. The nodes saw where in the log each order took effect; that order must
+//! below zero. The nodes saw where in the log each command took effect; that order must
 //! explain what the operators heard and what the copies show.
 //!
-//! On the wire these orders carry nothing that tells one from another that is byte for
+//! On the wire these commands carry nothing that tells one from another that is byte for
 //! byte alike. So two alike that follow each other within a time may be counted as one: a
 //! begin only if no finish came between, a finish also if a begin did, for a zone that is
 //! evacuated too long costs work and one taken back too soon breaks a promise. One that
@@ -13,7 +13,7 @@
 use crate::history::{Event, Observation, Request};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What operators know of one order to begin or to finish an evacuation.
+/// What operators know of one command to begin or to finish an evacuation.
 struct KnownCommand {
     zone: String,
     begin: bool,
@@ -111,7 +111,7 @@
     }
 }
 
-/// When each life of a node first stood at an index, or behind it.
+/// When each process of a node first stood at an index, or behind it.
 fn first_seen(evidence: &Evidence) -> Vec<BTreeMap<u64, u64>> {
     let mut processes: BTreeMap<(&str, u64), BTreeMap<u64, u64>> = BTreeMap::new();
     for event in evidence.events {
@@ -123,7 +123,7 @@
     processes.into_values().collect()
 }
 
-/// Copies show what the orders before their index come to.
+/// Copies show what the commands before their index come to.
 fn copies(evidence: &mut Evidence, known_commands: &BTreeMap<u64, KnownCommand>, alike_ms: u64) {
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     // After each index with an effect: the counts of all zones.
--- a/crates/simulation/src/command_handler.rs
+++ b/crates/simulation/src/command_handler.rs
@@ -1,4 +1,4 @@
-//! How a node deals with orders that reach it: carries them out if it leads, or passes
+//! How a node deals with commands that reach it: carries them out if it leads, or passes
 //! them to whom it believes leads, as `pebblepond` does. The log judges them, or a copy
 //! that a majority has confirmed since they came.
 
@@ -14,7 +14,7 @@
 use raft::{is_durable, tolerates_faults, LogPosition, ReadState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What may be wrong with a front, planted to see that the checker finds it.
+/// What may be wrong with a command handler, planted to see that the checker finds it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mutant {
     #[default]
@@ -22,7 +22,7 @@
     /// A leader refuses out of its own copy, without the log, however long it has heard
     /// nobody.
     RefusesByCopy,
-    /// It acknowledges once an order is in its own log.
+    /// It acknowledges once a command is in its own log.
     AcknowledgesEarly,
     /// It answers reads out of its copy, without a round, however long it has heard nobody.
     ReadsCopy,
@@ -31,14 +31,14 @@
     /// Whoever waits for an index is told what came of whatever stands there, also when
     /// another has taken the lead.
     IgnoresTerm,
-    /// Orders without a base carry no tag.
+    /// Commands without a base carry no tag.
     SendsNoTag,
 }
 
-/// An order as it travels.
+/// A command as it travels.
 #[derive(Clone, Debug)]
 pub struct RoutedCommand {
-    /// The number of the order, and of the attempt that it was sent in; the system
+    /// The number of the command, and of the attempt that it was sent in; the system
     /// does not look at them.
     pub number: u64,
     pub attempt: u64,
@@ -48,7 +48,7 @@
     pub tag: Option<CommandTag>,
 }
 
-/// Who waits for an order.
+/// Who waits for a command.
 #[derive(Clone, Debug)]
 pub enum Origin {
     /// The connection of an attempt.
@@ -66,7 +66,7 @@
     /// In the log at an index and term.
     Logged { index: u64, term: u64 },
     /// Taken; waits until it rests on enough copies.
-    Spreading { index: u64, since: u64 },
+    Replicating { index: u64, since: u64 },
     /// Waits for a majority to confirm this copy.
     Reading { token: u64, until: u64 },
 }
@@ -76,11 +76,11 @@
     command: RoutedCommand,
     since: u64,
     phase: Phase,
-    /// A majority has confirmed this copy since the order came.
+    /// A majority has confirmed this copy since the command came.
     confirmation: Confirmation,
 }
 
-/// An order in the log: what it is known by, where it stands.
+/// A command in the log: what it is known by, where it stands.
 struct Proposal {
     key: Option<ConfigurationKey>,
     tag: Option<CommandTag>,
@@ -88,9 +88,9 @@
     term: u64,
 }
 
-/// What a front wants done.
-pub enum Act {
-    /// Sends an order to another node.
+/// What a command handler wants done.
+pub enum HandlerAction {
+    /// Sends a command to another node.
     Pass {
         to: u64,
         id: CallId,
@@ -100,7 +100,7 @@
         origin: Origin,
         reply: Reply,
     },
-    /// An order stands in the log at an index and term.
+    /// A command stands in the log at an index and term.
     Logged {
         index: u64,
         term: u64,
@@ -111,22 +111,22 @@
 
 /// Status of an answer between nodes that says: I do not lead.
 const NOT_LEADER: u16 = 0;
-const TAKEN: u16 = 200;
-const NONE_YET: u16 = 404;
-const LOST: u16 = 412;
+const OK: u16 = 200;
+const NOT_FOUND: u16 = 404;
+const PRECONDITION_FAILED: u16 = 412;
 /// Other nodes may know better.
-const ELSEWHERE: u16 = 307;
+const TEMPORARY_REDIRECT: u16 = 307;
 const UNAVAILABLE: u16 = 503;
 
-/// The orders that one life of a node deals with.
+/// The commands that one process of a node deals with.
 pub struct CommandHandler {
     pub process: u64,
     calls: PendingCalls<u64, u64>,
     running_commands: BTreeMap<u64, RunningCommand>,
     next: u64,
-    /// When orders of the ledger were first seen here, by index.
+    /// When commands of the command history were first seen here, by index.
     commands_seen: BTreeMap<u64, u64>,
-    /// Orders in the log that are not applied yet.
+    /// Commands in the log that are not applied yet.
     pending: Vec<Proposal>,
     mutant: Mutant,
 }
@@ -149,7 +149,7 @@
         }
     }
 
-    /// An order reaches this node.
+    /// A command reaches this node.
     pub fn take(&mut self, now: u64, node: &Process, origin: Origin, mut command: RoutedCommand) {
         self.next += 1;
         if let (Origin::Operator { .. }, Request::Evacuate { zone, begin }) = (&origin, &command.request) {
@@ -177,7 +177,7 @@
     }
 
     /// An answer of another node to what was passed on.
-    pub fn answered(&mut self, now: u64, from: u64, id: CallId, reply: Reply) -> Vec<Act> {
+    pub fn answered(&mut self, now: u64, from: u64, id: CallId, reply: Reply) -> Vec<HandlerAction> {
         let Some(number) = self.calls.finish(&self.peer(from), id, now) else {
             return Vec::new();
         };
@@ -192,7 +192,7 @@
         let Some(running) = self.running_commands.remove(&number) else {
             return Vec::new();
         };
-        vec![Act::Respond {
+        vec![HandlerAction::Respond {
             origin: running.origin,
             reply,
         }]
@@ -208,8 +208,8 @@
     }
 
     /// One step of time, after the node has done what `did` says.
-    pub fn step(&mut self, now: u64, node: &mut Process, step_result: &StepResult) -> Vec<Act> {
-        let mut acts = Vec::new();
+    pub fn step(&mut self, now: u64, node: &mut Process, step_result: &StepResult) -> Vec<HandlerAction> {
+        let mut actions = Vec::new();
         let known: BTreeSet<u64> = node.state.command_history.tagged_indexes().collect();
         self.commands_seen.retain(|index, _| known.contains(index));
         for index in known {
@@ -222,8 +222,8 @@
             let Some(mut running) = self.running_commands.remove(&number) else {
                 continue;
             };
-            match self.advance(now, node, step_result, number, &mut running, &mut acts) {
-                Some(reply) => acts.push(Act::Respond {
+            match self.advance(now, node, step_result, number, &mut running, &mut actions) {
+                Some(reply) => actions.push(HandlerAction::Respond {
                     origin: running.origin,
                     reply,
                 }),
@@ -231,10 +231,10 @@
             }
         }
         self.pending.retain(|p| leads && p.index > stands);
-        acts
+        actions
     }
 
-    /// Brings an order on as far as it goes now; the reply, if that is its end.
+    /// Brings a command on as far as it goes now; the reply, if that is its end.
     fn advance(
         &mut self,
         now: u64,
@@ -242,124 +242,129 @@
         step_result: &StepResult,
         number: u64,
         running: &mut RunningCommand,
-        acts: &mut Vec<Act>,
+        actions: &mut Vec<HandlerAction>,
     ) -> Option<Reply> {
-        let made_for = running.command.attempt;
-        let reply = |status| Reply {
-            status,
-            made_for,
-            read: None,
-        };
-        let from_operator = matches!(running.origin, Origin::Operator { .. });
-        if from_operator && now >= running.since + c::COMMAND_TIMEOUT_MS {
-            return Some(reply(UNAVAILABLE));
+        if running.is_from_operator() && now >= running.since + c::COMMAND_TIMEOUT_MS {
+            return Some(running.reply(UNAVAILABLE));
         }
-        // Who does not lead after all: looks again, or says so to who passed it on.
-        let not_leader = |running: &mut RunningCommand| {
-            running.phase = Phase::Routing {
-                at: now + c::COMMAND_RETRY_MS,
-            };
-            (!from_operator).then(|| reply(NOT_LEADER))
-        };
         match running.phase {
             Phase::Routing { at } if now < at => None,
-            Phase::Routing { .. } => {
-                let silent = match self.mutant {
-                    Mutant::RefusesByCopy | Mutant::ReadsCopy if node.raft.is_leader() => 0,
-                    _ => now.saturating_sub(node.raft.majority_heard_at(now)),
-                };
-                let began = !node.raft.membership().voters.is_empty();
-                if from_operator && began && silent >= c::OUT_OF_CONTACT_MS {
-                    return Some(reply(ELSEWHERE));
-                }
-                if node.raft.is_leader() && (!from_operator || silent < c::ELECTION_TIMEOUT_MS) {
-                    return match self.execute(now, node, running, acts) {
-                        Ok(phase) => {
-                            running.phase = phase;
-                            None
-                        }
-                        Err(NOT_LEADER) => not_leader(running),
-                        Err(status) => {
-                            let read = self.read_back(node).filter(|_| status == TAKEN);
-                            Some(Reply {
-                                read,
-                                ..reply(status)
-                            })
-                        }
-                    };
-                }
-                let leader = node.raft.leader_id();
-                if !from_operator || leader == 0 || node.raft.is_leader() {
-                    return not_leader(running);
-                }
-                let id = self.calls.begin(self.peer(leader), now, number);
-                running.phase = Phase::Called;
-                acts.push(Act::Pass {
-                    to: leader,
-                    id,
-                    command: running.command.clone(),
-                });
-                None
-            }
+            Phase::Routing { .. } => self.route(now, node, number, running, actions),
             Phase::Called => None,
             Phase::Logged { index, term } => {
-                let here = step_result.applied.iter().find(|(i, _, _)| *i == index);
-                match here {
-                    Some((_, t, outcome)) if *t == term || self.mutant == Mutant::IgnoresTerm => {
-                        match outcome {
-                            Some(Outcome::Applied | Outcome::AlreadyApplied)
-                                if self.mutant == Mutant::IgnoresTerm =>
-                            {
-                                Some(reply(TAKEN))
-                            }
-                            Some(Outcome::Applied | Outcome::AlreadyApplied) => {
-                                running.phase = Phase::Spreading { index, since: now };
-                                None
-                            }
-                            Some(outcome) => Some(reply(status_of(outcome))),
-                            None => Some(reply(UNAVAILABLE)),
-                        }
-                    }
-                    Some(_) => not_leader(running),
-                    None if !node.raft.is_leader() && self.mutant != Mutant::IgnoresTerm => {
-                        not_leader(running)
-                    }
-                    None => None,
-                }
+                self.await_applied(now, node, step_result, running, LogPosition { index, term })
             }
-            // An acknowledgement rests on copies that bear any loss inside `Tolerance`, and
-            // waits a little for the nodes in contact to apply it.
-            Phase::Spreading { index, since } => {
-                let raft = &node.raft;
-                if !raft.is_established_leader() {
-                    return not_leader(running);
-                }
-                if !is_durable(raft, index, now, TOLERANCE, c::CONTACT_TIMEOUT_MS) {
-                    return (now >= since + c::COMMAND_TIMEOUT_MS).then(|| reply(UNAVAILABLE));
-                }
-                let voters = raft.membership().voters.iter();
-                let behind = voters
-                    .filter_map(|v| raft.progress(v.id))
-                    .any(|p| now.saturating_sub(p.last_heard) < c::CONTACT_TIMEOUT_MS && p.applied < index);
-                (now >= since + c::APPLY_WAIT_MS || !behind).then(|| reply(TAKEN))
+            Phase::Replicating { index, since } => await_durable(now, node, running, index, since),
+            Phase::Reading { token, until } => {
+                self.await_confirmed(now, node, step_result, running, token, until)
             }
-            Phase::Reading { token, until } => match step_result.reads.iter().find(|r| r.token == token) {
-                Some(ReadState { confirmed: true, .. }) if running.command.request != Request::Read => {
-                    running.confirmation = Confirmation::Confirmed;
-                    running.phase = Phase::Routing { at: now };
+        }
+    }
+
+    /// Executes a command if this node leads, or passes it to whom it believes leads.
+    fn route(
+        &mut self,
+        now: u64,
+        node: &mut Process,
+        number: u64,
+        running: &mut RunningCommand,
+        actions: &mut Vec<HandlerAction>,
+    ) -> Option<Reply> {
+        let is_from_operator = running.is_from_operator();
+        let silent_ms = match self.mutant {
+            Mutant::RefusesByCopy | Mutant::ReadsCopy if node.raft.is_leader() => 0,
+            _ => now.saturating_sub(node.raft.majority_heard_at(now)),
+        };
+        let has_begun = !node.raft.membership().voters.is_empty();
+        if is_from_operator && has_begun && silent_ms >= c::OUT_OF_CONTACT_MS {
+            return Some(running.reply(TEMPORARY_REDIRECT));
+        }
+        if node.raft.is_leader() && (!is_from_operator || silent_ms < c::ELECTION_TIMEOUT_MS) {
+            return match self.execute(now, node, running, actions) {
+                Ok(phase) => {
+                    running.phase = phase;
                     None
                 }
-                Some(ReadState { confirmed: true, .. }) => {
-                    let read = self.read_back(node);
-                    let status = if read.is_some() { TAKEN } else { NONE_YET };
+                Err(NOT_LEADER) => running.not_leader(now),
+                Err(status) => {
+                    let read = self.read_back(node).filter(|_| status == OK);
                     Some(Reply {
                         read,
-                        ..reply(status)
+                        ..running.reply(status)
                     })
                 }
-                None if now < until => None,
-                _ => not_leader(running),
+            };
+        }
+        let leader = node.raft.leader_id();
+        if !is_from_operator || leader == 0 || node.raft.is_leader() {
+            return running.not_leader(now);
+        }
+        let id = self.calls.begin(self.peer(leader), now, number);
+        running.phase = Phase::Called;
+        actions.push(HandlerAction::Pass {
+            to: leader,
+            id,
+            command: running.command.clone(),
+        });
+        None
+    }
+
+    /// Waits until the entry at a position is applied.
+    fn await_applied(
+        &self,
+        now: u64,
+        node: &Process,
+        step_result: &StepResult,
+        running: &mut RunningCommand,
+        position: LogPosition,
+    ) -> Option<Reply> {
+        let ignores_term = self.mutant == Mutant::IgnoresTerm;
+        let mut applied = step_result.applied.iter();
+        match applied.find(|entry| entry.index == position.index) {
+            Some(entry) if entry.term == position.term || ignores_term => match &entry.outcome {
+                Some(Outcome::Applied | Outcome::AlreadyApplied) if ignores_term => Some(running.reply(OK)),
+                Some(Outcome::Applied | Outcome::AlreadyApplied) => {
+                    running.phase = Phase::Replicating {
+                        index: position.index,
+                        since: now,
+                    };
+                    None
+                }
+                Some(outcome) => Some(running.reply(status_of(outcome))),
+                None => Some(running.reply(UNAVAILABLE)),
             },
+            Some(_) => running.not_leader(now),
+            None if !node.raft.is_leader() && !ignores_term => running.not_leader(now),
+            None => None,
+        }
+    }
+
+    /// Waits until a majority has confirmed this copy.
+    fn await_confirmed(
+        &self,
+        now: u64,
+        node: &Process,
+        step_result: &StepResult,
+        running: &mut RunningCommand,
+        token: u64,
+        until: u64,
+    ) -> Option<Reply> {
+        match step_result.reads.iter().find(|r| r.token == token) {
+            Some(ReadState { confirmed: true, .. }) if running.command.request != Request::Read => {
+                running.confirmation = Confirmation::Confirmed;
+                running.phase = Phase::Routing { at: now };
+                None
+            }
+            Some(ReadState { confirmed: true, .. }) => {
+                let read = self.read_back(node);
+                let status = if read.is_some() { OK } else { NOT_FOUND };
+                Some(Reply {
+                    read,
+                    ..running.reply(status)
+                })
+            }
+            None if now < until => None,
+            _ => running.not_leader(now),
         }
     }
 
@@ -379,13 +384,13 @@
         }
     }
 
-    /// Carries an order out on the leader: how it goes on, or the status that ends it.
+    /// Executes a command on the leader: how it goes on, or the status that ends it.
     fn execute(
         &mut self,
         now: u64,
         node: &mut Process,
         running: &RunningCommand,
-        acts: &mut Vec<Act>,
+        actions: &mut Vec<HandlerAction>,
     ) -> Result<Phase, u16> {
         if !node.raft.is_established_leader() {
             return Err(NOT_LEADER);
@@ -393,56 +398,88 @@
         if running.command.request != Request::Read && !tolerates_faults(node.raft.membership(), TOLERANCE) {
             return Err(UNAVAILABLE);
         }
-        let (kind, key, tag) = match &running.command.request {
+        match &running.command.request {
             Request::Read if self.mutant == Mutant::ReadsCopy => {
-                return Err(if node.state.version() > 0 { TAKEN } else { NONE_YET });
-            }
-            Request::Read => return Ok(self.confirm(now, node)),
-            Request::Replace { content, .. } => {
-                let replace = ConfigurationCommand {
-                    base: content.base,
-                    body: running.command.body.clone(),
-                    ..Default::default()
-                };
-                if self.mutant == Mutant::RefusesByCopy && content.base != node.state.version() {
-                    return Err(LOST);
-                }
-                match node.state.judge(&replace, running.confirmation) {
-                    Judgement::Log => {}
-                    Judgement::Confirm => return Ok(self.confirm(now, node)),
-                    // Taken before: it stands at or below what is committed.
-                    Judgement::Final(Outcome::AlreadyApplied | Outcome::Applied) => {
-                        let index = node.raft.commit_index();
-                        return Ok(Phase::Spreading { index, since: now });
-                    }
-                    Judgement::Final(outcome) => return Err(status_of(&outcome)),
-                }
-                let key = configuration_key(&replace);
-                if let Some(p) = self.pending.iter().find(|p| p.key.as_ref() == Some(&key)) {
-                    return Ok(Phase::Logged {
-                        index: p.index,
-                        term: p.term,
-                    });
-                }
-                (ChangeKind::Replace(replace), Some(key), None)
+                Err(if node.state.version() > 0 { OK } else { NOT_FOUND })
             }
+            Request::Read => Ok(self.confirm(now, node)),
+            Request::Replace { content, .. } => self.replace(now, node, running, content.base, actions),
             Request::Evacuate { zone, begin } => {
-                let tag = running.command.tag.clone().map(|tag| {
-                    let pending = self.pending.iter();
-                    let pending = pending.filter_map(|p| Some((p.index, p.tag.as_ref()?)));
-                    let recent = |index: u64| {
-                        let at = self.commands_seen.get(&index);
-                        at.is_some_and(|at| now.saturating_sub(*at) < c::REPEATED_COMMAND_MS)
-                    };
-                    let again = node.state.command_history.recent_like(&tag, pending, recent);
-                    CommandTag {
-                        repeats: again.unwrap_or(0),
-                        ..tag
-                    }
-                });
-                (ChangeKind::Evacuate(evacuation(zone, *begin)), None, tag)
+                let tag = running.command.tag.clone();
+                let tag = tag.map(|tag| self.with_repeats(now, node, tag));
+                let kind = ChangeKind::Evacuate(evacuation(zone, *begin));
+                self.propose(node, running, kind, None, tag, actions)
+            }
+        }
+    }
+
+    fn replace(
+        &mut self,
+        now: u64,
+        node: &mut Process,
+        running: &RunningCommand,
+        base: u64,
+        actions: &mut Vec<HandlerAction>,
+    ) -> Result<Phase, u16> {
+        let replace = ConfigurationCommand {
+            base,
+            body: running.command.body.clone(),
+            ..Default::default()
+        };
+        if self.mutant == Mutant::RefusesByCopy && base != node.state.version() {
+            return Err(PRECONDITION_FAILED);
+        }
+        match node.state.judge(&replace, running.confirmation) {
+            Judgement::Log => {}
+            Judgement::Confirm => return Ok(self.confirm(now, node)),
+            // Applied before: it stands at or below what is committed.
+            Judgement::Final(Outcome::AlreadyApplied | Outcome::Applied) => {
+                let index = node.raft.commit_index();
+                return Ok(Phase::Replicating { index, since: now });
             }
+            Judgement::Final(outcome) => return Err(status_of(&outcome)),
+        }
+        let key = configuration_key(&replace);
+        if let Some(same) = self.pending.iter().find(|p| p.key.as_ref() == Some(&key)) {
+            return Ok(Phase::Logged {
+                index: same.index,
+                term: same.term,
+            });
+        }
+        self.propose(
+            node,
+            running,
+            ChangeKind::Replace(replace),
+            Some(key),
+            None,
+            actions,
+        )
+    }
+
+    /// A tag that says which recent command it most likely repeats.
+    fn with_repeats(&self, now: u64, node: &Process, tag: CommandTag) -> CommandTag {
+        let pending = self.pending.iter();
+        let pending = pending.filter_map(|p| Some((p.index, p.tag.as_ref()?)));
+        let is_recent = |index: u64| {
+            let seen_at = self.commands_seen.get(&index);
+            seen_at.is_some_and(|at| now.saturating_sub(*at) < c::REPEATED_COMMAND_MS)
         };
+        let repeated = node.state.command_history.recent_like(&tag, pending, is_recent);
+        CommandTag {
+            repeats: repeated.unwrap_or(0),
+            ..tag
+        }
+    }
+
+    fn propose(
+        &mut self,
+        node: &mut Process,
+        running: &RunningCommand,
+        kind: ChangeKind,
+        key: Option<ConfigurationKey>,
+        tag: Option<CommandTag>,
+        actions: &mut Vec<HandlerAction>,
+    ) -> Result<Phase, u16> {
         let data = Change::encode_tagged(node.state.compact_for_log(kind), tag.clone());
         let LogPosition { index, term } = node.raft.propose(data).ok_or(NOT_LEADER)?;
         self.pending.push(Proposal {
@@ -451,19 +488,64 @@
             index,
             term,
         });
-        acts.push(Act::Logged {
+        actions.push(HandlerAction::Logged {
             index,
             term,
             command: running.command.number,
             attempt: running.command.attempt,
         });
         if self.mutant == Mutant::AcknowledgesEarly {
-            return Err(TAKEN);
+            return Err(OK);
         }
         Ok(Phase::Logged { index, term })
     }
 }
 
+impl RunningCommand {
+    fn is_from_operator(&self) -> bool {
+        matches!(self.origin, Origin::Operator { .. })
+    }
+
+    fn reply(&self, status: u16) -> Reply {
+        Reply {
+            status,
+            made_for: self.command.attempt,
+            read: None,
+        }
+    }
+
+    /// A node that does not lead after all looks again, or says so to who passed the command on.
+    fn not_leader(&mut self, now: u64) -> Option<Reply> {
+        self.phase = Phase::Routing {
+            at: now + c::COMMAND_RETRY_MS,
+        };
+        (!self.is_from_operator()).then(|| self.reply(NOT_LEADER))
+    }
+}
+
+/// Waits until a change is acknowledged: an acknowledgement rests on copies that survive any loss
+/// inside the tolerance, and waits a little for the nodes in contact to apply it.
+fn await_durable(
+    now: u64,
+    node: &Process,
+    running: &mut RunningCommand,
+    index: u64,
+    since: u64,
+) -> Option<Reply> {
+    let raft = &node.raft;
+    if !raft.is_established_leader() {
+        return running.not_leader(now);
+    }
+    if !is_durable(raft, index, now, TOLERANCE, c::CONTACT_TIMEOUT_MS) {
+        return (now >= since + c::COMMAND_TIMEOUT_MS).then(|| running.reply(UNAVAILABLE));
+    }
+    let voters = raft.membership().voters.iter();
+    let is_behind = voters
+        .filter_map(|v| raft.progress(v.id))
+        .any(|p| now.saturating_sub(p.last_heard) < c::CONTACT_TIMEOUT_MS && p.applied < index);
+    (now >= since + c::APPLY_WAIT_MS || !is_behind).then(|| running.reply(OK))
+}
+
 fn evacuation(zone: &str, begin: bool) -> EvacuationChange {
     EvacuationChange {
         zone: zone.into(),
@@ -471,11 +553,11 @@
     }
 }
 
-/// The status that tells what came of an order.
+/// The status that tells what came of a command.
 fn status_of(outcome: &Outcome) -> u16 {
     match outcome {
-        Outcome::Applied | Outcome::AlreadyApplied => TAKEN,
-        Outcome::Conflict(_) => LOST,
+        Outcome::Applied | Outcome::AlreadyApplied => OK,
+        Outcome::Conflict(_) => PRECONDITION_FAILED,
         Outcome::Invalid(_) => 400,
         Outcome::RolloutRejected(_) => 409,
         Outcome::Undecidable => UNAVAILABLE,
--- /dev/null
+++ b/crates/simulation/src/exploration/faults.rs
@@ -0,0 +1,474 @@
+//! The faults of a run: what they do, when they end, and what may be lost at once.
+
+use super::delivery::InFlight;
+use super::{region, Exploration, CATCH_UP_MS};
+use crate::cluster::STEP_MS;
+use crate::history::Observation;
+use crate::plan::{Direction, Fault};
+use protocol::{Change, ChangeKind, EjectionChange};
+use std::collections::BTreeSet;
+
+/// A process that was told to end does so after this time, ms.
+const GRACE_MS: u64 = 3000;
+
+/// Machines that may join in a run, beside those it begins with.
+const MAX_JOINS: u8 = 3;
+/// Workers that a run may come to have.
+const MAX_WORKERS: usize = 6;
+
+/// What happens by itself at a time.
+pub(super) enum ScheduledEvent {
+    Start(String),
+    Unfreeze(String),
+    Kill(String, u64),
+    Remove(String, u64),
+    Join(String, String),
+    /// Links carry again; the machines that counted as lost meanwhile.
+    Heal(Vec<(String, String)>, Vec<String>),
+    DiskRecovered(String),
+    LinksRecovered,
+}
+
+impl Exploration {
+    /// The machine that a plan names, if it is there.
+    pub(super) fn machine(&self, number: u8) -> Option<String> {
+        let present: Vec<&String> = self
+            .machines
+            .iter()
+            .filter(|n| self.cluster.nodes.contains_key(*n))
+            .collect();
+        (!present.is_empty()).then(|| present[number as usize % present.len()].clone())
+    }
+
+    pub(super) fn is_lost(&self, name: &str) -> bool {
+        self.faults_in_force.get(name).is_some_and(|n| *n > 0)
+            || self.lost.get(name).is_some_and(|until| self.cluster.now < *until)
+    }
+
+    /// Whether losing these disks now is within what may be lost at once: one
+    /// machine, or one region, together with all that is lost already.
+    pub(super) fn may_lose(&self, names: &[String]) -> bool {
+        let mut lost: BTreeSet<&String> = names.iter().collect();
+        let counts = |n: &&String| self.has_disk(n) && self.is_lost(n);
+        lost.extend(self.machines.iter().filter(counts));
+        let region = |n: &&String| self.cluster.nodes.get(*n).map(|n| n.region.clone());
+        let mut regions: BTreeSet<Option<String>> = lost.iter().map(region).collect();
+        // A machine that is gone counts until its successor has caught up.
+        regions.extend(self.successors.values().cloned().map(Some));
+        lost.len() + self.successors.len() <= 1 || regions.len() <= 1
+    }
+
+    /// Stops the time to catch up of lost disks while too much is lost.
+    pub(super) fn extend_catch_up(&mut self) {
+        if self.lost_disks.is_empty() || self.may_lose(&[]) {
+            let lost: BTreeSet<String> = self
+                .lost_disks
+                .iter()
+                .filter(|n| self.is_lost(n))
+                .cloned()
+                .collect();
+            self.lost_disks = lost;
+            return;
+        }
+        for name in &self.lost_disks {
+            if let Some(until) = self.lost.get_mut(name) {
+                *until += STEP_MS;
+            }
+        }
+    }
+
+    pub(super) fn begin_fault(&mut self, name: &str) {
+        *self.faults_in_force.entry(name.into()).or_default() += 1;
+    }
+
+    pub(super) fn fault_ended(&mut self, name: &str) {
+        if let Some(n) = self.faults_in_force.get_mut(name) {
+            *n = n.saturating_sub(1);
+        }
+        self.lost.insert(name.into(), self.cluster.now + CATCH_UP_MS);
+    }
+
+    pub(super) fn is_up(&self, name: &str) -> bool {
+        self.cluster.nodes.get(name).is_some_and(|n| n.process.is_some())
+    }
+
+    pub(super) fn schedule(&mut self, ms: u64, event: ScheduledEvent) {
+        self.scheduled.push((self.cluster.now + ms, event));
+    }
+
+    /// Ends a process that runs; it starts again after a pause.
+    pub(super) fn stop_machine(&mut self, name: &str, how: &'static str, pause: u64) {
+        if !self.is_up(name) {
+            return;
+        }
+        let process = self.process(name);
+        match how {
+            "killed" => self.cluster.end(name, false),
+            "power lost" => self.cluster.end(name, true),
+            _ => {
+                self.cluster.wipe(name);
+                self.coverage.wipes += 1;
+                self.lost_disks.insert(name.into());
+                self.synced.remove(name);
+            }
+        }
+        self.handlers.remove(name);
+        self.record(name, Observation::ProcessEnded { process, how });
+        self.begin_fault(name);
+        // A process that stood still stands still no more once it is gone.
+        self.cluster.frozen.remove(name);
+        self.schedule(pause, ScheduledEvent::Start(name.into()));
+    }
+
+    pub(super) fn on_scheduled(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Start(name) => {
+                if self.cluster.nodes.contains_key(&name) {
+                    self.cluster.start(&name);
+                    self.process_started(&name);
+                    self.fault_ended(&name);
+                }
+            }
+            ScheduledEvent::Unfreeze(name) => {
+                self.cluster.frozen.remove(&name);
+                self.record(
+                    &name,
+                    Observation::FaultInjected {
+                        what: "thawed".into(),
+                    },
+                );
+                self.fault_ended(&name);
+            }
+            ScheduledEvent::Kill(name, pause) => self.stop_machine(&name, "killed", pause),
+            ScheduledEvent::Remove(name, pause) => self.remove(&name, pause),
+            ScheduledEvent::Join(name, region) => {
+                self.successors.remove(&name);
+                self.lost_disks.insert(name.clone());
+                self.add(&name, &region, true, false);
+                self.fault_ended(&name);
+            }
+            ScheduledEvent::Heal(links, counted) => {
+                for link in links {
+                    self.cluster.blocked_links.remove(&link);
+                    let (to, carries) = (link.1, true);
+                    self.record(&link.0, Observation::Link { to, carries });
+                }
+                for name in counted {
+                    self.fault_ended(&name);
+                }
+            }
+            ScheduledEvent::DiskRecovered(name) => {
+                if let Some(disk) = self.cluster.nodes.get_mut(&name).and_then(|n| n.disk.as_mut()) {
+                    (disk.slow_ms, disk.stuck) = (0, false);
+                }
+                self.record(
+                    &name,
+                    Observation::FaultInjected {
+                        what: "disk well".into(),
+                    },
+                );
+                self.fault_ended(&name);
+            }
+            ScheduledEvent::LinksRecovered => self.loss_percent = 0,
+        }
+    }
+
+    /// Cuts links for a time, in which some machines count as lost.
+    pub(super) fn cut(&mut self, links: Vec<(String, String)>, counted: Vec<String>, duration_ms: u64) {
+        // A link that is cut already stays with the first cut.
+        let new: Vec<(String, String)> = links
+            .into_iter()
+            .filter(|l| self.cluster.blocked_links.insert(l.clone()))
+            .collect();
+        for (a, b) in &new {
+            let (to, carries) = (b.clone(), false);
+            self.record(a, Observation::Link { to, carries });
+        }
+        for name in &counted {
+            self.begin_fault(name);
+        }
+        self.schedule(duration_ms, ScheduledEvent::Heal(new, counted));
+    }
+
+    /// Lets a fault happen, as far as what it needs is there and may be lost.
+    pub(super) fn inject(&mut self, fault: Fault) {
+        match fault {
+            Fault::Kill { target, pause } => self.stop_one(target, "killed", pause),
+            Fault::Power { target, pause } => self.stop_one(target, "power lost", pause),
+            Fault::All { power, pause } => {
+                let how = if power { "power lost" } else { "killed" };
+                self.stop_all(how, pause);
+            }
+            Fault::Wipe { target, pause } => {
+                self.lose_disk(target, pause);
+            }
+            Fault::WipeAndAll { target, pause } => {
+                if self.lose_disk(target, pause) {
+                    self.stop_all("power lost", pause);
+                }
+            }
+            Fault::WipeRegion {
+                region: number,
+                pause,
+            } => self.lose_disks_of_region(&region(number), pause),
+            Fault::Cut {
+                a,
+                b,
+                way,
+                duration_ms,
+            } => self.cut_pair(a, b, way, duration_ms),
+            Fault::Isolate {
+                target,
+                way,
+                duration_ms,
+            } => {
+                if let Some(name) = self.machine(target) {
+                    self.cut_off(&BTreeSet::from([name]), way, duration_ms);
+                }
+            }
+            Fault::Split {
+                region: number,
+                duration_ms,
+            } => {
+                let names = self.machines_of_region(&region(number)).into_iter().collect();
+                self.cut_off(&names, Direction::Both, duration_ms);
+            }
+            Fault::Freeze { target, duration_ms } => self.freeze(target, duration_ms),
+            Fault::SlowDisk {
+                target,
+                by,
+                duration_ms,
+            } => self.impair_disk(target, Some(by), duration_ms),
+            Fault::StuckDisk { target, duration_ms } => self.impair_disk(target, None, duration_ms),
+            Fault::Reset { a, b } => self.reset_connections(a, b),
+            Fault::Replace {
+                target,
+                graceful,
+                pause,
+            } => self.replace(target, graceful, pause),
+            Fault::Restart { target, pause } => {
+                if let Some(name) = self.machine(target) {
+                    self.begin_shutdown(&name, ScheduledEvent::Kill(name.clone(), pause));
+                }
+            }
+            Fault::Join { region: number } => {
+                if self.joined < MAX_JOINS {
+                    self.joined += 1;
+                    let name = format!("j{}", self.joined);
+                    self.add(&name, &region(number), true, false);
+                    self.fault_ended(&name);
+                }
+            }
+            Fault::Fill { count } => self.fill_log(count),
+            Fault::Worker { target, what } => self.change_worker(target, what),
+            Fault::Lossy { percent, duration_ms } => {
+                self.loss_percent = percent;
+                let what = format!("{percent} of a hundred calls lost");
+                self.record("world", Observation::FaultInjected { what });
+                self.schedule(duration_ms, ScheduledEvent::LinksRecovered);
+            }
+        }
+    }
+
+    fn stop_one(&mut self, target: u8, how: &'static str, pause: u64) {
+        if let Some(name) = self.machine(target) {
+            self.stop_machine(&name, how, pause);
+        }
+    }
+
+    fn stop_all(&mut self, how: &'static str, pause: u64) {
+        for name in self.machines.clone() {
+            self.stop_machine(&name, how, pause);
+        }
+    }
+
+    /// Loses a machine's disk, if that is within what may be lost; whether it was.
+    fn lose_disk(&mut self, target: u8, pause: u64) -> bool {
+        let Some(name) = self.machine(target).filter(|n| self.has_disk(n) && self.is_up(n)) else {
+            return false;
+        };
+        if !self.may_lose(std::slice::from_ref(&name)) {
+            return false;
+        }
+        self.stop_machine(&name, "disk lost", pause);
+        true
+    }
+
+    fn lose_disks_of_region(&mut self, region: &str, pause: u64) {
+        let mut names = self.machines_of_region(region);
+        names.retain(|name| self.has_disk(name));
+        if self.may_lose(&names) {
+            for name in names {
+                self.stop_machine(&name, "disk lost", pause);
+            }
+        }
+    }
+
+    fn machines_of_region(&self, region: &str) -> Vec<String> {
+        let is_there = |name: &&String| {
+            let node = self.cluster.nodes.get(*name);
+            node.is_some_and(|node| node.region == region)
+        };
+        self.machines.iter().filter(is_there).cloned().collect()
+    }
+
+    fn cut_pair(&mut self, a: u8, b: u8, way: Direction, duration_ms: u64) {
+        let (Some(a), Some(b)) = (self.machine(a), self.machine(b)) else {
+            return;
+        };
+        if a != b {
+            let mut links = vec![(a.clone(), b.clone())];
+            if way == Direction::Both {
+                links.push((b.clone(), a.clone()));
+            }
+            self.cut(links, vec![a, b], duration_ms);
+        }
+    }
+
+    fn freeze(&mut self, target: u8, duration_ms: u64) {
+        let Some(name) = self.machine(target).filter(|n| self.is_up(n)) else {
+            return;
+        };
+        if self.cluster.frozen.insert(name.clone()) {
+            let what = "frozen".into();
+            self.record(&name, Observation::FaultInjected { what });
+            self.begin_fault(&name);
+            self.schedule(duration_ms, ScheduledEvent::Unfreeze(name));
+        }
+    }
+
+    /// Slows a disk down by so many ms, or lets it hang.
+    fn impair_disk(&mut self, target: u8, slow_ms: Option<u64>, duration_ms: u64) {
+        let Some(name) = self.machine(target).filter(|n| self.has_disk(n)) else {
+            return;
+        };
+        let Some(disk) = self.cluster.nodes.get_mut(&name).and_then(|n| n.disk.as_mut()) else {
+            return;
+        };
+        let what = match slow_ms {
+            Some(by) => {
+                disk.slow_ms = by;
+                format!("disk slow by {by} ms")
+            }
+            None => {
+                disk.stuck = true;
+                "disk stuck".into()
+            }
+        };
+        self.record(&name, Observation::FaultInjected { what });
+        self.begin_fault(&name);
+        self.schedule(duration_ms, ScheduledEvent::DiskRecovered(name));
+    }
+
+    /// Loses what is on its way between two machines.
+    fn reset_connections(&mut self, a: u8, b: u8) {
+        let (Some(a), Some(b)) = (self.machine(a), self.machine(b)) else {
+            return;
+        };
+        self.cluster.reset(&a, &b);
+        let is_this_link = |x: &str, y: &str| x == a && y == b || x == b && y == a;
+        self.in_flight.retain(|(_, message)| match message {
+            InFlight::Call { from, to, .. } => !is_this_link(from, to),
+            _ => true,
+        });
+        let what = format!("connections to {b} reset");
+        self.record(&a, Observation::FaultInjected { what });
+    }
+
+    fn replace(&mut self, target: u8, graceful: bool, pause: u64) {
+        let Some(name) = self.machine(target).filter(|n| self.has_disk(n)) else {
+            return;
+        };
+        let removal = ScheduledEvent::Remove(name.clone(), pause);
+        if graceful {
+            self.begin_shutdown(&name, removal);
+        } else {
+            self.on_scheduled(removal);
+        }
+    }
+
+    /// Lets the leader log so many changes of its own.
+    fn fill_log(&mut self, count: u8) {
+        let leader = self
+            .cluster
+            .leader_name()
+            .and_then(|n| self.cluster.nodes.get_mut(&n));
+        let Some(process) = leader.and_then(|n| n.process.as_mut()) else {
+            return;
+        };
+        for i in 0..count {
+            let workers = vec![format!("b{i}")];
+            let change = ChangeKind::Ejections(EjectionChange { workers });
+            process.raft.propose(Change::encode(change));
+        }
+    }
+
+    /// A worker ends at once (0), drains (1), or another starts (2).
+    fn change_worker(&mut self, target: u8, what: u8) {
+        let count = self.cluster.workers.len();
+        match self.cluster.workers.get_mut(&format!("w{target}")) {
+            // What starts is another worker and holds nothing.
+            _ if what == 2 && (1..MAX_WORKERS).contains(&count) => self.worker(&format!("w{count}")),
+            Some(worker) if what == 0 => worker.up = false,
+            Some(worker) if what == 1 => worker.listed.draining = true,
+            _ => {}
+        }
+    }
+
+    /// Tells a process to end, and ends it when half of its grace period is over.
+    pub(super) fn begin_shutdown(&mut self, name: &str, event: ScheduledEvent) {
+        let Some(process) = self.cluster.nodes.get_mut(name).and_then(|n| n.process.as_mut()) else {
+            return;
+        };
+        process.shutting_down = true;
+        let what = "told to end".into();
+        self.record(name, Observation::FaultInjected { what });
+        self.schedule(GRACE_MS, event);
+    }
+
+    /// Removes a machine for good, if that is within what may be lost; a successor
+    /// starts after a pause.
+    pub(super) fn remove(&mut self, name: &str, pause: u64) {
+        if self.joined >= MAX_JOINS || !self.has_disk(name) || !self.may_lose(&[name.to_string()]) {
+            return self.stop_machine(name, "killed", pause);
+        }
+        let region = self.cluster.nodes[name].region.clone();
+        if self.is_up(name) {
+            self.stop_machine(name, "disk lost", pause);
+        }
+        self.cluster.nodes.remove(name);
+        self.synced.remove(name);
+        let what = "gone for good".into();
+        self.record(name, Observation::FaultInjected { what });
+        self.joined += 1;
+        let next = format!("j{}", self.joined);
+        self.successors.insert(next.clone(), region.clone());
+        self.machines.retain(|n| n != name);
+        self.schedule(pause, ScheduledEvent::Join(next, region));
+    }
+
+    pub(super) fn has_disk(&self, name: &str) -> bool {
+        self.cluster.nodes.get(name).is_some_and(|n| n.disk.is_some())
+    }
+
+    /// Cuts some machines off from all others.
+    pub(super) fn cut_off(&mut self, names: &BTreeSet<String>, way: Direction, duration_ms: u64) {
+        let others: Vec<String> = self
+            .machines
+            .iter()
+            .filter(|n| !names.contains(*n))
+            .cloned()
+            .collect();
+        let mut links = Vec::new();
+        for (name, other) in names.iter().flat_map(|n| others.iter().map(move |o| (n, o))) {
+            if way != Direction::In {
+                links.push((name.clone(), other.clone()));
+            }
+            if way != Direction::Out {
+                links.push((other.clone(), name.clone()));
+            }
+        }
+        // Who is cut off counts as lost, those on the other side do not.
+        self.cut(links, names.iter().cloned().collect(), duration_ms);
+    }
+}
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -52,7 +52,7 @@
 /// One thing that somebody saw.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// An operator sends an order, or the same order again, to a node.
+    /// An operator sends a command, or the same command again, to a node.
     Sent {
         command: u64,
         attempt: u64,
@@ -63,7 +63,7 @@
     ReplyReceived { attempt: u64, reply: Reply },
     /// An operator waits for an attempt no longer. What became of it is unknown.
     RequestTimedOut { attempt: u64 },
-    /// A process began; lives of one node are numbered.
+    /// A process began; processes of one node are numbered.
     ProcessStarted { process: u64 },
     /// It ended: killed, or its power lost, or its disk too.
     ProcessEnded { process: u64, how: &'static str },
@@ -75,7 +75,7 @@
     ReplySent { attempt: u64, status: u16 },
     /// It has applied the log up to an index.
     Applied { process: u64, replica: Replica },
-    /// It has applied one order, and whether that changed anything.
+    /// It has applied one command, and whether that changed anything.
     Effect {
         process: u64,
         index: u64,
@@ -136,7 +136,7 @@
     }
 
     /// The history for a person to read: without what disks report, and of what copies
-    /// show only who was first to apply an order, or to stand at an index that changed
+    /// show only who was first to apply a command, or to stand at an index that changed
     /// the configuration or a zone.
     pub fn trace(&self) -> String {
         let mut lines = String::new();
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -1,4 +1,4 @@
-//! Plans of random worlds: what operators send and what strikes the machines, step by
+//! Plans of random runs: what operators send and what strikes the machines, step by
 //! step. A plan is plain data, so that a failing one can be made smaller.
 
 use proptest::prelude::*;
@@ -113,7 +113,7 @@
     },
     /// Calls and answers between nodes are lost, or come twice, of a hundred.
     Lossy {
-        of_hundred: u8,
+        percent: u8,
         duration_ms: u64,
     },
 }
@@ -156,7 +156,7 @@
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Machines with a disk at the start; they go round three regions. So many that
-    /// they bear the loss of one (four would not).
+    /// they tolerate the loss of one (four would not).
     pub disks: u8,
     /// Machines without.
     pub others: u8,
@@ -196,7 +196,7 @@
         1 => region().prop_map(|region| Fault::Join { region }),
         1 => (5..60u8).prop_map(|count| Fault::Fill { count }),
         1 => (0..3u8, 0..3u8).prop_map(|(target, what)| Fault::Worker { target, what }),
-        1 => (1..40u8, duration_ms()).prop_map(|(of_hundred, duration_ms)| Fault::Lossy { of_hundred, duration_ms }),
+        1 => (1..40u8, duration_ms()).prop_map(|(percent, duration_ms)| Fault::Lossy { percent, duration_ms }),
     ]
 }
 
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -16,7 +16,7 @@
 //! expect leader | no-leader | answer NAME OUTCOME | version N [NODE...] | current NODE...
 //! many-learners 291          machines without a disk, over regions r1 to r3
 //! region lose-power r2 | region start all | rolling-restart 30   many machines; one after the other
-//! measure                    counts the bytes of the agreement from now on
+//! measure                    counts the bytes of Raft from now on
 //! expect all-current | voter-bytes N | node-bytes N        at the most, a second
 //! call-lag 1200              calls to workers take up to so much longer
 //! configuration-routes 300 [all]  configurations have so many routes from now on; each
@@ -44,7 +44,7 @@
     last_leader: String,
 }
 
-/// Plays every scenario of a folder of this crate under a few seeds.
+/// Runs every scenario of a folder of this crate under a few seeds.
 pub fn run_folder(folder: &str, least: usize, seeds: u64, run_scenario: impl Fn(&str, u64)) {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join(folder);
     let mut files: Vec<_> = std::fs::read_dir(folder)
@@ -63,7 +63,7 @@
     }
 }
 
-/// Plays a scenario; a step that fails ends the test with its line.
+/// Runs a scenario; a step that fails ends the test with its line.
 pub fn run_scenario(text: &str, seed: u64) {
     let mut player = ScenarioRunner {
         cluster: Cluster::new(seed),
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -1,4 +1,4 @@
-//! Stand-in workers that hold keys, as the protocol lays it down.
+//! Simulated workers that hold keys, as the protocol lays it down.
 
 use key_ownership::{GrantResult, ReleaseResult};
 use protocol::{KeyLease, Worker};
--- a/crates/simulation/tests/catch_up.rs
+++ b/crates/simulation/tests/catch_up.rs
@@ -37,7 +37,7 @@
     cluster
 }
 
-/// Orders a version on top of the one before, until it is taken.
+/// Commands a version on top of the one before, until it is taken.
 fn change(cluster: &mut Cluster, version: u64, routes: u64) {
     let name = format!("to-{version}");
     let body = large_configuration(version, routes, false);
--- a/crates/simulation/tests/checker.rs
+++ b/crates/simulation/tests/checker.rs
@@ -547,7 +547,7 @@
     prop::collection::vec(one, 1..40)
 }
 
-/// Plays attempts against a register that does what it should.
+/// Runs attempts against a register that does what it should.
 fn outcome(mut tries: Vec<Try>) -> History {
     tries.sort_by_key(|t| t.at);
     // What happens when: 0 sent, 1 at the register, 2 heard.
--- a/crates/simulation/tests/explore.rs
+++ b/crates/simulation/tests/explore.rs
@@ -1,6 +1,6 @@
-//! Random worlds under fixed seeds: the system breaks no promise, and real faults that
-//! are planted into how nodes deal with orders are found by the checker. Longer searches:
-//! `cargo run --release -p pebblepond-simulation --example explore -- --worlds 100000`.
+//! Random runs under fixed seeds: the system breaks no promise, and real faults that
+//! are planted into how nodes deal with commands are found by the checker. Longer searches:
+//! `cargo run --release -p pebblepond-simulation --example explore -- --runs 100000`.
 
 use proptest::strategy::Strategy;
 use proptest::test_runner::{Config, RngSeed, TestCaseError, TestRunner};
@@ -9,9 +9,9 @@
 use simulation::plan::{plans, Direction, Fault, OperatorRequest, Plan, PlanTree, Step, StepAction};
 use std::time::{Duration, Instant};
 
-/// Most steps of a world.
+/// Most steps of a run.
 const STEPS: usize = 40;
-/// Worlds of each search: some seconds in a test build.
+/// Runs of each search: some seconds in a test build.
 const WORLDS: u32 = 60;
 
 fn is_evacuation(what: &StepAction) -> bool {
@@ -24,7 +24,7 @@
     )
 }
 
-/// Machines that join, or go and are replaced: the roll changes for other reasons than
+/// Machines that join, or go and are replaced: the membership changes for other reasons than
 /// losses of disks.
 fn changes_machines(what: &StepAction) -> bool {
     matches!(
@@ -73,8 +73,8 @@
     search(3, is_evacuation);
 }
 
-/// Worlds in which a planted fault has its chance: no machine joins or goes for good, and
-/// if wanted each order is followed by a restart of the node that it was sent to.
+/// Runs in which a planted fault has its chance: no machine joins or goes for good, and
+/// if wanted each command is followed by a restart of the node that it was sent to.
 fn worlds(count: u64, restarts: bool) -> impl Iterator<Item = Plan> {
     (0..count).filter_map(move |seed| {
         let mut plan = PlanTree::of_seed(seed, 60).ok()?.plan();
@@ -96,7 +96,7 @@
     })
 }
 
-/// Worlds of three voters that play the same steps under many seeds; the first leads.
+/// Runs of three voters that run the same steps under many seeds; the first leads.
 fn staged(steps: &[(u64, StepAction)]) -> impl Iterator<Item = Plan> + '_ {
     (0..2000).map(|seed| Plan {
         disks: 3,
@@ -229,7 +229,7 @@
     is_found(Mutant::SendsNoTag, &["MoreThanOnce"], worlds(2000, false));
 }
 
-/// The staged worlds break nothing without a planted fault.
+/// The staged runs break nothing without a planted fault.
 #[test]
 fn staged_worlds_are_sound() {
     for steps in [frozen_leader(), unheard_leader()] {
@@ -244,7 +244,7 @@
     }
 }
 
-/// The worlds do reach what they are for.
+/// The runs do reach what they are for.
 #[test]
 fn worlds_reach_what_they_are_for_and_repeat() {
     let mut coverage = Coverage::default();
--- a/crates/simulation/tests/model.rs
+++ b/crates/simulation/tests/model.rs
@@ -270,7 +270,7 @@
     }
 }
 
-/// Plays all that can follow; how many histories that was.
+/// Runs all that can follow; how many histories that was.
 fn explore(model: &Model, steps: &[Step], depth: usize) -> u64 {
     if depth == 0 {
         return 1;
--- a/crates/simulation/tests/repeat.rs
+++ b/crates/simulation/tests/repeat.rs
@@ -1,14 +1,14 @@
-//! Random worlds repeat exactly: what a change of names or shape leaves alone must give the
+//! Random runs repeat exactly: what a change of names or shape leaves alone must give the
 //! same counts to the last digit. A change of behaviour may move them, and says why.
 
 use simulation::command_handler::Mutant;
 use simulation::exploration::{run_and_check, Coverage};
 use simulation::plan::PlanTree;
 
-/// The first seed, and how many worlds follow one by one.
+/// The first seed, and how many runs follow one by one.
 const FIRST: u64 = 90_210;
 const WORLDS: u64 = 60;
-/// Most steps of a world.
+/// Most steps of a run.
 const STEPS: usize = 60;
 
 #[test]
