--- a/crates/simulation/examples/capacity.rs
+++ b/crates/simulation/examples/capacity.rs
@@ -431,7 +431,7 @@
         cluster.run(6000);
         let mut version = 0;
         let mut command = |cluster: &mut Cluster| {
-            let body = simulation::scenario::configuration(version + 1);
+            let body = simulation::configuration::configuration(version + 1);
             let command = ConfigurationCommand {
                 base: version,
                 body,
--- /dev/null
+++ b/crates/simulation/src/configuration.rs
@@ -0,0 +1,42 @@
+//! Configurations for simulated operators.
+
+use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
+
+/// The smallest valid configuration, with a partitioned service.
+pub fn configuration(version: u64) -> Vec<u8> {
+    format!(
+        r#"{{"Version":{version},"Limits":{{"HeaderMaxBytes":1,"BodyMaxBytes":1,"HeaderTimeout":"1s","IdleTimeout":"1s"}},"AccessPoints":[],"Groups":[{{"Name":"s","Partitioned":true}}]}}"#
+    )
+    .into_bytes()
+}
+
+/// A configuration with so many routes of usual length, which differs from the one
+/// before in one of them, or in all.
+pub fn large_configuration(version: u64, routes: u64, all: bool) -> Vec<u8> {
+    let route = |number: u64| {
+        // The newest version that has changed this route.
+        let ago = if all {
+            0
+        } else {
+            (version + routes - number) % routes
+        };
+        let changed = version.saturating_sub(ago);
+        let mut rng = SmallRng::seed_from_u64(number << 32 | changed);
+        let mut word = || format!("{:08x}", rng.gen::<u32>());
+        // One that changes all has little in common with the one before.
+        let path: Vec<String> = (0..if all { 30 } else { 2 }).map(|_| word()).collect();
+        format!(
+            r#"{{"Host":"{}.{}.example.com","Rules":[{{"Name":"route-{}","RouteType":"idempotent","Target":"{}ms","Priority":2,"Condition":{{"PathPrefix":"/{}/"}},"Treatment":{{"Service":"s","Timeout":"4s","AttemptLimit":3,"HomeRegions":["r1","r2"]}}}}]}}"#,
+            word(),
+            word(),
+            word(),
+            100 + number % 9,
+            path.join("/")
+        )
+    };
+    let routes: Vec<String> = (0..routes).map(route).collect();
+    let empty = String::from_utf8(configuration(version)).unwrap_or_default();
+    let points = format!(r#""AccessPoints":[{}]"#, routes.join(","));
+    empty.replace(r#""AccessPoints":[]"#, &points).into_bytes()
+}
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -6,9 +6,11 @@
 //! - [`history`] is what everybody observed of such a run, and [`checker`] says whether it can be
 //!   explained by what the system guarantees.
 
+pub mod catch_up;
 pub mod checker;
 pub mod cluster;
 pub mod command_handler;
+pub mod configuration;
 pub mod disk;
 pub mod exploration;
 pub mod history;
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -8,7 +8,8 @@
 //! command one 0 3            sends version 3 on top of 0; must be taken
 //! try-command two 0 4        the same, but nobody may be able to take it
 //! commands 3 40              one version after the other, from 3 to 40
-//! kill a | lose-power a | lose-disk a | start a | join g/r2     ("leader" names who leads, "last-leader" who did)
+//! kill a | lose-power a | lose-disk a | start a | join g/r2     
+//!                            ("leader" names who leads, "last-leader" who did)
 //! shut-down a                                          told to end, until `kill a`
 //! cut a b | cut-one-way a b | isolate a | heal             (one way: a does not reach b)
 //! disk-slow a 500 | disk-stuck a | disk-ok a
@@ -28,16 +29,18 @@
 //! expect voters N | not-voter ADDRESS | holds w1 yes|no | another-leader | draining w1
 //! ```
 
+mod expectations;
+
 use crate::cluster::Cluster;
+use crate::configuration::large_configuration;
 use crate::worker::SimulatedWorker;
-use control_state::Outcome;
 use protocol::{ConfigurationCommand, Worker};
-use rand::rngs::SmallRng;
-use rand::{Rng, SeedableRng};
 
+/// A scenario under way.
 pub struct ScenarioRunner {
+    /// The system that it runs on.
     pub cluster: Cluster,
-    /// Routes of the configurations that are ordered.
+    /// Routes of the configurations that are sent.
     routes: u64,
     /// Whether each changes all of its routes.
     all: bool,
@@ -88,43 +91,6 @@
     }
 }
 
-pub fn configuration(version: u64) -> Vec<u8> {
-    format!(
-        r#"{{"Version":{version},"Limits":{{"HeaderMaxBytes":1,"BodyMaxBytes":1,"HeaderTimeout":"1s","IdleTimeout":"1s"}},"AccessPoints":[],"Groups":[{{"Name":"s","Partitioned":true}}]}}"#
-    )
-    .into_bytes()
-}
-
-/// A configuration with so many routes of usual length, which differs from the one
-/// before in one of them, or in all.
-pub fn large_configuration(version: u64, routes: u64, all: bool) -> Vec<u8> {
-    let route = |number: u64| {
-        // The newest version that has changed this route.
-        let ago = if all {
-            0
-        } else {
-            (version + routes - number) % routes
-        };
-        let changed = version.saturating_sub(ago);
-        let mut rng = SmallRng::seed_from_u64(number << 32 | changed);
-        let mut word = || format!("{:08x}", rng.gen::<u32>());
-        // One that changes all has little in common with the one before.
-        let path: Vec<String> = (0..if all { 30 } else { 2 }).map(|_| word()).collect();
-        format!(
-            r#"{{"Host":"{}.{}.example.com","Rules":[{{"Name":"route-{}","RouteType":"idempotent","Target":"{}ms","Priority":2,"Condition":{{"PathPrefix":"/{}/"}},"Treatment":{{"Service":"s","Timeout":"4s","AttemptLimit":3,"HomeRegions":["r1","r2"]}}}}]}}"#,
-            word(),
-            word(),
-            word(),
-            100 + number % 9,
-            path.join("/")
-        )
-    };
-    let routes: Vec<String> = (0..routes).map(route).collect();
-    let empty = String::from_utf8(configuration(version)).unwrap_or_default();
-    let points = format!(r#""AccessPoints":[{}]"#, routes.join(","));
-    empty.replace(r#""AccessPoints":[]"#, &points).into_bytes()
-}
-
 fn worker(id: &str) -> SimulatedWorker {
     SimulatedWorker::new(Worker {
         id: id.into(),
@@ -144,119 +110,166 @@
 
 impl ScenarioRunner {
     fn step(&mut self, words: &[&str]) -> Step {
-        let rest = &words[1..];
+        let arguments = &words[1..];
         match words[0] {
+            "voters" | "learners" | "many-learners" | "join" | "workers" | "worker" => {
+                self.add_members(words[0], arguments)
+            }
+            "command" | "try-command" | "commands" | "configuration-routes" => {
+                self.send_commands(words[0], arguments)
+            }
+            "kill" | "lose-power" | "lose-disk" | "start" | "disk-stuck" | "disk-ok" | "disk-slow"
+            | "isolate" => {
+                let name = self.named(arguments[0])?;
+                self.machine(words[0], &name, arguments)
+            }
+            "region" | "rolling-restart" | "shut-down" => self.many_machines(words[0], arguments),
+            "cut" | "cut-one-way" | "heal" | "bandwidth" | "call-lag" => self.links(words[0], arguments),
+            "drain-worker" | "deregister" | "crash-worker" | "mute-worker" => {
+                self.worker(words[0], arguments[0])
+            }
+            "run" => {
+                self.cluster.run(number(arguments.first())?);
+                Ok(())
+            }
+            "measure" => {
+                self.cluster.measure();
+                Ok(())
+            }
+            "await" => self.await_expectation(arguments),
+            "expect" => self.expect(arguments),
+            other => Err(format!("no such step: {other}")),
+        }
+    }
+
+    fn add_members(&mut self, what: &str, arguments: &[&str]) -> Step {
+        match what {
             "voters" | "learners" => {
-                for (i, place) in rest.iter().enumerate() {
+                for (i, place) in arguments.iter().enumerate() {
                     let (name, region) = place.split_once('/').ok_or("name/region wanted")?;
-                    self.cluster.add(name, region, words[0] == "voters", true);
-                    if i == 0 && words[0] == "voters" {
+                    self.cluster.add(name, region, what == "voters", true);
+                    if i == 0 && what == "voters" {
                         self.cluster.begin(name);
                     }
                 }
             }
+            "many-learners" => {
+                for i in 0..number(arguments.first())? {
+                    let region = format!("r{}", i % 3 + 1);
+                    self.cluster.add(&format!("o{i}"), &region, false, true);
+                }
+            }
             "join" => {
-                let (name, region) = rest[0].split_once('/').ok_or("name/region wanted")?;
+                let (name, region) = arguments[0].split_once('/').ok_or("name/region wanted")?;
                 self.cluster.add(name, region, true, false);
             }
-            "workers" | "worker" => {
-                for id in rest {
+            _ => {
+                for id in arguments {
                     self.cluster.workers.insert(id.to_string(), worker(id));
                 }
             }
-            "run" => self.cluster.run(number(rest.first())?),
-            "command" | "try-command" => {
-                let command = ConfigurationCommand {
-                    base: number(rest.get(1))?,
-                    body: large_configuration(number(rest.get(2))?, self.routes, self.all),
-                    ..Default::default()
-                };
-                if !self.cluster.command(rest[0], command) && words[0] == "command" {
-                    return Err("nobody takes it".into());
-                }
+        }
+        Ok(())
+    }
+
+    fn send_commands(&mut self, what: &str, arguments: &[&str]) -> Step {
+        match what {
+            "configuration-routes" => {
+                self.routes = number(arguments.first())?;
+                self.all = arguments.get(1) == Some(&"all");
             }
             "commands" => {
-                let (mut base, last) = (number(rest.first())?, number(rest.get(1))?);
-                while base < last {
-                    let next = (base + 1).to_string();
-                    self.step(&["command", &format!("to-{next}"), &base.to_string(), &next])?;
+                let (first, last) = (number(arguments.first())?, number(arguments.get(1))?);
+                for base in first..last {
+                    let next = base + 1;
+                    self.send_command(&format!("to-{next}"), base, next)?;
                     self.cluster.run(100);
-                    base += 1;
                 }
             }
-            "kill" | "lose-power" | "lose-disk" | "start" | "disk-stuck" | "disk-ok" | "disk-slow"
-            | "isolate" => {
-                let name = self.named(rest[0])?;
-                self.machine(words[0], &name, rest)?;
-            }
-            "shut-down" => {
-                let name = self.named(rest[0])?;
-                let process = self.cluster.nodes.get_mut(&name).and_then(|n| n.process.as_mut());
-                process.ok_or("it is down")?.shutting_down = true;
-            }
-            "cut" | "cut-one-way" => {
-                let (a, b) = (self.named(rest[0])?, self.named(rest[1])?);
-                self.cluster.blocked_links.insert((a.clone(), b.clone()));
-                if words[0] == "cut" {
-                    self.cluster.blocked_links.insert((b, a));
-                }
-            }
-            "many-learners" => {
-                for i in 0..number(rest.first())? {
-                    let region = format!("r{}", i % 3 + 1);
-                    self.cluster.add(&format!("o{i}"), &region, false, true);
-                }
+            _ => {
+                let (base, version) = (number(arguments.get(1))?, number(arguments.get(2))?);
+                let sent = self.send_command(arguments[0], base, version);
+                return if what == "command" { sent } else { Ok(()) };
             }
+        }
+        Ok(())
+    }
+
+    /// Sends a version on top of another to whoever leads.
+    fn send_command(&mut self, name: &str, base: u64, version: u64) -> Step {
+        let command = ConfigurationCommand {
+            base,
+            body: large_configuration(version, self.routes, self.all),
+            ..Default::default()
+        };
+        if self.cluster.command(name, command) {
+            Ok(())
+        } else {
+            Err("nobody takes it".into())
+        }
+    }
+
+    fn many_machines(&mut self, what: &str, arguments: &[&str]) -> Step {
+        match what {
             "region" => {
-                let of = |n: &&crate::node::Node| rest[1] == "all" || n.region == rest[1];
-                let names: Vec<String> = self
-                    .cluster
-                    .nodes
-                    .values()
-                    .filter(of)
-                    .map(|n| n.name.clone())
-                    .collect();
+                let (step, region) = (arguments[0], arguments[1]);
+                let nodes = self.cluster.nodes.values();
+                let chosen = nodes.filter(|n| region == "all" || n.region == region);
+                let names: Vec<String> = chosen.map(|n| n.name.clone()).collect();
                 for name in names {
-                    self.machine(rest[0], &name, rest)?;
+                    self.machine(step, &name, arguments)?;
                 }
             }
             "rolling-restart" => {
-                for i in 0..number(rest.first())? {
+                for i in 0..number(arguments.first())? {
                     let name = format!("o{i}");
                     self.cluster.end(&name, false);
                     self.cluster.run(100);
                     self.cluster.start(&name);
                 }
             }
-            "measure" => self.cluster.measure(),
-            "call-lag" => self.cluster.lag_ms = number(rest.first())?,
-            "configuration-routes" => {
-                (self.routes, self.all) = (number(rest.first())?, rest.get(1) == Some(&"all"))
-            }
-            "bandwidth" => {
-                let (name, width) = (self.named(rest[0])?, number(rest.get(1))?);
-                self.cluster.bandwidth.insert(name, width);
+            _ => {
+                let name = self.named(arguments[0])?;
+                let node = self.cluster.nodes.get_mut(&name);
+                let process = node.and_then(|n| n.process.as_mut());
+                process.ok_or("it is down")?.shutting_down = true;
             }
-            "await" => {
-                let end = self.cluster.now + number(rest.first())?;
-                while let Err(e) = self.expect(&rest[1..]) {
-                    if self.cluster.now >= end {
-                        return Err(e);
-                    }
-                    self.cluster.run(10);
+        }
+        Ok(())
+    }
+
+    fn links(&mut self, what: &str, arguments: &[&str]) -> Step {
+        match what {
+            "cut" | "cut-one-way" => {
+                let (a, b) = (self.named(arguments[0])?, self.named(arguments[1])?);
+                self.cluster.blocked_links.insert((a.clone(), b.clone()));
+                if what == "cut" {
+                    self.cluster.blocked_links.insert((b, a));
                 }
             }
             "heal" => self.cluster.blocked_links.clear(),
-            "drain-worker" | "deregister" | "crash-worker" | "mute-worker" => {
-                self.worker(words[0], rest[0])?
+            "call-lag" => self.cluster.lag_ms = number(arguments.first())?,
+            _ => {
+                let (name, bandwidth) = (self.named(arguments[0])?, number(arguments.get(1))?);
+                self.cluster.bandwidth.insert(name, bandwidth);
+            }
+        }
+        Ok(())
+    }
+
+    /// Lets time pass until an expectation holds, or too much has.
+    fn await_expectation(&mut self, arguments: &[&str]) -> Step {
+        let end = self.cluster.now + number(arguments.first())?;
+        while let Err(e) = self.expect(&arguments[1..]) {
+            if self.cluster.now >= end {
+                return Err(e);
             }
-            "expect" => self.expect(rest)?,
-            other => return Err(format!("no such step: {other}")),
+            self.cluster.run(10);
         }
         Ok(())
     }
 
-    /// A machine's name; `leader` is whoever leads now, `led` who did last.
+    /// A machine's name; `leader` is whoever leads now, `last-leader` who did last.
     fn named(&mut self, word: &str) -> Result<String, String> {
         match word {
             "leader" => {
@@ -319,106 +332,4 @@
         }
         Ok(())
     }
-
-    fn expect(&mut self, words: &[&str]) -> Step {
-        let cluster = &self.cluster;
-        let fine = match words[0] {
-            "leader" => cluster.leader().is_some(),
-            "no-leader" => cluster.leader().is_none(),
-            "another-leader" => cluster.leader().is_some_and(|l| l.name != self.last_leader),
-            "answer" => {
-                let got = cluster.answers.get(words[1]).cloned().flatten();
-                match words[2] {
-                    "taken" => matches!(got, Some(Outcome::Applied | Outcome::AlreadyApplied)),
-                    "lost" => matches!(got, Some(Outcome::Conflict(_))),
-                    "invalid" => matches!(got, Some(Outcome::Invalid(_))),
-                    "none" => got.is_none(),
-                    other => return Err(format!("no such outcome: {other}")),
-                }
-            }
-            "version" => {
-                let wanted = number(words.get(1))?;
-                let named = &words[2..];
-                cluster
-                    .nodes
-                    .values()
-                    .filter(|n| named.is_empty() || named.contains(&n.name.as_str()))
-                    .filter_map(|n| n.process.as_ref())
-                    .all(|l| l.state.version() == wanted)
-            }
-            // All running nodes know that a worker leaves.
-            "draining" => {
-                let knows = |l: &crate::node::Process| {
-                    let w = l.state.workers.get(words[1]);
-                    w.is_some_and(|w| w.draining)
-                };
-                cluster
-                    .nodes
-                    .values()
-                    .filter_map(|n| n.process.as_ref())
-                    .all(knows)
-            }
-            "voter-bytes" | "node-bytes" => {
-                let most = cluster.busiest(words[0] == "voter-bytes");
-                let bound = number(words.get(1))?;
-                if most > bound {
-                    return Err(format!("{most} bytes a second"));
-                }
-                most > 0
-            }
-            "all-current" => cluster
-                .nodes
-                .values()
-                .all(|n| n.process.as_ref().is_some_and(|l| l.current)),
-            "acked-stands" => {
-                let leader = cluster
-                    .leader()
-                    .and_then(|n| n.process.as_ref())
-                    .ok_or("nobody leads")?;
-                leader.state.version() >= cluster.acked_version
-            }
-            "covered" => {
-                let able = cluster.workers.values().filter(|w| w.up && !w.listed.draining);
-                let mut held: Vec<(u32, u32)> = able.flat_map(|w| w.holds(cluster.now)).collect();
-                held.sort_unstable();
-                let mut next = 0;
-                for (from, to) in held {
-                    if from > next {
-                        return Err(format!("nobody holds {next} to {}", from - 1));
-                    }
-                    next = next.max(to + 1);
-                }
-                next == control_state::KEY_SPACE
-            }
-            "current" => words[1..]
-                .iter()
-                .all(|n| cluster.nodes[*n].process.as_ref().is_some_and(|l| l.current)),
-            "voters" => {
-                let leader = cluster
-                    .leader()
-                    .and_then(|n| n.process.as_ref())
-                    .ok_or("nobody leads")?;
-                leader.raft.membership().voters.len() as u64 == number(words.get(1))?
-            }
-            "can-shut-down" | "must-stay" => {
-                let name = if words[1] == "last-leader" {
-                    &self.last_leader
-                } else {
-                    words[1]
-                };
-                let process = cluster.nodes.get(name).and_then(|n| n.process.as_ref());
-                process.ok_or("it is down")?.raft.is_shutdown_safe() == (words[0] == "can-shut-down")
-            }
-            "holds" => {
-                let w = cluster.workers.get(words[1]).ok_or("no such worker")?;
-                (w.holds(cluster.now).next().is_some()) == (words[2] == "yes")
-            }
-            other => return Err(format!("nothing to expect: {other}")),
-        };
-        if fine {
-            Ok(())
-        } else {
-            Err("it is not so".into())
-        }
-    }
 }
--- a/crates/simulation/tests/explore.rs
+++ b/crates/simulation/tests/explore.rs
@@ -1,6 +1,6 @@
 //! Random runs under fixed seeds: the system breaks no promise, and real faults that
 //! are planted into how nodes deal with commands are found by the checker. Longer searches:
-//! `cargo run --release -p pebblepond-simulation --example explore -- --runs 100000`.
+//! `cargo run --release -p pebblepond-simulation --example explore -- --worlds 100000`.
 
 use proptest::strategy::Strategy;
 use proptest::test_runner::{Config, RngSeed, TestCaseError, TestRunner};
--- a/crates/simulation/tests/model.rs
+++ b/crates/simulation/tests/model.rs
@@ -91,7 +91,7 @@
             state.apply(index, &Change::encode(kind));
         };
         change(ChangeKind::Replace(ConfigurationCommand {
-            body: simulation::scenario::configuration(1),
+            body: simulation::configuration::configuration(1),
             ..Default::default()
         }));
         let rows: Vec<Worker> = (0..3)
