--- a/crates/balancer/tests/attempt.rs
+++ b/crates/balancer/tests/attempt.rs
@@ -204,6 +204,7 @@
         Some(Some(r))
     }
 
+    #[allow(clippy::too_many_lines, reason = "one arm a move")]
     fn step(&self, w: &mut World, m: Move) -> bool {
         match m {
             Move::Start(r, seen) => {
--- a/crates/fleet-test/src/main.rs
+++ b/crates/fleet-test/src/main.rs
@@ -41,14 +41,14 @@
 enum Command {
     /// List the scenarios.
     List,
-    /// Play all scenarios, one after the other.
+    /// Run all scenarios, one after the other.
     All,
-    /// Play these scenarios.
+    /// Run these scenarios.
     Play {
         #[arg(required = true, value_name = "SCENARIO")]
         names: Vec<String>,
     },
-    /// Play faults drawn by lot for a while.
+    /// Inject random faults for a while.
     Storm {
         /// Time for faults, s.
         #[arg(default_value_t = 60)]
--- a/crates/fleet-test/src/scenarios/resend.rs
+++ b/crates/fleet-test/src/scenarios/resend.rs
@@ -40,7 +40,7 @@
 /// second time under one number; the winner and the loser.
 async fn race(run: &mut Run) -> Result<(usize, usize), NotPlayed> {
     let base = run.current;
-    let (a, b) = if base % 2 == 0 {
+    let (a, b) = if base.is_multiple_of(2) {
         (run.next_order("a", 3), run.next_order("b", 4))
     } else {
         let a = run.next_order("a", 3);
--- a/crates/fleet-test/src/scenarios/right_caller.rs
+++ b/crates/fleet-test/src/scenarios/right_caller.rs
@@ -72,8 +72,12 @@
     let mut turn = number;
     while !stop.get() {
         let place = places[turn % places.len()];
-        let answer = if number % 2 == 0 {
-            let asked = if turn % 3 == 0 { Asked::Status } else { Asked::Read };
+        let answer = if number.is_multiple_of(2) {
+            let asked = if turn.is_multiple_of(3) {
+                Asked::Status
+            } else {
+                Asked::Read
+            };
             caller.ask(asked, place).await
         } else {
             let mark = format!("bad-{number}-{turn}");
@@ -102,7 +106,7 @@
     let edge = run.fleet.nodes.iter().find(|n| !n.has_disk).map(|n| n.number);
     let edge = edge.ok_or("no node without a disk")?;
     run.fleet.node(edge)?.freeze()?;
-    let begin = n % 2 == 0;
+    let begin = n.is_multiple_of(2);
     let evacuate = |number| Asked::Evacuate {
         zone: zone(number),
         begin,
--- a/crates/fleet-test/src/settings.rs
+++ b/crates/fleet-test/src/settings.rs
@@ -23,14 +23,17 @@
     pub disk: Option<&'a Path>,
 }
 
+/// Name of a machine.
 pub fn name(number: u8) -> String {
     format!("edge-{}-1", zone(number))
 }
 
+/// Zone of a machine.
 pub fn zone(number: u8) -> String {
     format!("{}-{}", region(number), number)
 }
 
+/// Region of a machine.
 pub fn region(number: u8) -> &'static str {
     REGIONS[usize::from(number) % REGIONS.len()]
 }
@@ -92,8 +95,12 @@
     for number in 1..=ZONES {
         let _ = writeln!(text, "{} = \"{}\"", zone(number), region(number));
     }
-    let _ = write!(
-        text,
+    text + &platform_and_terms(net)
+}
+
+/// The part that is alike on every machine of a fleet.
+fn platform_and_terms(net: &Net) -> String {
+    format!(
         r#"[Platform]
 Discovery = "platform"
 Entry = "directory"
@@ -126,6 +133,5 @@
 ttl_max = "5s"
 "#,
         platform = net.platform(),
-    );
-    text
+    )
 }
--- a/crates/pebblepond/src/storage_tests.rs
+++ b/crates/pebblepond/src/storage_tests.rs
@@ -10,7 +10,7 @@
 
 impl Folder {
     fn new() -> Folder {
-        let name = format!("vault-{:x}", rand::thread_rng().gen::<u64>());
+        let name = format!("storage-{:x}", rand::thread_rng().gen::<u64>());
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path).expect("a folder");
         Folder(path)
@@ -50,7 +50,7 @@
     }
 }
 
-/// A vault that a test waits for.
+/// A store that a test waits for.
 struct Store {
     folder: Folder,
     opened: Opened,
@@ -237,7 +237,7 @@
 
 #[test]
 fn what_was_written_comes_back_and_the_identity_stays() {
-    let folder = std::env::temp_dir().join(format!("vault-{}", rand::thread_rng().gen::<u64>()));
+    let folder = std::env::temp_dir().join(format!("storage-{}", rand::thread_rng().gen::<u64>()));
     let folder = folder.to_str().expect("utf-8").to_string();
     let (events, mut inbox) = tokio::sync::mpsc::unbounded_channel();
     let first = Storage::open(&folder, events).expect("opens");
--- a/crates/pebblepond/src/upstream/tests.rs
+++ b/crates/pebblepond/src/upstream/tests.rs
@@ -114,5 +114,5 @@
     let (mut peer, _) = peer.expect("a connection");
     let mut got = Vec::new();
     let end = peer.read_to_end(&mut got).await;
-    assert!(end.is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset));
+    assert!(end.is_err_and(|e| e.kind() == io::ErrorKind::ConnectionReset));
 }
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -15,7 +15,7 @@
 use crate::config::Config;
 use crate::fragmentation::Fragmenter;
 use crate::log::{LogPosition, RaftLog};
-use crate::message::*;
+use crate::message::{Entry, EntryType, Membership, Message, MessageType, Voter};
 use crate::progress::Progress;
 use crate::ready::Ready;
 use crate::storage::{HardState, PersistentState};
--- a/crates/raft/src/node/election.rs
+++ b/crates/raft/src/node/election.rs
@@ -1,7 +1,7 @@
 //! Elections: pre-votes, votes, and the changes of role (dissertation, 3.4, 4.2.3 and 9.6).
 
 use super::{RaftNode, Role};
-use crate::message::*;
+use crate::message::{EntryType, Message, MessageType};
 use crate::progress::Progress;
 use rand::Rng;
 use std::collections::BTreeSet;
--- a/crates/raft/src/node/leadership_transfer.rs
+++ b/crates/raft/src/node/leadership_transfer.rs
@@ -1,7 +1,7 @@
 //! Passing leadership on in order (dissertation, 3.10).
 
 use super::RaftNode;
-use crate::message::*;
+use crate::message::MessageType;
 use crate::progress::Progress;
 
 /// A transfer under way.
--- a/crates/raft/src/node/learner_relay.rs
+++ b/crates/raft/src/node/learner_relay.rs
@@ -4,7 +4,7 @@
 //! is committed stays committed.
 
 use super::RaftNode;
-use crate::message::*;
+use crate::message::{Message, MessageType};
 use crate::progress::Progress;
 use crate::upstream_selection::Upstream;
 
--- a/crates/raft/src/node/membership.rs
+++ b/crates/raft/src/node/membership.rs
@@ -2,7 +2,7 @@
 
 use super::replication::SendMode;
 use super::RaftNode;
-use crate::message::*;
+use crate::message::{Entry, EntryType, Membership};
 use crate::progress::Progress;
 use prost::Message as _;
 use std::collections::BTreeSet;
--- a/crates/raft/src/node/replication.rs
+++ b/crates/raft/src/node/replication.rs
@@ -3,7 +3,7 @@
 
 use super::{RaftNode, Role};
 use crate::log::LogPosition;
-use crate::message::*;
+use crate::message::{Entry, EntryType, Message, MessageType};
 
 /// Whether a node that lacks no entry is sent a message all the same.
 #[derive(Clone, Copy, PartialEq, Eq)]
--- a/crates/raft/src/node/shutdown.rs
+++ b/crates/raft/src/node/shutdown.rs
@@ -2,7 +2,7 @@
 
 use super::RaftNode;
 use crate::durability::can_shut_down;
-use crate::message::*;
+use crate::message::{Message, MessageType};
 
 impl RaftNode {
     /// This node is about to end: it passes leadership on, or tells the leader so. To be
--- a/crates/raft/src/node/snapshot.rs
+++ b/crates/raft/src/node/snapshot.rs
@@ -2,7 +2,7 @@
 
 use super::RaftNode;
 use crate::log::LogPosition;
-use crate::message::*;
+use crate::message::{Message, MessageType, Snapshot};
 
 impl RaftNode {
     /// Folds the log up to the applied index into a snapshot with this data. Entries that are
--- a/crates/raft/src/node/step.rs
+++ b/crates/raft/src/node/step.rs
@@ -1,7 +1,7 @@
 //! Messages of other nodes, given to the part of the protocol that they belong to.
 
 use super::{RaftNode, Role};
-use crate::message::*;
+use crate::message::{Message, MessageType};
 
 impl RaftNode {
     /// Takes a message of node `from` in, at `now` ms. One that is meant for another identity
--- a/crates/raft/tests/learner_relay.rs
+++ b/crates/raft/tests/learner_relay.rs
@@ -31,6 +31,7 @@
 /// one. Messages to that are dropped, and while the snapshot is on its way it is not sent
 /// again for every rejection.
 #[test]
+#[allow(clippy::too_many_lines, reason = "one history, step by step")]
 fn sends_a_new_identity_the_snapshot_once() {
     let snapshot = Snapshot {
         index: 5,
--- a/crates/simulation/examples/capacity.rs
+++ b/crates/simulation/examples/capacity.rs
@@ -17,7 +17,10 @@
 use key_ownership::{Action, GrantResult, OwnershipManager};
 use placement::{DiscoveryInput, OutlierDetector, ProxyNode, WarmupAdmission};
 use prost::Message as _;
-use protocol::*;
+use protocol::{
+    name_hash, Change, ChangeKind, ConfigurationCommand, KeyLease, KeyLeaseChange, Worker, WorkerStats,
+    WorkersChange,
+};
 use simulation::cluster::Cluster;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -256,6 +259,7 @@
 }
 
 /// What the copy of the control state costs each node, and the leader's duties.
+#[allow(clippy::too_many_lines, reason = "one measurement after the other")]
 fn control() {
     let mut rows: BTreeMap<&str, (&str, Points)> = BTreeMap::new();
     for workers in [500usize, 1000, 2000, 4000, 8000] {
--- a/crates/simulation/tests/checker.rs
+++ b/crates/simulation/tests/checker.rs
@@ -548,6 +548,7 @@
 }
 
 /// Runs attempts against a register that does what it should.
+#[allow(clippy::too_many_lines, reason = "a register in miniature")]
 fn outcome(mut tries: Vec<Try>) -> History {
     tries.sort_by_key(|t| t.at);
     // What happens when: 0 sent, 1 at the register, 2 heard.
--- a/crates/simulation/tests/rollouts.rs
+++ b/crates/simulation/tests/rollouts.rs
@@ -403,6 +403,7 @@
         self.lead();
     }
 
+    #[allow(clippy::too_many_lines, reason = "the life of one request in its order")]
     fn serve(&mut self, i: usize) {
         let now = self.now;
         let count = self.nodes.len();
@@ -543,6 +544,7 @@
     word.and_then(|w| w.parse().ok()).expect("a number")
 }
 
+#[allow(clippy::too_many_lines, reason = "one arm a step")]
 fn run_scenario(text: &str, seed: u64) {
     let mut fleet = Fleet::new(seed);
     let mut workers = 30;
