--- a/crates/fleet-test/examples/pace.rs
+++ b/crates/fleet-test/examples/pace.rs
@@ -9,7 +9,7 @@
 use fleet_test::fleet::{Fleet, Plan};
 use fleet_test::operator::{Operator, Record};
 use fleet_test::orders::configuration;
-use fleet_test::NotPlayed;
+use fleet_test::ScenarioError;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
@@ -35,7 +35,7 @@
 
 const STATES: [&str; 3] = ["calm", "one dead", "one frozen"];
 
-fn main() -> Result<(), NotPlayed> {
+fn main() -> Result<(), ScenarioError> {
     let args = Args::parse();
     actix_rt::System::new().block_on(async {
         let mut times = vec![vec![Vec::new(); STATES.len()]; args.programs.len()];
@@ -63,7 +63,7 @@
     })
 }
 
-async fn play(args: &Args, program: &std::path::Path, times: &mut [Vec<f64>]) -> Result<(), NotPlayed> {
+async fn play(args: &Args, program: &std::path::Path, times: &mut [Vec<f64>]) -> Result<(), ScenarioError> {
     let plan = Plan {
         with_disk: 5,
         without_disk: 1,
--- a/crates/fleet-test/src/checker.rs
+++ b/crates/fleet-test/src/checker.rs
@@ -77,7 +77,7 @@
         first
     }
 
-    /// Orders whose configuration is, byte for byte, that which was read.
+    /// Commands whose configuration is, byte for byte, that which was read.
     fn read(&self) -> Vec<(&Call, Option<usize>)> {
         let reads = self.calls.iter().filter_map(|c| match (&c.asked, &c.answer) {
             (Asked::Read, Answer::Good(body)) => Some((c, body)),
--- a/crates/fleet-test/src/fleet.rs
+++ b/crates/fleet-test/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet: nodes, the platform's stand-in, and faults.
+//! The fleet: nodes, the platform's simulator, and faults.
 
 use crate::guard::Guard;
 use crate::net::Net;
@@ -6,7 +6,7 @@
 use crate::operator::Place;
 use crate::platform::Platform;
 use crate::settings::{self, Machine};
-use crate::NotPlayed;
+use crate::ScenarioError;
 use config::Settings;
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
@@ -35,7 +35,7 @@
 
 impl Fleet {
     /// Starts all machines at once, as at the first start of the whole system.
-    pub fn start(program: &Path, plan: Plan) -> Result<Fleet, NotPlayed> {
+    pub fn start(program: &Path, plan: Plan) -> Result<Fleet, ScenarioError> {
         let program = program
             .canonicalize()
             .map_err(|e| format!("{}: {e}", program.display()))?;
@@ -70,12 +70,12 @@
         self.guard.keep();
     }
 
-    pub fn node(&mut self, number: u8) -> Result<&mut Node, NotPlayed> {
+    pub fn node(&mut self, number: u8) -> Result<&mut Node, ScenarioError> {
         let node = self.nodes.iter_mut().find(|n| n.number == number);
         node.ok_or(format!("there is no node {number}"))
     }
 
-    fn launch(&mut self, number: u8, initial: bool) -> Result<(), NotPlayed> {
+    fn launch(&mut self, number: u8, initial: bool) -> Result<(), ScenarioError> {
         let (net, program, group) = (self.net, self.program.clone(), self.guard.group());
         let seeds: Vec<SocketAddrV4> = (1..=SEEDS).map(|n| net.control(n)).collect();
         let node = self.node(number)?;
@@ -97,12 +97,25 @@
     }
 
     /// Starts a node again, with what its disk holds.
-    pub fn restart(&mut self, number: u8) -> Result<(), NotPlayed> {
+    pub fn restart(&mut self, number: u8) -> Result<(), ScenarioError> {
         self.launch(number, false)
     }
 
+    /// Starts a node again with another program, as an upgrade does.
+    pub fn restart_with(&mut self, number: u8, program: &Path) -> Result<(), ScenarioError> {
+        let own = std::mem::replace(&mut self.program, program.to_path_buf());
+        let started = self.launch(number, false);
+        self.program = own;
+        started
+    }
+
+    /// The program that nodes are started with.
+    pub fn program(&self) -> &Path {
+        &self.program
+    }
+
     /// Adds a machine with an empty disk, at a new address; its number.
-    pub fn add(&mut self) -> Result<u8, NotPlayed> {
+    pub fn add(&mut self) -> Result<u8, ScenarioError> {
         let number = self.nodes.iter().map(|n| n.number).max().unwrap_or(0) + 1;
         if number >= settings::MACHINES {
             return Err("no address is left for another machine".into());
@@ -141,7 +154,7 @@
     }
 
     /// Waits for a leader among the running nodes.
-    pub async fn wait_for_leader(&self, within: Duration) -> Result<u8, NotPlayed> {
+    pub async fn wait_for_leader(&self, within: Duration) -> Result<u8, ScenarioError> {
         let until = Instant::now() + within;
         loop {
             if let Some(number) = self.leader() {
@@ -155,7 +168,7 @@
     }
 
     /// Waits until a process that was asked to end has ended; how it did.
-    pub async fn wait_for_end(&mut self, number: u8, within: Duration) -> Result<String, NotPlayed> {
+    pub async fn wait_for_end(&mut self, number: u8, within: Duration) -> Result<String, ScenarioError> {
         let until = Instant::now() + within;
         loop {
             if let Some(how) = self.node(number)?.ended() {
--- a/crates/fleet-test/src/guard.rs
+++ b/crates/fleet-test/src/guard.rs
@@ -5,7 +5,7 @@
 //! guard waits for the end of a pipe that only this process holds, and then ends
 //! that group by its number, which cannot have been given to others meanwhile.
 
-use crate::NotPlayed;
+use crate::ScenarioError;
 use rand::Rng;
 use std::io::Write as _;
 use std::os::unix::process::CommandExt as _;
@@ -35,7 +35,7 @@
 
 impl Guard {
     /// Makes the fleet's folder and watches over it.
-    pub fn set() -> Result<Guard, NotPlayed> {
+    pub fn set() -> Result<Guard, ScenarioError> {
         let name = format!("fleet-test-{:x}", rand::thread_rng().gen::<u64>());
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
--- a/crates/fleet-test/src/lib.rs
+++ b/crates/fleet-test/src/lib.rs
@@ -1,5 +1,5 @@
 //! A small fleet of real `pebblepond` processes on loopback addresses, with a
-//! stand-in for the platform, driven over the published HTTP and put to faults.
+//! simulator for the platform, driven over the published HTTP and put to faults.
 //!
 //! Not used by the program itself. Each node has its own address in 127.0.0.0/8; all
 //! nodes have the same ports. Whatever is started is ended, and the folder of the fleet
@@ -22,5 +22,5 @@
 pub mod scenarios;
 pub mod settings;
 
-/// What keeps a scenario from being played: no statement about the system.
-pub type NotPlayed = String;
+/// What keeps a scenario from being run: no statement about the system.
+pub type ScenarioError = String;
--- a/crates/fleet-test/src/main.rs
+++ b/crates/fleet-test/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays faults with a fleet of real processes, or starts one to look at.
+//! Runs faults with a fleet of real processes, or starts one to look at.
 
 use clap::{Parser, Subcommand};
 use fleet_test::fleet::{Fleet, Plan};
@@ -12,7 +12,7 @@
 /// Exit codes.
 mod exit {
     pub const BROKEN: u8 = 1;
-    pub const NOT_PLAYED: u8 = 3;
+    pub const NOT_RUN: u8 = 3;
     pub const INTERRUPTED: u8 = 130;
 }
 
@@ -20,8 +20,8 @@
 #[command(
     name = "fleet-test",
     version,
-    about = "Plays faults with a small fleet of real pebblepond processes on loopback addresses",
-    after_help = "Exit codes: 0 all rules held; 1 a rule was broken; 2 wrong usage; 3 a scenario could not be played; 130 interrupted."
+    about = "Injects faults with a small fleet of real pebblepond processes on loopback addresses",
+    after_help = "Exit codes: 0 all rules held; 1 a rule was broken; 2 wrong usage; 3 a scenario could not be run; 130 interrupted."
 )]
 struct Cli {
     #[command(subcommand)]
@@ -29,6 +29,9 @@
     /// The program to start; the one beside this program if left out.
     #[arg(long, global = true, value_name = "PATH")]
     program: Option<PathBuf>,
+    /// Another program, for `rolling-upgrade`.
+    #[arg(long, value_name = "PATH")]
+    other_program: Option<PathBuf>,
     /// Shorter freezes and fewer changes.
     #[arg(long, global = true)]
     short: bool,
@@ -44,7 +47,7 @@
     /// Run all scenarios, one after the other.
     All,
     /// Run these scenarios.
-    Play {
+    Run {
         #[arg(required = true, value_name = "SCENARIO")]
         names: Vec<String>,
     },
@@ -78,7 +81,7 @@
             return ExitCode::SUCCESS;
         }
         Command::All => ALL.iter().collect(),
-        Command::Play { names } => {
+        Command::Run { names } => {
             let found: Option<Vec<&Scenario>> = names.iter().map(|n| by_name(n)).collect();
             let Some(found) = found else {
                 eprintln!("fleet-test: no such scenario; `list` names them");
@@ -93,7 +96,7 @@
         Ok(program) => program,
         Err(e) => {
             eprintln!("fleet-test: {e}");
-            return ExitCode::from(exit::NOT_PLAYED);
+            return ExitCode::from(exit::NOT_RUN);
         }
     };
     actix_rt::System::new().block_on(async {
@@ -130,6 +133,7 @@
     let pace = if cli.short { Pace::Short } else { Pace::Full };
     let mut options = Options {
         keep: cli.keep,
+        other_program: cli.other_program.clone(),
         ..Options::of(pace)
     };
     if let Command::Storm { seconds, seed } = cli.command {
@@ -141,11 +145,11 @@
     for scenario in chosen {
         println!("{}: {}", scenario.name, scenario.about);
         let begun = Instant::now();
-        let verdict = scenario.play(program, options).await;
+        let verdict = scenario.execute(program, options.clone()).await;
         let (word, worse) = match &verdict {
             Verdict::Held => ("held".to_string(), 0),
             Verdict::Broken(faults) => (format!("BROKEN, {} times", faults.len()), exit::BROKEN),
-            Verdict::NotPlayed(why) => (format!("NOT PLAYED: {why}"), exit::NOT_PLAYED),
+            Verdict::ScenarioError(why) => (format!("NOT RUN: {why}"), exit::NOT_RUN),
         };
         if let Verdict::Broken(faults) = &verdict {
             show(faults);
@@ -190,7 +194,7 @@
         Ok(fleet) => fleet,
         Err(e) => {
             eprintln!("fleet-test: {e}");
-            return ExitCode::from(exit::NOT_PLAYED);
+            return ExitCode::from(exit::NOT_RUN);
         }
     };
     if keep {
--- a/crates/fleet-test/src/net.rs
+++ b/crates/fleet-test/src/net.rs
@@ -1,6 +1,6 @@
 //! Addresses and ports of a fleet, free at the time of asking.
 
-use crate::NotPlayed;
+use crate::ScenarioError;
 use rand::Rng;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, UdpSocket};
 
@@ -20,7 +20,7 @@
 
 impl Net {
     /// A net in which this many machines can listen.
-    pub fn find(machines: u8) -> Result<Net, NotPlayed> {
+    pub fn find(machines: u8) -> Result<Net, ScenarioError> {
         let mut rng = rand::thread_rng();
         for _ in 0..TRIES {
             let net = Net {
--- a/crates/fleet-test/src/node.rs
+++ b/crates/fleet-test/src/node.rs
@@ -1,7 +1,7 @@
 //! One `pebblepond` process, and what may befall it.
 
 use crate::settings;
-use crate::NotPlayed;
+use crate::ScenarioError;
 use config::settings::SETTINGS_ENV;
 use rustix::process::{kill_process, Pid, Signal};
 use std::os::unix::process::CommandExt as _;
@@ -65,7 +65,7 @@
     }
 
     /// Starts a process with these settings, in a process group.
-    pub fn start(&mut self, program: &Path, settings: &str, group: i32) -> Result<(), NotPlayed> {
+    pub fn start(&mut self, program: &Path, settings: &str, group: i32) -> Result<(), ScenarioError> {
         if self.child.is_some() {
             return Err(format!("{} runs already", self.name()));
         }
@@ -90,7 +90,7 @@
         Ok(())
     }
 
-    fn signal(&self, signal: Signal) -> Result<(), NotPlayed> {
+    fn signal(&self, signal: Signal) -> Result<(), ScenarioError> {
         let child = self
             .child
             .as_ref()
@@ -101,13 +101,13 @@
     }
 
     /// Stops the process where it stands; connections to it hang.
-    pub fn freeze(&mut self) -> Result<(), NotPlayed> {
+    pub fn freeze(&mut self) -> Result<(), ScenarioError> {
         self.signal(Signal::STOP)?;
         self.state = State::Frozen;
         Ok(())
     }
 
-    pub fn thaw(&mut self) -> Result<(), NotPlayed> {
+    pub fn thaw(&mut self) -> Result<(), ScenarioError> {
         self.signal(Signal::CONT)?;
         self.state = State::Up;
         Ok(())
@@ -123,7 +123,7 @@
     }
 
     /// Asks the process to end in order.
-    pub fn terminate(&mut self) -> Result<(), NotPlayed> {
+    pub fn terminate(&mut self) -> Result<(), ScenarioError> {
         self.signal(Signal::TERM)
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// Empties the disk of a process that is down.
-    pub fn wipe(&mut self) -> Result<(), NotPlayed> {
+    pub fn wipe(&mut self) -> Result<(), ScenarioError> {
         if self.child.is_some() {
             return Err(format!("{} runs: its disk cannot be lost", self.name()));
         }
--- a/crates/fleet-test/src/platform.rs
+++ b/crates/fleet-test/src/platform.rs
@@ -1,6 +1,6 @@
-//! The platform's stand-in: the list of workers. There are none by default.
+//! The platform's simulator: the list of workers. There are none by default.
 
-use crate::NotPlayed;
+use crate::ScenarioError;
 use actix_web::dev::ServerHandle;
 use actix_web::{web, App, HttpResponse, HttpServer};
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 }
 
 impl Platform {
-    pub fn start(address: SocketAddrV4) -> Result<Platform, NotPlayed> {
+    pub fn start(address: SocketAddrV4) -> Result<Platform, ScenarioError> {
         let instances = Instances::default();
         let shared = web::Data::from(instances.clone());
         let server = HttpServer::new(move || {
--- a/crates/fleet-test/src/program.rs
+++ b/crates/fleet-test/src/program.rs
@@ -1,12 +1,12 @@
 //! Where the program under test is.
 
-use crate::NotPlayed;
+use crate::ScenarioError;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
 /// The `pebblepond` beside this program, brought up to date by cargo in the same
 /// profile if cargo started this program.
-pub fn find() -> Result<PathBuf, NotPlayed> {
+pub fn find() -> Result<PathBuf, ScenarioError> {
     let own = std::env::current_exe().map_err(|e| format!("own path: {e}"))?;
     let folder = own.parent().unwrap_or(Path::new("."));
     if let Some(cargo) = std::env::var_os("CARGO") {
@@ -22,7 +22,7 @@
     ))
 }
 
-fn build(cargo: &std::ffi::OsStr, folder: &Path) -> Result<(), NotPlayed> {
+fn build(cargo: &std::ffi::OsStr, folder: &Path) -> Result<(), ScenarioError> {
     let mut command = Command::new(cargo);
     command.args(["build", "--quiet", "--locked", "-p", "pebblepond"]);
     if folder.file_name().is_some_and(|n| n == "release") {
--- a/crates/fleet-test/src/scenarios/cut_off.rs
+++ b/crates/fleet-test/src/scenarios/cut_off.rs
@@ -5,7 +5,7 @@
 use crate::checker::{Answer, Asked};
 use crate::operator::Operator;
 use crate::settings::zone;
-use crate::NotPlayed;
+use crate::ScenarioError;
 use futures_util::future::join_all;
 use std::time::{Duration, Instant};
 
@@ -24,7 +24,7 @@
 /// A zone that no machine of the fleet is in.
 const ZONE: u8 = 12;
 
-pub async fn play(run: &mut Run) -> Result<(), NotPlayed> {
+pub async fn execute(run: &mut Run) -> Result<(), ScenarioError> {
     run.open().await?;
     for _ in 0..2 {
         run.change(3).await?;
@@ -48,7 +48,7 @@
 
 /// Freezes the leader for a time, at least until another leads, makes changes
 /// meanwhile, and asks it as it thaws.
-async fn freeze(run: &mut Run, length: Duration) -> Result<(), NotPlayed> {
+async fn freeze(run: &mut Run, length: Duration) -> Result<(), ScenarioError> {
     let leader = run.fleet.wait_for_leader(Duration::from_secs(CLEAR_S)).await?;
     let old_base = run.current;
     let old_order = run
@@ -94,7 +94,7 @@
     leader: u8,
     callers: Vec<Operator>,
     (old_base, old): (u64, Option<usize>),
-) -> Result<(), NotPlayed> {
+) -> Result<(), ScenarioError> {
     // A proper order, one that rests on what the frozen node takes for current,
     // one that was taken long ago, and reads.
     let proper = run.next_order("a", 3);
@@ -148,7 +148,7 @@
 
 /// An evacuation that a node took, that was taken back while it was frozen, and
 /// that it is asked for again: its confirmation must mean that it is in force.
-async fn evacuation(run: &mut Run) -> Result<(), NotPlayed> {
+async fn evacuation(run: &mut Run) -> Result<(), ScenarioError> {
     let zone = zone(ZONE);
     let order = |begin| Asked::Evacuate {
         zone: zone.clone(),
--- a/crates/fleet-test/src/scenarios/many_changes.rs
+++ b/crates/fleet-test/src/scenarios/many_changes.rs
@@ -5,7 +5,7 @@
 use crate::call::SILENCE_MS;
 use crate::checker::{Answer, Asked};
 use crate::orders;
-use crate::{settings, NotPlayed};
+use crate::{settings, ScenarioError};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
@@ -15,14 +15,14 @@
 const SHORT_CHANGES: usize = 30;
 /// A zone that no machine of the fleet is in.
 const ZONE: u8 = 20;
-/// Orders that are sent again: so many changes have been made since.
+/// Commands that are sent again: so many changes have been made since.
 const AGES: [usize; 6] = [0, 1, 10, 100, 200, 255];
 /// What the settings grant after a loss of all, s.
 const RECOVERY_S: u64 = 15;
 /// The disk that the settings give, bytes.
 const DISK_BYTES: u64 = 64 * 1024 * 1024;
 
-pub async fn play(run: &mut Run) -> Result<(), NotPlayed> {
+pub async fn execute(run: &mut Run) -> Result<(), ScenarioError> {
     run.open().await?;
     let leader = run.fleet.wait_for_leader(Duration::from_secs(CLEAR_S)).await?;
     let down = (1..=5).find(|n| *n != leader).unwrap_or(1);
@@ -59,7 +59,7 @@
     Ok(())
 }
 
-async fn many(run: &mut Run, count: usize) -> Result<(), NotPlayed> {
+async fn many(run: &mut Run, count: usize) -> Result<(), ScenarioError> {
     let begun = Instant::now();
     let mut took = Vec::with_capacity(count);
     for _ in 0..count {
@@ -79,7 +79,7 @@
     Ok(())
 }
 
-async fn catch_up(run: &mut Run, down: u8) -> Result<(), NotPlayed> {
+async fn catch_up(run: &mut Run, down: u8) -> Result<(), ScenarioError> {
     let path = orders::path_of(run.current, "a");
     run.fleet.restart(down)?;
     match run.wait_for_route(down, &path, Duration::from_secs(20)).await {
@@ -92,7 +92,7 @@
     Ok(())
 }
 
-async fn restart_all(run: &mut Run) -> Result<(), NotPlayed> {
+async fn restart_all(run: &mut Run) -> Result<(), ScenarioError> {
     let path = orders::path_of(run.current, "a");
     let all: Vec<u8> = run.fleet.nodes.iter().map(|n| n.number).collect();
     for number in &all {
--- a/crates/fleet-test/src/scenarios/mod.rs
+++ b/crates/fleet-test/src/scenarios/mod.rs
@@ -1,9 +1,10 @@
-//! What is played with a fleet, each for one promise of the control side.
+//! What is run with a fleet, each for one promise of the control side.
 
 mod cut_off;
 mod many_changes;
 mod resend;
 mod right_caller;
+mod rolling_upgrade;
 mod second_loss;
 mod storm;
 
@@ -11,7 +12,7 @@
 use crate::fleet::{Fleet, Plan};
 use crate::operator::{Operator, Place, Record};
 use crate::settings;
-use crate::{orders, NotPlayed};
+use crate::{orders, ScenarioError};
 use futures_util::future::LocalBoxFuture;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -40,9 +41,11 @@
     Full,
 }
 
-/// How scenarios are played.
-#[derive(Clone, Copy, Debug)]
+/// How scenarios are run.
+#[derive(Clone, Debug)]
 pub struct Options {
+    /// A program to upgrade to; the same one if left out.
+    pub other_program: Option<std::path::PathBuf>,
     pub pace: Pace,
     /// Leave the folder with the logs where it is.
     pub keep: bool,
@@ -54,6 +57,7 @@
 impl Options {
     pub fn of(pace: Pace) -> Options {
         Options {
+            other_program: None,
             pace,
             keep: false,
             seconds: 60,
@@ -69,48 +73,53 @@
     /// Each rule that was broken, in one line.
     Broken(Vec<String>),
     /// It came to no end that says anything about the system.
-    NotPlayed(NotPlayed),
+    ScenarioError(ScenarioError),
 }
 
 pub struct Scenario {
     pub name: &'static str,
     pub about: &'static str,
-    play: for<'a> fn(&'a mut Run) -> LocalBoxFuture<'a, Result<(), NotPlayed>>,
+    execute: for<'a> fn(&'a mut Run) -> LocalBoxFuture<'a, Result<(), ScenarioError>>,
 }
 
-pub const ALL: [Scenario; 5] = [
+pub const ALL: [Scenario; 6] = [
     Scenario {
         name: "cut-off",
         about: "a leader is frozen while orders go on, thawed and asked at once",
-        play: |run| Box::pin(cut_off::play(run)),
+        execute: |run| Box::pin(cut_off::execute(run)),
     },
     Scenario {
         name: "resend",
         about: "orders that were taken are sent again to every node, two operators race",
-        play: |run| Box::pin(resend::play(run)),
+        execute: |run| Box::pin(resend::execute(run)),
     },
     Scenario {
         name: "second-loss",
         about: "a disk is lost right after a repair, a member leaves, another comes",
-        play: |run| Box::pin(second_loss::play(run)),
+        execute: |run| Box::pin(second_loss::execute(run)),
     },
     Scenario {
         name: "many-changes",
         about: "hundreds of changes past a member that is down, then all restart",
-        play: |run| Box::pin(many_changes::play(run)),
+        execute: |run| Box::pin(many_changes::execute(run)),
+    },
+    Scenario {
+        name: "rolling-upgrade",
+        about: "each node restarts with another program under changes, then back again",
+        execute: |run| Box::pin(rolling_upgrade::execute(run)),
     },
     Scenario {
         name: "right-caller",
         about: "many calls through nodes that end and return: each gets its own answer",
-        play: |run| Box::pin(right_caller::play(run)),
+        execute: |run| Box::pin(right_caller::execute(run)),
     },
 ];
 
-/// Played by itself only, for as long as the options say.
+/// Run by itself only, for as long as the options say.
 pub const STORM: Scenario = Scenario {
     name: "storm",
     about: "faults drawn by lot while operators race, resend and read",
-    play: |run| Box::pin(storm::play(run)),
+    execute: |run| Box::pin(storm::execute(run)),
 };
 
 pub fn by_name(name: &str) -> Option<&'static Scenario> {
@@ -131,20 +140,20 @@
 }
 
 impl Scenario {
-    /// Plays the scenario with a fresh fleet; leaves nothing running.
-    pub async fn play(&self, program: &Path, options: Options) -> Verdict {
+    /// Runs the scenario with a fresh fleet; leaves nothing running.
+    pub async fn execute(&self, program: &Path, options: Options) -> Verdict {
         let plan = Plan {
             with_disk: 5,
             without_disk: 2,
         };
         let fleet = match Fleet::start(program, plan) {
             Ok(fleet) => fleet,
-            Err(e) => return Verdict::NotPlayed(e),
+            Err(e) => return Verdict::ScenarioError(e),
         };
         let record = Record::default();
         let mut run = Run {
             fleet,
-            options,
+            options: options.clone(),
             operator: Operator::new(&record),
             record,
             began: Instant::now(),
@@ -158,8 +167,8 @@
             LONGEST_S
         };
         let limit = Duration::from_secs(longest);
-        let played = match tokio::time::timeout(limit, (self.play)(&mut run)).await {
-            Ok(played) => played,
+        let outcome = match tokio::time::timeout(limit, (self.execute)(&mut run)).await {
+            Ok(outcome) => outcome,
             Err(_) => Err(format!("not over after {longest} s")),
         };
         let Run {
@@ -181,9 +190,9 @@
             println!("  folder kept: {}", fleet.folder().display());
         }
         fleet.stop().await;
-        match (broken.is_empty(), played) {
+        match (broken.is_empty(), outcome) {
             (false, _) => Verdict::Broken(broken),
-            (true, Err(e)) => Verdict::NotPlayed(e),
+            (true, Err(e)) => Verdict::ScenarioError(e),
             (true, Ok(())) => Verdict::Held,
         }
     }
@@ -223,7 +232,7 @@
     }
 
     /// Brings the system up with a first configuration.
-    async fn open(&mut self) -> Result<(), NotPlayed> {
+    async fn open(&mut self) -> Result<(), ScenarioError> {
         let order = self.next_order("a", 2);
         let within = Duration::from_secs(FIRST_S);
         match self.send(order, within).await {
@@ -261,7 +270,7 @@
 
     /// Makes a change; milliseconds until its acknowledgement. A proper change
     /// that gets none while nobody touches the core is a rule broken.
-    async fn change(&mut self, routes: usize) -> Result<u64, NotPlayed> {
+    async fn change(&mut self, routes: usize) -> Result<u64, ScenarioError> {
         let order = self.next_order("a", routes);
         let begun = Instant::now();
         let answer = self.send(order, Duration::from_secs(CLEAR_S)).await;
@@ -310,7 +319,7 @@
     }
 
     /// Evacuates a zone that no machine is in; its acknowledgement must come.
-    async fn evacuate(&mut self, zone: &str) -> Result<(), NotPlayed> {
+    async fn evacuate(&mut self, zone: &str) -> Result<(), ScenarioError> {
         let asked = Asked::Evacuate {
             zone: zone.into(),
             begin: true,
@@ -347,7 +356,7 @@
     }
 
     /// Waits until a node votes and holds what the leader holds; ms that it took.
-    async fn wait_for_vote(&self, number: u8, within: Duration) -> Result<u64, NotPlayed> {
+    async fn wait_for_vote(&self, number: u8, within: Duration) -> Result<u64, ScenarioError> {
         let begun = Instant::now();
         let name = settings::name(number);
         while begun.elapsed() < within {
@@ -372,7 +381,7 @@
     }
 
     /// Waits until a node that takes clients has a configuration in force; ms.
-    async fn wait_for_route(&self, number: u8, path: &str, within: Duration) -> Result<u64, NotPlayed> {
+    async fn wait_for_route(&self, number: u8, path: &str, within: Duration) -> Result<u64, ScenarioError> {
         let begun = Instant::now();
         let client = crate::call::client();
         let ready = format!("http://{}/readiness", self.fleet.net().readiness(number));
--- a/crates/fleet-test/src/scenarios/resend.rs
+++ b/crates/fleet-test/src/scenarios/resend.rs
@@ -3,13 +3,13 @@
 
 use super::{Run, CLEAR_S};
 use crate::checker::{Answer, Asked};
-use crate::NotPlayed;
+use crate::ScenarioError;
 use std::time::Duration;
 
 /// Races of two operators.
 const RACES: usize = 3;
 
-pub async fn play(run: &mut Run) -> Result<(), NotPlayed> {
+pub async fn execute(run: &mut Run) -> Result<(), ScenarioError> {
     run.open().await?;
     for _ in 0..2 {
         run.change(3).await?;
@@ -38,7 +38,7 @@
 
 /// Two operators send different changes on one base at the same time, every
 /// second time under one number; the winner and the loser.
-async fn race(run: &mut Run) -> Result<(usize, usize), NotPlayed> {
+async fn race(run: &mut Run) -> Result<(usize, usize), ScenarioError> {
     let base = run.current;
     let (a, b) = if base.is_multiple_of(2) {
         (run.next_order("a", 3), run.next_order("b", 4))
--- a/crates/fleet-test/src/scenarios/right_caller.rs
+++ b/crates/fleet-test/src/scenarios/right_caller.rs
@@ -6,7 +6,7 @@
 use crate::operator::{Operator, Place};
 use crate::orders;
 use crate::settings::zone;
-use crate::NotPlayed;
+use crate::ScenarioError;
 use futures_util::future::join_all;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -28,7 +28,7 @@
 const READS: usize = 150;
 const READ_EVERY_MS: u64 = 2;
 
-pub async fn play(run: &mut Run) -> Result<(), NotPlayed> {
+pub async fn execute(run: &mut Run) -> Result<(), ScenarioError> {
     run.open().await?;
     for _ in 0..2 {
         run.change(20).await?;
@@ -93,7 +93,7 @@
 
 /// Kills a node with orders under way whose answers are slow, and asks its next
 /// life something else: late answers must not reach the new callers.
-async fn restart_under_calls(run: &mut Run, n: usize) -> Result<(), NotPlayed> {
+async fn restart_under_calls(run: &mut Run, n: usize) -> Result<(), ScenarioError> {
     let within = Duration::from_secs(CLEAR_S);
     let leader = run.fleet.wait_for_leader(within).await?;
     let through = (1..=5).filter(|n| *n != leader).nth(n % 4).unwrap_or(1);
--- a/crates/fleet-test/src/scenarios/second_loss.rs
+++ b/crates/fleet-test/src/scenarios/second_loss.rs
@@ -2,7 +2,7 @@
 //! comes: all that was acknowledged reads back, and orders go on.
 
 use super::{pause, Run, CATCH_UP_MS, CLEAR_S};
-use crate::{settings, NotPlayed};
+use crate::{settings, ScenarioError};
 use std::time::{Duration, Instant};
 
 /// A zone that no machine of the fleet is in.
@@ -16,7 +16,7 @@
 /// What the settings grant a process that ends in order, ms.
 const GRACE_MS: u64 = 6000;
 
-pub async fn play(run: &mut Run) -> Result<(), NotPlayed> {
+pub async fn execute(run: &mut Run) -> Result<(), ScenarioError> {
     run.open().await?;
     let zone = settings::zone(ZONE);
     run.evacuate(&zone).await?;
@@ -51,7 +51,7 @@
     (1..=5).find(|n| !these.contains(n)).unwrap_or(1)
 }
 
-async fn changes(run: &mut Run) -> Result<(), NotPlayed> {
+async fn changes(run: &mut Run) -> Result<(), ScenarioError> {
     let mut longest = 0;
     for _ in 0..CHANGES {
         longest = longest.max(run.change(3).await?);
@@ -61,7 +61,7 @@
 }
 
 /// Wipes a node, and waits until it votes and the time for its repair is over.
-async fn wipe(run: &mut Run, number: u8) -> Result<(), NotPlayed> {
+async fn wipe(run: &mut Run, number: u8) -> Result<(), ScenarioError> {
     let node = run.fleet.node(number)?;
     node.kill();
     node.wipe()?;
@@ -75,7 +75,7 @@
 }
 
 /// Waits until a machine that just started votes, and no less than `CatchUp`.
-async fn vote(run: &mut Run, number: u8) -> Result<(), NotPlayed> {
+async fn vote(run: &mut Run, number: u8) -> Result<(), ScenarioError> {
     let started = Instant::now();
     let took = run.wait_for_vote(number, Duration::from_secs(VOTE_S)).await?;
     run.say(format!("node {number} votes {took} ms after its start"));
@@ -90,7 +90,7 @@
 }
 
 /// Ends a node with SIGTERM for good, with changes going on.
-async fn leave(run: &mut Run, number: u8) -> Result<(), NotPlayed> {
+async fn leave(run: &mut Run, number: u8) -> Result<(), ScenarioError> {
     run.fleet.node(number)?.terminate()?;
     let told = Instant::now();
     changes(run).await?;
--- a/crates/fleet-test/src/scenarios/storm.rs
+++ b/crates/fleet-test/src/scenarios/storm.rs
@@ -4,7 +4,7 @@
 use super::{pause, Run, CATCH_UP_MS, CLEAR_S};
 use crate::checker::{Answer, Asked};
 use crate::operator::{Operator, Place, Record};
-use crate::{orders, NotPlayed};
+use crate::{orders, ScenarioError};
 use futures_util::future::join_all;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
@@ -56,7 +56,7 @@
     Fault::KillAll,
 ];
 
-pub async fn play(run: &mut Run) -> Result<(), NotPlayed> {
+pub async fn execute(run: &mut Run) -> Result<(), ScenarioError> {
     run.open().await?;
     let until = Instant::now() + Duration::from_secs(run.options.seconds);
     let mut rng = StdRng::seed_from_u64(run.options.seed);
@@ -102,7 +102,7 @@
 }
 
 /// One fault, and the time that it takes to be over.
-async fn befall(run: &mut Run, fault: Fault, rng: &mut StdRng) -> Result<(), NotPlayed> {
+async fn befall(run: &mut Run, fault: Fault, rng: &mut StdRng) -> Result<(), ScenarioError> {
     let leader = run
         .fleet
         .wait_for_leader(Duration::from_secs(2 * CLEAR_S))
@@ -177,7 +177,7 @@
     }
 }
 
-/// Orders one configuration after the other on what is known to be current.
+/// Commands one configuration after the other on what is known to be current.
 async fn write(caller: Operator, known: Known, maker: &'static str) {
     while !known.stop.get() {
         let base = known.current.get();
--- a/crates/pebblepond/tests/processes.rs
+++ b/crates/pebblepond/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Faults on real processes of this build: a part of what `fleet-test` plays.
+//! Faults on real processes of this build: a part of what `fleet-test` runs.
 
 use fleet_test::scenarios::{by_name, Options, Pace, Verdict};
 use std::path::Path;
@@ -6,8 +6,8 @@
 fn holds(name: &str) {
     let scenario = by_name(name).expect("a scenario of this name");
     let program = Path::new(env!("CARGO_BIN_EXE_pebblepond"));
-    let played = scenario.play(program, Options::of(Pace::Short));
-    let verdict = actix_rt::System::new().block_on(played);
+    let outcome = scenario.execute(program, Options::of(Pace::Short));
+    let verdict = actix_rt::System::new().block_on(outcome);
     assert!(matches!(verdict, Verdict::Held), "{name}: {verdict:#?}");
 }
 
