--- a/crates/fleet-test/examples/pace.rs
+++ b/crates/fleet-test/examples/pace.rs
@@ -42,7 +42,7 @@
         for turn in 0..args.turns {
             for (program, times) in args.programs.iter().zip(&mut times) {
                 eprintln!("turn {turn}: {}", program.display());
-                play(&args, program, times).await?;
+                run_pace(&args, program, times).await?;
             }
         }
         for (program, times) in args.programs.iter().zip(&mut times) {
@@ -63,7 +63,11 @@
     })
 }
 
-async fn play(args: &Args, program: &std::path::Path, times: &mut [Vec<f64>]) -> Result<(), ScenarioError> {
+async fn run_pace(
+    args: &Args,
+    program: &std::path::Path,
+    times: &mut [Vec<f64>],
+) -> Result<(), ScenarioError> {
     let plan = Plan {
         with_disk: 5,
         without_disk: 1,
@@ -97,7 +101,7 @@
             );
             let begun = Instant::now();
             let answer = operator
-                .settle(Asked::Replace(n), &[fleet.place(leader)], WITHIN)
+                .settle(Asked::Replace(n), &[fleet.control_address(leader)], WITHIN)
                 .await;
             if !matches!(answer, fleet_test::checker::Answer::Good(_)) {
                 return Err(format!("order {n}: {answer:?}"));
--- a/crates/fleet-test/src/call.rs
+++ b/crates/fleet-test/src/call.rs
@@ -30,6 +30,7 @@
     }
 }
 
+/// A client for calls to `control`.
 pub fn client() -> awc::Client {
     awc::Client::builder()
         .timeout(Duration::from_millis(SILENCE_MS))
--- a/crates/fleet-test/src/checker.rs
+++ b/crates/fleet-test/src/checker.rs
@@ -51,6 +51,7 @@
     pub answer: Answer,
 }
 
+/// What callers of `control` observed.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     pub orders: Vec<Order>,
--- a/crates/fleet-test/src/fleet.rs
+++ b/crates/fleet-test/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::guard::Guard;
 use crate::net::Net;
 use crate::node::{Node, State};
-use crate::operator::Place;
+use crate::operator::ControlAddress;
 use crate::platform::Platform;
 use crate::settings::{self, Machine};
 use crate::ScenarioError;
@@ -24,6 +24,7 @@
     pub without_disk: u8,
 }
 
+/// A fleet of real processes on loopback addresses.
 pub struct Fleet {
     // Fields are dropped in this order: nodes end before their folder goes.
     pub nodes: Vec<Node>,
@@ -56,6 +57,7 @@
         Ok(fleet)
     }
 
+    /// Folder of the fleet: settings, logs and disks.
     pub fn folder(&self) -> &Path {
         self.guard.folder()
     }
@@ -70,6 +72,7 @@
         self.guard.keep();
     }
 
+    /// The node of a number.
     pub fn node(&mut self, number: u8) -> Result<&mut Node, ScenarioError> {
         let node = self.nodes.iter_mut().find(|n| n.number == number);
         node.ok_or(format!("there is no node {number}"))
@@ -125,22 +128,24 @@
         Ok(number)
     }
 
-    pub fn place(&self, number: u8) -> Place {
+    /// Control address of a node.
+    pub fn control_address(&self, number: u8) -> ControlAddress {
         (number, self.net.control(number))
     }
 
     /// Control addresses of all machines in use, running or not.
-    pub fn places(&self) -> Vec<Place> {
+    pub fn control_addresses(&self) -> Vec<ControlAddress> {
         let used = self.nodes.iter().filter(|n| !n.removed);
-        used.map(|n| self.place(n.number)).collect()
+        used.map(|n| self.control_address(n.number)).collect()
     }
 
     /// Control addresses of the nodes whose processes run.
-    pub fn running(&self) -> Vec<Place> {
+    pub fn running(&self) -> Vec<ControlAddress> {
         let up = self.nodes.iter().filter(|n| n.state() == State::Up);
-        up.map(|n| self.place(n.number)).collect()
+        up.map(|n| self.control_address(n.number)).collect()
     }
 
+    /// Addresses of the fleet.
     pub fn net(&self) -> &Net {
         &self.net
     }
--- a/crates/fleet-test/src/guard.rs
+++ b/crates/fleet-test/src/guard.rs
@@ -27,6 +27,7 @@
 done
 "#;
 
+/// Ends all that was started when its starter is gone.
 pub struct Guard {
     folder: PathBuf,
     holder: Child,
@@ -72,6 +73,7 @@
         }
     }
 
+    /// Folder that goes with the guard.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
--- a/crates/fleet-test/src/lib.rs
+++ b/crates/fleet-test/src/lib.rs
@@ -9,17 +9,29 @@
 //! other by the addresses that they listen on, so that no relay can stand between them.
 //! A node that is frozen takes the place of one that is cut off.
 
+/// Calls to `control`.
 pub mod call;
+/// What the answers must add up to.
 pub mod checker;
+/// The fleet and its faults.
 pub mod fleet;
+/// The end of all that was started.
 pub mod guard;
+/// Loopback addresses.
 pub mod net;
+/// One process.
 pub mod node;
+/// Callers of `control`.
 pub mod operator;
+/// Configurations that are sent.
 pub mod orders;
+/// The simulated platform.
 pub mod platform;
+/// Which program is started.
 pub mod program;
+/// The scenarios.
 pub mod scenarios;
+/// Settings files.
 pub mod settings;
 
 /// What keeps a scenario from being run: no statement about the system.
--- a/crates/fleet-test/src/main.rs
+++ b/crates/fleet-test/src/main.rs
@@ -11,8 +11,11 @@
 
 /// Exit codes.
 mod exit {
+    /// A rule was broken.
     pub const BROKEN: u8 = 1;
+    /// A scenario could not be run.
     pub const NOT_RUN: u8 = 3;
+    /// The run was interrupted.
     pub const INTERRUPTED: u8 = 130;
 }
 
--- a/crates/fleet-test/src/net.rs
+++ b/crates/fleet-test/src/net.rs
@@ -47,22 +47,27 @@
         Ipv4Addr::new(127, self.prefix[0], self.prefix[1], machine.saturating_add(1))
     }
 
+    /// Where the simulated platform listens.
     pub fn platform(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip(0), self.first_port)
     }
 
+    /// Where a machine takes clients' requests.
     pub fn front(&self, machine: u8) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip(machine), self.first_port)
     }
 
+    /// Where a machine says whether it is ready.
     pub fn readiness(&self, machine: u8) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip(machine), self.first_port + 1)
     }
 
+    /// Where a machine takes commands.
     pub fn control(&self, machine: u8) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip(machine), self.first_port + 2)
     }
 
+    /// Where a machine serves the directory.
     pub fn directory(&self, machine: u8) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip(machine), self.first_port + 3)
     }
--- a/crates/fleet-test/src/node.rs
+++ b/crates/fleet-test/src/node.rs
@@ -16,6 +16,7 @@
     Frozen,
 }
 
+/// One process of the fleet, running or not.
 pub struct Node {
     /// Its number, from 1.
     pub number: u8,
@@ -30,6 +31,7 @@
 }
 
 impl Node {
+    /// A node that has not been started.
     pub fn new(fleet: &Path, number: u8, has_disk: bool) -> Node {
         Node {
             number,
@@ -42,10 +44,12 @@
         }
     }
 
+    /// Its name in the settings.
     pub fn name(&self) -> String {
         settings::name(self.number)
     }
 
+    /// Whether it runs.
     pub fn state(&self) -> State {
         self.state
     }
@@ -107,6 +111,7 @@
         Ok(())
     }
 
+    /// Lets a frozen process go on.
     pub fn thaw(&mut self) -> Result<(), ScenarioError> {
         self.signal(Signal::CONT)?;
         self.state = State::Up;
--- a/crates/fleet-test/src/operator.rs
+++ b/crates/fleet-test/src/operator.rs
@@ -32,6 +32,7 @@
 }
 
 impl Record {
+    /// What was recorded so far.
     pub fn history(&self) -> History {
         self.history.borrow().clone()
     }
@@ -76,7 +77,7 @@
 }
 
 /// A control address and the number of its node.
-pub type Place = (u8, SocketAddrV4);
+pub type ControlAddress = (u8, SocketAddrV4);
 
 /// One caller, with connections of its own.
 #[derive(Clone)]
@@ -86,6 +87,7 @@
 }
 
 impl Operator {
+    /// An operator whose calls are recorded.
     pub fn new(record: &Record) -> Operator {
         Operator {
             client: client(),
@@ -94,12 +96,12 @@
     }
 
     /// One call at one node, and what came of it.
-    pub async fn ask(&self, asked: Asked, place: Place) -> Answer {
-        self.ask_with(asked, Vec::new(), place).await
+    pub async fn ask(&self, asked: Asked, control_address: ControlAddress) -> Answer {
+        self.ask_with(asked, Vec::new(), control_address).await
     }
 
     /// One call that brings a body of its own.
-    pub async fn ask_with(&self, asked: Asked, body: Vec<u8>, (node, address): Place) -> Answer {
+    pub async fn ask_with(&self, asked: Asked, body: Vec<u8>, (node, address): ControlAddress) -> Answer {
         let request = self.record.request(&asked, &body);
         let sent = self.record.now();
         let answer = call(&self.client, address, &request).await;
@@ -116,20 +118,25 @@
     /// Sends a call, first to the places as they stand, then to any of them,
     /// until it has a clear answer or the time is over, in which case the last
     /// unclear one is handed back.
-    pub async fn settle(&self, asked: Asked, places: &[Place], within: Duration) -> Answer {
+    pub async fn settle(
+        &self,
+        asked: Asked,
+        control_addresses: &[ControlAddress],
+        within: Duration,
+    ) -> Answer {
         let until = Instant::now() + within;
         let mut pause = PAUSE_MS;
         let mut tries = 0;
         let mut others = 0;
         loop {
-            let place = match places.get(tries) {
-                Some(place) => Some(*place),
-                None => places.choose(&mut rand::thread_rng()).copied(),
+            let control_address = match control_addresses.get(tries) {
+                Some(control_address) => Some(*control_address),
+                None => control_addresses.choose(&mut rand::thread_rng()).copied(),
             };
-            let Some(place) = place else {
+            let Some(control_address) = control_address else {
                 return Answer::Unclear("no node to ask".into());
             };
-            let answer = self.ask(asked.clone(), place).await;
+            let answer = self.ask(asked.clone(), control_address).await;
             tries += 1;
             match &answer {
                 Answer::Good(_) | Answer::Refused(400 | 409 | 412 | 413 | 422, _) => return answer,
--- a/crates/fleet-test/src/platform.rs
+++ b/crates/fleet-test/src/platform.rs
@@ -10,12 +10,14 @@
 /// Workers by `Identifier`, each as the list shows it.
 pub type Instances = Arc<Mutex<BTreeMap<String, serde_json::Value>>>;
 
+/// The simulated platform: it lists no workers.
 pub struct Platform {
     pub instances: Instances,
     server: ServerHandle,
 }
 
 impl Platform {
+    /// Listens at an address.
     pub fn start(address: SocketAddrV4) -> Result<Platform, ScenarioError> {
         let instances = Instances::default();
         let shared = web::Data::from(instances.clone());
--- a/crates/fleet-test/src/scenarios/cut_off.rs
+++ b/crates/fleet-test/src/scenarios/cut_off.rs
@@ -24,6 +24,7 @@
 /// A zone that no machine of the fleet is in.
 const ZONE: u8 = 12;
 
+/// Runs the scenario.
 pub async fn execute(run: &mut Run) -> Result<(), ScenarioError> {
     run.open().await?;
     for _ in 0..2 {
@@ -57,12 +58,12 @@
         .orders
         .iter()
         .rposition(|o| o.version == old_base);
-    let place = run.fleet.place(leader);
+    let control_address = run.fleet.control_address(leader);
     let callers: Vec<Operator> = (0..CALLERS).map(|_| run.caller()).collect();
     if length.is_zero() {
         // Connections that stand already are served first after a thaw; after a
         // long one they are closed as idle instead.
-        join_all(callers.iter().map(|c| c.ask(Asked::Read, place))).await;
+        join_all(callers.iter().map(|c| c.ask(Asked::Read, control_address))).await;
     }
     run.fleet.node(leader)?.freeze()?;
     let frozen = Instant::now();
@@ -104,7 +105,7 @@
         let body = crate::orders::configuration(version, "late", 3);
         run.record.order(old_base, version, body)
     };
-    let place = run.fleet.place(leader);
+    let control_address = run.fleet.control_address(leader);
     let mut asked = vec![Asked::Read, Asked::Replace(proper), Asked::Replace(stale)];
     asked.extend(old.map(Asked::Replace));
     asked.extend([
@@ -115,7 +116,7 @@
     ]);
     let calls = callers.into_iter().zip(asked).map(|(caller, asked)| {
         actix_rt::spawn(async move {
-            let answer = caller.ask(asked.clone(), place).await;
+            let answer = caller.ask(asked.clone(), control_address).await;
             (asked, answer)
         })
     });
@@ -133,7 +134,7 @@
     // And at once after it.
     let until = Instant::now() + Duration::from_millis(800);
     while Instant::now() < until {
-        run.operator.ask(Asked::Read, place).await;
+        run.operator.ask(Asked::Read, control_address).await;
         pause(20).await;
     }
     let answer = run.send(proper, Duration::from_secs(CLEAR_S)).await;
@@ -160,14 +161,14 @@
         pause(LED_MS).await;
     }
     let leader = run.fleet.wait_for_leader(within).await?;
-    let place = run.fleet.place(leader);
-    let begun = run.operator.settle(order(true), &[place], within).await;
+    let control_address = run.fleet.control_address(leader);
+    let begun = run.operator.settle(order(true), &[control_address], within).await;
     let caller = run.caller();
-    caller.ask(Asked::Read, place).await;
+    caller.ask(Asked::Read, control_address).await;
     run.fleet.node(leader)?.freeze()?;
     let frozen = Instant::now();
     let next = run.fleet.wait_for_leader(within).await?;
-    let others = [run.fleet.place(next)];
+    let others = [run.fleet.control_address(next)];
     let finished = run.operator.settle(order(false), &others, within).await;
     run.say(format!(
         "evacuation begun: {}; leader {leader} frozen; taken back: {} after {} ms",
@@ -176,7 +177,7 @@
         frozen.elapsed().as_millis()
     ));
     let again = order(true);
-    let waiting = actix_rt::spawn(async move { caller.ask(again, place).await });
+    let waiting = actix_rt::spawn(async move { caller.ask(again, control_address).await });
     pause(BEFORE_THAW_MS).await;
     run.fleet.node(leader)?.thaw()?;
     let answer = waiting.await.map_err(|e| e.to_string())?;
--- a/crates/fleet-test/src/scenarios/many_changes.rs
+++ b/crates/fleet-test/src/scenarios/many_changes.rs
@@ -22,6 +22,7 @@
 /// The disk that the settings give, bytes.
 const DISK_BYTES: u64 = 64 * 1024 * 1024;
 
+/// Runs the scenario.
 pub async fn execute(run: &mut Run) -> Result<(), ScenarioError> {
     run.open().await?;
     let leader = run.fleet.wait_for_leader(Duration::from_secs(CLEAR_S)).await?;
@@ -128,9 +129,9 @@
     let orders = run.record.history().orders.len();
     let ages: Vec<usize> = AGES.into_iter().filter(|age| *age < orders).collect();
     let (mut good, mut refused, mut unclear) = (0, 0, 0);
-    for place in run.fleet.running().into_iter().step_by(3) {
+    for control_address in run.fleet.running().into_iter().step_by(3) {
         for age in ages.iter().map(|age| orders - 1 - age).chain([0]) {
-            match run.operator.ask(Asked::Replace(age), place).await {
+            match run.operator.ask(Asked::Replace(age), control_address).await {
                 Answer::Good(_) => good += 1,
                 Answer::Refused(..) => refused += 1,
                 Answer::Unclear(_) => unclear += 1,
@@ -146,13 +147,13 @@
 async fn invalid_order(run: &mut Run) {
     let mark = "bad-of-old";
     let body = orders::invalid(1_000_000, mark);
-    for place in run.fleet.running() {
+    for control_address in run.fleet.running() {
         let asked = Asked::Invalid(mark.into());
-        let answer = run.operator.ask_with(asked, body.clone(), place).await;
+        let answer = run.operator.ask_with(asked, body.clone(), control_address).await;
         if !matches!(answer, Answer::Refused(..)) {
             run.broken(format!(
                 "an invalid order on base 0 is answered {answer:?} by node {}",
-                place.0
+                control_address.0
             ));
             return;
         }
--- a/crates/fleet-test/src/scenarios/mod.rs
+++ b/crates/fleet-test/src/scenarios/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::checker::{faults, Answer, Asked, History};
 use crate::fleet::{Fleet, Plan};
-use crate::operator::{Operator, Place, Record};
+use crate::operator::{ControlAddress, Operator, Record};
 use crate::settings;
 use crate::{orders, ScenarioError};
 use futures_util::future::LocalBoxFuture;
@@ -55,6 +55,7 @@
 }
 
 impl Options {
+    /// The usual options of a pace.
     pub fn of(pace: Pace) -> Options {
         Options {
             other_program: None,
@@ -76,12 +77,14 @@
     ScenarioError(ScenarioError),
 }
 
+/// A scenario for a fleet.
 pub struct Scenario {
     pub name: &'static str,
     pub about: &'static str,
     execute: for<'a> fn(&'a mut Run) -> LocalBoxFuture<'a, Result<(), ScenarioError>>,
 }
 
+/// All scenarios but the storm.
 pub const ALL: [Scenario; 6] = [
     Scenario {
         name: "cut-off",
@@ -122,6 +125,7 @@
     execute: |run| Box::pin(storm::execute(run)),
 };
 
+/// The scenario of a name.
 pub fn by_name(name: &str) -> Option<&'static Scenario> {
     ALL.iter().find(|s| s.name == name)
 }
@@ -252,10 +256,10 @@
 
     /// Sends an order until it has a clear answer.
     async fn send(&mut self, order: usize, within: Duration) -> Answer {
-        let places = self.fleet.running();
+        let control_addresses = self.fleet.running();
         let answer = self
             .operator
-            .settle(Asked::Replace(order), &shuffled(&places), within)
+            .settle(Asked::Replace(order), &shuffled(&control_addresses), within)
             .await;
         self.taken(order, &answer);
         answer
@@ -289,28 +293,35 @@
     /// Reads the configuration back through every running node; each must show
     /// what was acknowledged last.
     async fn read_back(&mut self) {
-        let places = self.fleet.running();
+        let control_addresses = self.fleet.running();
         let mut shown = 0;
-        for place in &places {
+        for control_address in &control_addresses {
             let within = Duration::from_secs(CLEAR_S);
-            match self.operator.settle(Asked::Read, &[*place], within).await {
+            match self
+                .operator
+                .settle(Asked::Read, &[*control_address], within)
+                .await
+            {
                 Answer::Good(_) => shown += 1,
-                other => self.broken(format!("node {} reads nothing back: {other:?}", place.0)),
+                other => self.broken(format!(
+                    "node {} reads nothing back: {other:?}",
+                    control_address.0
+                )),
             }
         }
         self.say(format!(
             "read back through {shown} of {} nodes; the newest acknowledged is version {}",
-            places.len(),
+            control_addresses.len(),
             self.record.history().newest_acknowledged()
         ));
     }
 
     /// What the leader says of the system, as a running node passes it on.
     async fn status(&self) -> Option<Value> {
-        let places = shuffled(&self.fleet.running());
+        let control_addresses = shuffled(&self.fleet.running());
         let answer = self
             .operator
-            .settle(Asked::Status, &places, Duration::from_secs(3))
+            .settle(Asked::Status, &control_addresses, Duration::from_secs(3))
             .await;
         match answer {
             Answer::Good(body) => serde_json::from_slice(&body).ok(),
@@ -424,11 +435,11 @@
     each.collect::<Vec<_>>().join(", ")
 }
 
-fn shuffled(places: &[Place]) -> Vec<Place> {
+fn shuffled(control_addresses: &[ControlAddress]) -> Vec<ControlAddress> {
     use rand::seq::SliceRandom;
-    let mut places = places.to_vec();
-    places.shuffle(&mut rand::thread_rng());
-    places
+    let mut control_addresses = control_addresses.to_vec();
+    control_addresses.shuffle(&mut rand::thread_rng());
+    control_addresses
 }
 
 async fn pause(ms: u64) {
--- a/crates/fleet-test/src/scenarios/resend.rs
+++ b/crates/fleet-test/src/scenarios/resend.rs
@@ -9,6 +9,7 @@
 /// Races of two operators.
 const RACES: usize = 3;
 
+/// Runs the scenario.
 pub async fn execute(run: &mut Run) -> Result<(), ScenarioError> {
     run.open().await?;
     for _ in 0..2 {
@@ -47,13 +48,13 @@
         run.next -= 1;
         (a, run.next_order("b", 4))
     };
-    let places = super::shuffled(&run.fleet.running());
-    let mut other = places.clone();
+    let control_addresses = super::shuffled(&run.fleet.running());
+    let mut other = control_addresses.clone();
     other.reverse();
     let within = Duration::from_secs(CLEAR_S);
     let (one, two) = (run.caller(), run.caller());
     let (first, second) = futures_util::future::join(
-        one.settle(Asked::Replace(a), &places, within),
+        one.settle(Asked::Replace(a), &control_addresses, within),
         two.settle(Asked::Replace(b), &other, within),
     )
     .await;
@@ -79,26 +80,26 @@
 
 /// Sends every order again, as it was, to every node: the checker judges.
 async fn send_again(run: &mut Run, taken: &[usize], refused: &[usize], when: &str) {
-    let places = run.fleet.running();
+    let control_addresses = run.fleet.running();
     let (mut good, mut bad, mut unclear) = (0, 0, 0);
     let mut revived = 0;
-    for place in &places {
+    for control_address in &control_addresses {
         for order in taken {
-            match run.operator.ask(Asked::Replace(*order), *place).await {
+            match run.operator.ask(Asked::Replace(*order), *control_address).await {
                 Answer::Good(_) => good += 1,
                 Answer::Refused(..) => bad += 1,
                 Answer::Unclear(_) => unclear += 1,
             }
         }
         for order in refused {
-            let answer = run.operator.ask(Asked::Replace(*order), *place).await;
+            let answer = run.operator.ask(Asked::Replace(*order), *control_address).await;
             revived += usize::from(matches!(answer, Answer::Good(_)));
         }
     }
     run.say(format!(
         "{when}: {} orders sent again to {} nodes: {good} acknowledged, {bad} refused, {unclear} unclear",
         taken.len(),
-        places.len()
+        control_addresses.len()
     ));
     if revived > 0 {
         run.broken(format!(
--- a/crates/fleet-test/src/scenarios/right_caller.rs
+++ b/crates/fleet-test/src/scenarios/right_caller.rs
@@ -3,7 +3,7 @@
 
 use super::{pause, Pace, Run, CLEAR_S};
 use crate::checker::{Answer, Asked};
-use crate::operator::{Operator, Place};
+use crate::operator::{ControlAddress, Operator};
 use crate::orders;
 use crate::settings::zone;
 use crate::ScenarioError;
@@ -28,6 +28,7 @@
 const READS: usize = 150;
 const READ_EVERY_MS: u64 = 2;
 
+/// Runs the scenario.
 pub async fn execute(run: &mut Run) -> Result<(), ScenarioError> {
     run.open().await?;
     for _ in 0..2 {
@@ -41,10 +42,10 @@
         restart_under_calls(run, n).await?;
     }
     let stop = Rc::new(Cell::new(false));
-    let places = run.fleet.places();
+    let control_addresses = run.fleet.control_addresses();
     let callers = (0..CALLERS).map(|n| {
-        let (caller, stop, places) = (run.caller(), stop.clone(), places.clone());
-        actix_rt::spawn(async move { work(&caller, n, &places, &stop).await })
+        let (caller, stop, control_addresses) = (run.caller(), stop.clone(), control_addresses.clone());
+        actix_rt::spawn(async move { work(&caller, n, &control_addresses, &stop).await })
     });
     let callers: Vec<_> = callers.collect();
     for _ in 0..kills {
@@ -67,22 +68,27 @@
 }
 
 /// Calls of every kind, each through the next node.
-async fn work(caller: &Operator, number: usize, places: &[Place], stop: &Cell<bool>) -> usize {
+async fn work(
+    caller: &Operator,
+    number: usize,
+    control_addresses: &[ControlAddress],
+    stop: &Cell<bool>,
+) -> usize {
     let mut answered = 0;
     let mut turn = number;
     while !stop.get() {
-        let place = places[turn % places.len()];
+        let control_address = control_addresses[turn % control_addresses.len()];
         let answer = if number.is_multiple_of(2) {
             let asked = if turn.is_multiple_of(3) {
                 Asked::Status
             } else {
                 Asked::Read
             };
-            caller.ask(asked, place).await
+            caller.ask(asked, control_address).await
         } else {
             let mark = format!("bad-{number}-{turn}");
             let body = orders::invalid(1_000_000, &mark);
-            caller.ask_with(Asked::Invalid(mark), body, place).await
+            caller.ask_with(Asked::Invalid(mark), body, control_address).await
         };
         answered += usize::from(!matches!(answer, Answer::Unclear(_)));
         turn += 1;
@@ -100,8 +106,8 @@
     // A life that has made no calls yet.
     run.fleet.node(through)?.kill();
     run.fleet.restart(through)?;
-    let place = run.fleet.place(through);
-    run.operator.settle(Asked::Read, &[place], within).await;
+    let control_address = run.fleet.control_address(through);
+    run.operator.settle(Asked::Read, &[control_address], within).await;
     // Acknowledgements wait a while for a node that was in contact.
     let edge = run.fleet.nodes.iter().find(|n| !n.has_disk).map(|n| n.number);
     let edge = edge.ok_or("no node without a disk")?;
@@ -114,7 +120,9 @@
     let mut under_way = Vec::new();
     for number in ZONES {
         let (caller, asked) = (run.caller(), evacuate(number));
-        under_way.push(actix_rt::spawn(async move { caller.ask(asked, place).await }));
+        under_way.push(actix_rt::spawn(async move {
+            caller.ask(asked, control_address).await
+        }));
         pause(ORDER_EVERY_MS).await;
     }
     run.fleet.node(through)?.kill();
@@ -126,7 +134,7 @@
         reads.push(actix_rt::spawn(async move {
             // The process needs a moment until it listens.
             for _ in 0..100 {
-                match caller.ask(Asked::Read, place).await {
+                match caller.ask(Asked::Read, control_address).await {
                     Answer::Unclear(_) => pause(10).await,
                     clear => return matches!(clear, Answer::Good(_)),
                 }
--- a/crates/fleet-test/src/scenarios/rolling_upgrade.rs
+++ b/crates/fleet-test/src/scenarios/rolling_upgrade.rs
@@ -14,6 +14,7 @@
 /// Changes beside each restart.
 const CHANGES: usize = 2;
 
+/// Runs the scenario.
 pub async fn execute(run: &mut Run) -> Result<(), ScenarioError> {
     run.open().await?;
     let own = run.fleet.program().to_path_buf();
--- a/crates/fleet-test/src/scenarios/second_loss.rs
+++ b/crates/fleet-test/src/scenarios/second_loss.rs
@@ -16,6 +16,7 @@
 /// What the settings grant a process that ends in order, ms.
 const GRACE_MS: u64 = 6000;
 
+/// Runs the scenario.
 pub async fn execute(run: &mut Run) -> Result<(), ScenarioError> {
     run.open().await?;
     let zone = settings::zone(ZONE);
--- a/crates/fleet-test/src/scenarios/storm.rs
+++ b/crates/fleet-test/src/scenarios/storm.rs
@@ -3,7 +3,7 @@
 
 use super::{pause, Run, CATCH_UP_MS, CLEAR_S};
 use crate::checker::{Answer, Asked};
-use crate::operator::{Operator, Place, Record};
+use crate::operator::{ControlAddress, Operator, Record};
 use crate::{orders, ScenarioError};
 use futures_util::future::join_all;
 use rand::rngs::StdRng;
@@ -26,7 +26,7 @@
 #[derive(Clone)]
 struct Known {
     record: Record,
-    places: Rc<Vec<Place>>,
+    control_addresses: Rc<Vec<ControlAddress>>,
     /// The newest version that one of them has seen in force.
     current: Rc<Cell<u64>>,
     next: Rc<Cell<u64>>,
@@ -56,13 +56,14 @@
     Fault::KillAll,
 ];
 
+/// Runs the scenario.
 pub async fn execute(run: &mut Run) -> Result<(), ScenarioError> {
     run.open().await?;
     let until = Instant::now() + Duration::from_secs(run.options.seconds);
     let mut rng = StdRng::seed_from_u64(run.options.seed);
     let known = Known {
         record: run.record.clone(),
-        places: Rc::new(run.fleet.places()),
+        control_addresses: Rc::new(run.fleet.control_addresses()),
         current: Rc::new(Cell::new(run.current)),
         next: Rc::new(Cell::new(run.next)),
         stop: Rc::default(),
@@ -161,8 +162,8 @@
 }
 
 impl Known {
-    fn any(&self) -> Option<Place> {
-        self.places.choose(&mut rand::thread_rng()).copied()
+    fn any(&self) -> Option<ControlAddress> {
+        self.control_addresses.choose(&mut rand::thread_rng()).copied()
     }
 
     fn saw(&self, version: u64) {
@@ -186,13 +187,16 @@
         let order = known
             .record
             .order(base, version, orders::configuration(version, maker, ROUTES));
-        let mut places = known.places.to_vec();
-        places.shuffle(&mut rand::thread_rng());
+        let mut control_addresses = known.control_addresses.to_vec();
+        control_addresses.shuffle(&mut rand::thread_rng());
         let within = Duration::from_secs(ORDER_S);
-        match caller.settle(Asked::Replace(order), &places, within).await {
+        match caller
+            .settle(Asked::Replace(order), &control_addresses, within)
+            .await
+        {
             Answer::Good(_) => known.saw(version),
             _ => {
-                if let Answer::Good(body) = caller.settle(Asked::Read, &places, within).await {
+                if let Answer::Good(body) = caller.settle(Asked::Read, &control_addresses, within).await {
                     known.saw_body(&body);
                 }
             }
@@ -206,8 +210,8 @@
     while !known.stop.get() {
         let orders = known.record.history().orders.len();
         let order = rand::thread_rng().gen_range(orders.saturating_sub(SENT_AGAIN)..orders.max(1));
-        if let Some(place) = known.any() {
-            caller.ask(Asked::Replace(order), place).await;
+        if let Some(control_address) = known.any() {
+            caller.ask(Asked::Replace(order), control_address).await;
         }
         pause(EVERY_MS).await;
     }
@@ -217,13 +221,15 @@
     let mut turn = 0;
     while !known.stop.get() {
         turn += 1;
-        let Some(place) = known.any() else { return };
+        let Some(control_address) = known.any() else {
+            return;
+        };
         if turn % 4 == 0 {
             let mark = format!("bad-{number}-{turn}");
             let body = orders::invalid(1_000_000, &mark);
-            caller.ask_with(Asked::Invalid(mark), body, place).await;
+            caller.ask_with(Asked::Invalid(mark), body, control_address).await;
         } else {
-            caller.ask(Asked::Read, place).await;
+            caller.ask(Asked::Read, control_address).await;
         }
         pause(EVERY_MS).await;
     }
--- a/crates/pebblepond/src/answers_tests.rs
+++ b/crates/pebblepond/src/answers_tests.rs
@@ -14,7 +14,7 @@
 
 /// What a worker does with a request.
 #[derive(Clone, Default)]
-struct Act {
+struct WorkerStep {
     /// It speaks once it has the head, and reads no body.
     early: bool,
     text: String,
@@ -24,10 +24,10 @@
     reset: bool,
 }
 
-fn say(text: impl Into<String>) -> Act {
-    Act {
+fn say(text: impl Into<String>) -> WorkerStep {
+    WorkerStep {
         text: text.into(),
-        ..Act::default()
+        ..WorkerStep::default()
     }
 }
 
@@ -50,15 +50,15 @@
 }
 
 /// Requests as a worker saw them: the connection, the request line.
-type Seen = Rc<RefCell<Vec<(usize, String)>>>;
+type ReceivedRequests = Rc<RefCell<Vec<(usize, String)>>>;
 
 /// A worker that acts by the connection's number, the request's number on it,
 /// and its head; all counted from 0.
-async fn worker(plan: impl Fn(usize, usize, &str) -> Act + 'static) -> (Seen, String) {
-    let seen = Seen::default();
+async fn worker(plan: impl Fn(usize, usize, &str) -> WorkerStep + 'static) -> (ReceivedRequests, String) {
+    let received = ReceivedRequests::default();
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
-    let (shared, plan) = (seen.clone(), Rc::new(plan));
+    let (shared, plan) = (received.clone(), Rc::new(plan));
     actix_rt::spawn(async move {
         let mut connections = 0;
         while let Ok((io, _)) = listener.accept().await {
@@ -66,16 +66,21 @@
             connections += 1;
         }
     });
-    (seen, address)
+    (received, address)
 }
 
-async fn serve(mut io: TcpStream, at: usize, seen: Seen, plan: Rc<impl Fn(usize, usize, &str) -> Act>) {
+async fn serve(
+    mut io: TcpStream,
+    at: usize,
+    received: ReceivedRequests,
+    plan: Rc<impl Fn(usize, usize, &str) -> WorkerStep>,
+) {
     for number in 0.. {
         let Some(head) = read_head(&mut io).await else {
             return;
         };
         let line = head.lines().next().unwrap_or("").to_string();
-        seen.borrow_mut().push((at, line));
+        received.borrow_mut().push((at, line));
         let act = plan(at, number, &head);
         if !act.early && read_body(&mut io, &head).await.is_none() {
             return;
@@ -110,7 +115,7 @@
     Some(())
 }
 
-/// A front that takes bodies of a megabyte.
+/// A proxy that takes bodies of a megabyte.
 async fn large_bodies(workers: &[String]) -> SocketAddrV4 {
     let (node, proxy) = node(workers).await;
     let body = CONFIG.replace("\"Version\":1,", "\"Version\":2,");
@@ -126,7 +131,7 @@
     proxy
 }
 
-/// Sends bytes on one connection, reads until the front closes it.
+/// Sends bytes on one connection, reads until the proxy closes it.
 async fn lines_of(proxy: SocketAddrV4, text: &str) -> Vec<String> {
     let answer = raw(proxy, text).await;
     let lines = answer.lines().filter(|l| l.contains("HTTP/1.1"));
@@ -139,7 +144,7 @@
 async fn a_doubled_answer_without_an_id_promises_nothing_to_the_next() {
     // On a connection used again the double of the first answer stands where
     // the second is due, and the second request has run.
-    let (seen, address) = worker(|_, number, _| match number {
+    let (received, address) = worker(|_, number, _| match number {
         0 => say(shed("")),
         _ => say(shed("") + &ok("run")),
     })
@@ -148,7 +153,7 @@
     for _ in 0..2 {
         assert_eq!(status(&raw(proxy, &post("/once/a", "x")).await), "503");
     }
-    let connections: Vec<usize> = seen.borrow().iter().map(|(at, _)| *at).collect();
+    let connections: Vec<usize> = received.borrow().iter().map(|(at, _)| *at).collect();
     assert_eq!(connections, [0, 1], "not on the connection that cannot tell");
 }
 
@@ -196,15 +201,15 @@
             "502",
         ),
     ] {
-        let told = text.clone();
-        let (seen, address) = worker(move |_, _, _| Act {
+        let announced = text.clone();
+        let (received, address) = worker(move |_, _, _| WorkerStep {
             close: true,
-            ..say(told.clone())
+            ..say(announced.clone())
         })
         .await;
         let proxy = proxy(&[address]).await;
         let answer = raw(proxy, &post("/once/a", "x")).await;
-        if status(&answer) != wanted || seen.borrow().len() != 1 {
+        if status(&answer) != wanted || received.borrow().len() != 1 {
             wrong.push((text, wanted, answer));
         }
     }
@@ -213,7 +218,7 @@
 
 #[actix_rt::test]
 async fn a_request_without_an_id_is_paired_by_its_connection_alone() {
-    let (seen, address) = worker(|_, number, _| match number {
+    let (received, address) = worker(|_, number, _| match number {
         0 => say(ok("first")),
         _ => say(with_id("200 OK", "", "Server-Seal: s\r\n", "stray") + &ok("second")),
     })
@@ -222,9 +227,9 @@
     assert!(raw(proxy, &get("/again/a")).await.ends_with("first"));
     let nameless = get("/again/a").replace("Attempt-Id: 7\r\n", "");
     assert!(raw(proxy, &nameless).await.ends_with("first"));
-    assert_eq!(seen.borrow()[1].0, 1, "not on a connection that others used");
+    assert_eq!(received.borrow()[1].0, 1, "not on a connection that others used");
     assert!(raw(proxy, &get("/again/a")).await.ends_with("second"));
-    assert_eq!(seen.borrow()[2].0, 0, "nor does anybody use it after");
+    assert_eq!(received.borrow()[2].0, 0, "nor does anybody use it after");
 }
 
 #[actix_rt::test]
@@ -233,8 +238,8 @@
     let head =
         "POST /once/a HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: 7\r\nTransfer-Encoding: chunked\r\n\r\n";
     for (text, wanted) in [(shed("7"), "503"), (ok("early"), "200")] {
-        let (seen, address) = worker(move |at, _, _| match at {
-            0 => Act {
+        let (received, address) = worker(move |at, _, _| match at {
+            0 => WorkerStep {
                 early: true,
                 ..say(text.clone())
             },
@@ -251,7 +256,7 @@
         io.read_exact(&mut got).await.expect("an answer");
         assert_eq!(status(&String::from_utf8_lossy(&got)), wanted);
         assert!(raw(proxy, &get("/again/a")).await.ends_with("next"));
-        assert_eq!(seen.borrow()[1].0, 1, "on another connection");
+        assert_eq!(received.borrow()[1].0, 1, "on another connection");
     }
 }
 
@@ -259,20 +264,20 @@
 async fn a_second_try_goes_out_on_a_connection_of_its_own() {
     // Two entries of the list share an address; on a connection used again the
     // double of the first refusal stands where the second answer is due.
-    let (seen, address) = worker(|_, number, _| match number {
+    let (received, address) = worker(|_, number, _| match number {
         0 => say(shed("7")),
         _ => say(shed("7") + &ok("run")),
     })
     .await;
     let proxy = proxy(&[address.clone(), address]).await;
     assert_eq!(status(&raw(proxy, &post("/once/a", "x")).await), "503");
-    let connections: Vec<usize> = seen.borrow().iter().map(|(at, _)| *at).collect();
+    let connections: Vec<usize> = received.borrow().iter().map(|(at, _)| *at).collect();
     assert_eq!(connections, [0, 1]);
 }
 
 #[actix_rt::test]
 async fn a_connection_on_which_time_was_up_is_closed() {
-    let (seen, address) = worker(|at, _, _| match at {
+    let (received, address) = worker(|at, _, _| match at {
         0 => say(""),
         _ => say(ok("next")),
     })
@@ -280,12 +285,12 @@
     let proxy = proxy(&[address]).await;
     assert_eq!(status(&raw(proxy, &get("/short/a")).await), "504");
     assert!(raw(proxy, &get("/again/a")).await.ends_with("next"));
-    assert_eq!(seen.borrow()[1].0, 1);
+    assert_eq!(received.borrow()[1].0, 1);
 }
 
 #[actix_rt::test]
 async fn pipelined_requests_are_answered_in_turn_and_none_after_a_close() {
-    let (seen, address) = worker(|_, _, head| {
+    let (received, address) = worker(|_, _, head| {
         let path = head.split(' ').nth(1).unwrap_or("").to_string();
         say(ok(&path))
     })
@@ -304,12 +309,16 @@
         (3, None),
         "{answer}"
     );
-    assert_eq!(seen.borrow().len(), 3, "nothing ran that stood behind the close");
+    assert_eq!(
+        received.borrow().len(),
+        3,
+        "nothing ran that stood behind the close"
+    );
 }
 
 #[actix_rt::test]
 async fn what_stands_in_a_body_that_nobody_read_is_no_request() {
-    let (seen, address) = worker(|_, _, _| say(ok("run"))).await;
+    let (received, address) = worker(|_, _, _| say(ok("run"))).await;
     let proxy = proxy(&[address]).await;
     let inner = get("/again/smuggled");
     let length = inner.len();
@@ -332,7 +341,7 @@
         let _ = io.read_to_end(&mut got).await;
         let answer = String::from_utf8_lossy(&got);
         assert!(answer.matches("HTTP/1.1").count() <= 1, "{head}{answer}");
-        assert_eq!(seen.borrow().len(), 0, "{head}{answer}");
+        assert_eq!(received.borrow().len(), 0, "{head}{answer}");
     }
     assert_eq!(lines_of(proxy, &get("/again/a")).await, ["HTTP/1.1 200 OK"]);
 }
@@ -346,7 +355,7 @@
             // On a fresh connection, and on one that another request has used.
             for used in [0, 1] {
                 let text = whole[..cut].to_string();
-                let act = Act {
+                let act = WorkerStep {
                     early,
                     close: !reset,
                     reset,
@@ -356,7 +365,7 @@
                     true => say(ok("first")),
                     false => act.clone(),
                 };
-                let (seen, address) = worker(plan).await;
+                let (received, address) = worker(plan).await;
                 let proxy = proxy(&[address]).await;
                 for _ in 0..used {
                     assert_eq!(status(&raw(proxy, &post("/once/a", "x")).await), "200");
@@ -364,7 +373,7 @@
                 let answer = raw(proxy, &post("/once/a", "x")).await;
                 let what = format!("cut at {cut}, early {early}, reset {reset}, used {used}: {answer}");
                 assert_eq!(status(&answer), "502", "{what}");
-                let connections: Vec<usize> = seen.borrow().iter().map(|(at, _)| *at).collect();
+                let connections: Vec<usize> = received.borrow().iter().map(|(at, _)| *at).collect();
                 assert_eq!(connections, vec![0; used + 1], "{what}");
             }
         }
@@ -375,7 +384,7 @@
 async fn a_release_is_believed_only_on_a_connection_of_its_own_and_names_its_worker() {
     let heads = Rc::new(RefCell::new(Vec::new()));
     let noted = heads.clone();
-    let (seen, address) = worker(move |_, number, head| {
+    let (received, address) = worker(move |_, number, head| {
         noted.borrow_mut().push(head.to_string());
         let yes = with_id("200 OK", "", "", "");
         match (head.starts_with("post /release"), number) {
@@ -386,7 +395,7 @@
     })
     .await;
     let upstream = Upstream::new();
-    let mut told = Vec::new();
+    let mut announced = Vec::new();
     for (path, fresh) in [("/grant", false), ("/release", false), ("/release", true)] {
         let call = ApiCall {
             method: actix_http::Method::POST,
@@ -398,10 +407,10 @@
             on_new_connection: fresh,
         };
         let status = call_api(&upstream, call).await.expect("an answer").status;
-        told.push(status.as_u16());
+        announced.push(status.as_u16());
     }
-    assert_eq!(told, [200, 200, 503], "used again, it tells a lie");
-    let connections: Vec<usize> = seen.borrow().iter().map(|(at, _)| *at).collect();
+    assert_eq!(announced, [200, 200, 503], "used again, it tells a lie");
+    let connections: Vec<usize> = received.borrow().iter().map(|(at, _)| *at).collect();
     assert_eq!(connections, [0, 0, 1]);
     assert!(heads
         .borrow()
@@ -460,11 +469,11 @@
             false,
         ),
     ] {
-        let act = Act {
+        let act = WorkerStep {
             close: true,
             reset,
             text,
-            ..Act::default()
+            ..WorkerStep::default()
         };
         let (_, address) = worker(move |_, _, _| act.clone()).await;
         let proxy = proxy(&[address]).await;
@@ -482,7 +491,7 @@
 async fn a_client_that_waits_for_a_100_is_told_to_go_on_and_the_worker_hears_nothing_of_it() {
     let expects = Rc::new(RefCell::new(false));
     let noted = expects.clone();
-    let (seen, address) = worker(move |_, _, head| {
+    let (received, address) = worker(move |_, _, head| {
         *noted.borrow_mut() |= head.contains("expect:");
         say(ok("fine"))
     })
@@ -499,5 +508,5 @@
     let mut rest = String::new();
     io.read_to_string(&mut rest).await.expect("an answer");
     assert!(status(&rest) == "200" && rest.ends_with("fine"), "{rest}");
-    assert_eq!((seen.borrow().len(), *expects.borrow()), (1, false));
+    assert_eq!((received.borrow().len(), *expects.borrow()), (1, false));
 }
--- a/crates/pebblepond/src/control_answers_tests.rs
+++ b/crates/pebblepond/src/control_answers_tests.rs
@@ -123,7 +123,7 @@
 
 #[actix_rt::test]
 async fn control_answers_as_it_did() {
-    let (_house, address, _folder) = control().await;
+    let (_context, address, _folder) = control().await;
     let mut told = String::new();
     for (what, request) in calls() {
         let path = what.split(' ').nth(1).unwrap_or("").to_string();
--- a/crates/pebblepond/src/forwarding_tests.rs
+++ b/crates/pebblepond/src/forwarding_tests.rs
@@ -1,4 +1,4 @@
-//! The forwarding path over real sockets: a front, and stand-in workers that
+//! The forwarding path over real sockets: a proxy, and simulated workers that
 //! do what a test tells them. Nothing here depends on how long things take.
 
 use crate::kernel::{start_all_but, NodeContext, NodeStatus};
@@ -14,7 +14,7 @@
 
 /// What a stand-in does with the connection's next request.
 #[derive(Clone)]
-enum Act {
+enum WorkerStep {
     /// Sends these bytes.
     Say(String),
     /// Sends these bytes and closes.
@@ -26,16 +26,16 @@
 }
 
 #[derive(Default)]
-struct Script {
-    acts: RefCell<Vec<Act>>,
+struct WorkerScript {
+    steps: RefCell<Vec<WorkerStep>>,
     /// Requests as they arrived.
-    seen: RefCell<Vec<String>>,
+    received: RefCell<Vec<String>>,
     connections: RefCell<usize>,
     closed: RefCell<usize>,
 }
 
-fn ok(body: &str) -> Act {
-    Act::Say(format!(
+fn ok(body: &str) -> WorkerStep {
+    WorkerStep::Say(format!(
         "HTTP/1.1 200 OK\r\nAttempt-Id: 7\r\nServer-Seal: s\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     ))
@@ -63,9 +63,9 @@
     Some(String::from_utf8_lossy(&got).into_owned())
 }
 
-async fn worker(acts: Vec<Act>) -> (Rc<Script>, String) {
-    let script = Rc::new(Script {
-        acts: RefCell::new(acts),
+async fn worker(steps: Vec<WorkerStep>) -> (Rc<WorkerScript>, String) {
+    let script = Rc::new(WorkerScript {
+        steps: RefCell::new(steps),
         ..Default::default()
     });
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -77,24 +77,24 @@
             let script = shared.clone();
             actix_rt::spawn(async move {
                 while let Some(request) = read_request(&mut io).await {
-                    script.seen.borrow_mut().push(request);
-                    let act = if script.acts.borrow().len() > 1 {
-                        script.acts.borrow_mut().remove(0)
+                    script.received.borrow_mut().push(request);
+                    let act = if script.steps.borrow().len() > 1 {
+                        script.steps.borrow_mut().remove(0)
                     } else {
-                        script.acts.borrow()[0].clone()
+                        script.steps.borrow()[0].clone()
                     };
                     match act {
-                        Act::Say(text) => {
+                        WorkerStep::Say(text) => {
                             if io.write_all(text.as_bytes()).await.is_err() {
                                 break;
                             }
                         }
-                        Act::SayAndClose(text) => {
+                        WorkerStep::SayAndClose(text) => {
                             let _ = io.write_all(text.as_bytes()).await;
                             return;
                         }
-                        Act::Close => return,
-                        Act::Hang => {
+                        WorkerStep::Close => return,
+                        WorkerStep::Hang => {
                             let mut rest = [0u8; 16];
                             while matches!(io.read(&mut rest).await, Ok(n) if n > 0) {}
                             break;
@@ -128,7 +128,7 @@
       {"Name":"once","RouteType":"non_idempotent","Condition":{"PathPrefix":"/once/"},"Treatment":{"Service":"s","Timeout":"20s","AttemptLimit":2}}]}],
     "Groups":[{"Name":"s","ConnectionLimit":100}]}"#;
 
-/// A front whose service has these workers; it may send as many further tries
+/// A proxy whose service has these workers; it may send as many further attempts
 /// as it likes. The address clients use.
 pub(crate) async fn proxy(workers: &[String]) -> SocketAddrV4 {
     node(workers).await.1
@@ -210,7 +210,7 @@
     (node, SocketAddrV4::new([127, 0, 0, 1].into(), port))
 }
 
-/// Sends bytes and reads until the front closes.
+/// Sends bytes and reads until the proxy closes.
 pub(crate) async fn raw(proxy: SocketAddrV4, text: &str) -> String {
     let mut io = TcpStream::connect(proxy).await.expect("connects");
     io.write_all(text.as_bytes()).await.expect("sends");
@@ -240,46 +240,51 @@
         answer.starts_with("HTTP/1.1 200") && answer.ends_with("fine") && answer.contains("erver-seal: s"),
         "{answer}"
     );
-    let seen = script.seen.borrow()[0].to_lowercase();
-    assert!(seen.starts_with("get /again/x%20y?q=%2f http/1.1"), "{seen}");
+    let received = script.received.borrow()[0].to_lowercase();
     assert!(
-        seen.contains("x-kept: 2") && !seen.contains("x-hop") && seen.contains("expected-instance: w0"),
-        "{seen}"
+        received.starts_with("get /again/x%20y?q=%2f http/1.1"),
+        "{received}"
     );
     assert!(
-        seen.contains("deadline-ms: ") && seen.contains("attempt-id: 7"),
-        "{seen}"
+        received.contains("x-kept: 2")
+            && !received.contains("x-hop")
+            && received.contains("expected-instance: w0"),
+        "{received}"
+    );
+    assert!(
+        received.contains("deadline-ms: ") && received.contains("attempt-id: 7"),
+        "{received}"
     );
     let answer = raw(proxy, &post("/once/a", "body")).await;
     assert_eq!(status(&answer), "200");
-    assert!(script.seen.borrow()[1].ends_with("\r\n\r\nbody"));
+    assert!(script.received.borrow()[1].ends_with("\r\n\r\nbody"));
 }
 
 #[actix_rt::test]
 async fn once_means_once_and_a_promise_is_given_only_where_it_holds() {
     for (act, wanted) in [
-        (Act::Close, "502"),
-        (Act::Say("nonsense\r\n\r\n".into()), "502"),
+        (WorkerStep::Close, "502"),
+        (WorkerStep::Say("nonsense\r\n\r\n".into()), "502"),
         (
-            Act::Say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".into()),
+            WorkerStep::Say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".into()),
             "502",
         ),
         (
-            Act::SayAndClose(
+            WorkerStep::SayAndClose(
                 "HTTP/1.1 200 OK\r\nAttempt-Id: 7\r\nServer-Seal: s\r\nContent-Length: 9\r\n\r\nhalf".into(),
             ),
             "502",
         ),
         (
-            Act::Say("HTTP/1.1 503 No\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n".into()),
+            WorkerStep::Say("HTTP/1.1 503 No\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n".into()),
             "503",
         ),
         (
-            Act::Say("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n".into()),
+            WorkerStep::Say("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n".into()),
             "503",
         ),
         (
-            Act::Say("HTTP/1.1 500 No\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n".into()),
+            WorkerStep::Say("HTTP/1.1 500 No\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n".into()),
             "500",
         ),
     ] {
@@ -287,25 +292,25 @@
         let proxy = proxy(&[address]).await;
         let answer = raw(proxy, &post("/once/a", "body")).await;
         assert_eq!(status(&answer), wanted, "{answer}");
-        assert_eq!(script.seen.borrow().len(), 1);
+        assert_eq!(script.received.borrow().len(), 1);
         assert_eq!(answer.contains("etry-after"), wanted == "503", "{answer}");
     }
 }
 
 #[actix_rt::test]
 async fn a_request_turned_away_goes_to_another_worker_and_a_broken_one_only_if_it_may() {
-    let shed = Act::Say("HTTP/1.1 503 No\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n".into());
+    let shed = WorkerStep::Say("HTTP/1.1 503 No\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n".into());
     let (_, a) = worker(vec![shed.clone(), ok("a")]).await;
     let (_, b) = worker(vec![shed, ok("b")]).await;
     let front_address = proxy(&[a, b]).await;
     // The first worker turns it away, the second too; then both are well.
     assert_eq!(status(&raw(front_address, &post("/once/a", "x")).await), "503");
-    let (broken, a) = worker(vec![Act::Close]).await;
-    let (also, b) = worker(vec![Act::Close]).await;
+    let (broken, a) = worker(vec![WorkerStep::Close]).await;
+    let (also, b) = worker(vec![WorkerStep::Close]).await;
     let front_address = proxy(&[a, b]).await;
     assert_eq!(status(&raw(front_address, &get("/again/a")).await), "502");
     assert_eq!(
-        broken.seen.borrow().len() + also.seen.borrow().len(),
+        broken.received.borrow().len() + also.received.borrow().len(),
         2,
         "each worker once, and no silent repeat"
     );
@@ -314,7 +319,7 @@
 #[actix_rt::test]
 async fn stray_bytes_never_reach_the_next_request() {
     let stray = "HTTP/1.1 200 OK\r\nAttempt-Id: 7\r\nServer-Seal: s\r\nContent-Length: 1\r\n\r\n1HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
-    let (script, address) = worker(vec![Act::Say(stray.into()), ok("right")]).await;
+    let (script, address) = worker(vec![WorkerStep::Say(stray.into()), ok("right")]).await;
     let proxy = proxy(&[address]).await;
     assert!(raw(proxy, &get("/again/a")).await.ends_with("\r\n\r\n1"));
     assert!(raw(proxy, &get("/again/b")).await.ends_with("right"));
@@ -328,20 +333,22 @@
 #[actix_rt::test]
 async fn a_surplus_answer_in_the_place_of_the_next_is_passed_over() {
     let stale = "HTTP/1.1 200 OK\r\nAttempt-Id: 6\r\nServer-Seal: s\r\nContent-Length: 5\r\n\r\nwrong";
-    let Act::Say(right) = ok("right") else { return };
-    let (script, address) = worker(vec![Act::Say(format!("{stale}{right}")), ok("next")]).await;
+    let WorkerStep::Say(right) = ok("right") else {
+        return;
+    };
+    let (script, address) = worker(vec![WorkerStep::Say(format!("{stale}{right}")), ok("next")]).await;
     let front_address = proxy(&[address]).await;
     assert!(raw(front_address, &post("/once/a", "x")).await.ends_with("right"));
     assert!(raw(front_address, &post("/once/a", "x")).await.ends_with("next"));
     assert_eq!(
-        (script.seen.borrow().len(), *script.connections.borrow()),
+        (script.received.borrow().len(), *script.connections.borrow()),
         (2, 2),
         "run once each, and not on the connection that had strayed"
     );
     // Nothing but a stranger's answer is no answer; nor is a success without an id.
     let nameless = stale.replace("Attempt-Id: 6\r\n", "");
     for only in [stale, &nameless] {
-        let (_, address) = worker(vec![Act::SayAndClose(only.into())]).await;
+        let (_, address) = worker(vec![WorkerStep::SayAndClose(only.into())]).await;
         let front_address = proxy(&[address]).await;
         assert_eq!(status(&raw(front_address, &post("/once/a", "x")).await), "502");
     }
@@ -350,13 +357,16 @@
 #[actix_rt::test]
 async fn an_address_that_another_worker_has_is_tried_once() {
     let other = "HTTP/1.1 421 No\r\nNot-Executed: 1\r\nInstance-Id: x\r\nContent-Length: 0\r\n\r\n";
-    let (gone, a) = worker(vec![Act::Say(other.into())]).await;
+    let (gone, a) = worker(vec![WorkerStep::Say(other.into())]).await;
     let (_, b) = worker(vec![ok("b")]).await;
     let front_address = proxy(&[a, b]).await;
     for _ in 0..10 {
         assert_eq!(status(&raw(front_address, &post("/once/a", "x")).await), "200");
     }
-    assert!(gone.seen.borrow().len() <= 1, "it answers at once, and is no use");
+    assert!(
+        gone.received.borrow().len() <= 1,
+        "it answers at once, and is no use"
+    );
 }
 
 #[actix_rt::test]
@@ -371,13 +381,13 @@
         status(&answer) == "503" && answer.contains("etry-after"),
         "{answer}"
     );
-    assert_eq!(script.seen.borrow().len(), 1);
+    assert_eq!(script.received.borrow().len(), 1);
 }
 
 #[actix_rt::test]
 async fn a_closing_worker_is_not_called_on_the_same_connection() {
     let closing = "HTTP/1.1 200 OK\r\nAttempt-Id: 7\r\nServer-Seal: s\r\nConnection: close\r\nContent-Length: 1\r\n\r\n1";
-    let (script, address) = worker(vec![Act::Say(closing.into()), ok("2"), ok("3")]).await;
+    let (script, address) = worker(vec![WorkerStep::Say(closing.into()), ok("2"), ok("3")]).await;
     let proxy = proxy(&[address]).await;
     for end in ["1", "2", "3"] {
         assert!(raw(proxy, &get("/again/a")).await.ends_with(end));
@@ -418,17 +428,17 @@
             "one answer and the connection closed: {answer}"
         );
     }
-    assert!(script.seen.borrow().is_empty());
+    assert!(script.received.borrow().is_empty());
 }
 
 #[actix_rt::test]
 async fn out_of_time_is_said_and_a_client_that_leaves_ends_the_try() {
-    let (script, address) = worker(vec![Act::Hang]).await;
+    let (script, address) = worker(vec![WorkerStep::Hang]).await;
     let proxy = proxy(&[address]).await;
     assert_eq!(status(&raw(proxy, &get("/short/a")).await), "504");
     let mut io = TcpStream::connect(proxy).await.expect("connects");
     io.write_all(get("/again/a").as_bytes()).await.expect("sends");
-    while script.seen.borrow().len() < 2 {
+    while script.received.borrow().len() < 2 {
         actix_rt::task::yield_now().await;
     }
     drop(io);
@@ -454,7 +464,7 @@
 async fn headers_to_workers_and_clients_stay_as_they_were() {
     let (script, address) = worker(vec![ok("fine")]).await;
     let proxy = proxy(&[address]).await;
-    let mut told = Vec::new();
+    let mut announced = Vec::new();
     for request in [
         get("/again/a"),
         post("/once/a", "body"),
@@ -463,13 +473,18 @@
         post("/once/a", &"x".repeat(2000)),
         get("/again/a").replace("X-Kept: 2", &format!("X-Kept: {}", "2".repeat(3000))),
     ] {
-        told.push(without_values(&raw(proxy, &request).await));
+        announced.push(without_values(&raw(proxy, &request).await));
     }
-    let seen: Vec<String> = script.seen.borrow().iter().map(|s| without_values(s)).collect();
+    let received: Vec<String> = script
+        .received
+        .borrow()
+        .iter()
+        .map(|s| without_values(s))
+        .collect();
     let now = format!(
         "to workers:\n{}\n\nto clients:\n{}\n",
-        seen.join("\n--\n"),
-        told.join("\n--\n")
+        received.join("\n--\n"),
+        announced.join("\n--\n")
     );
     if now != include_str!("../tests/data/headers.txt") {
         let path = std::env::temp_dir().join("headers.txt");
--- a/crates/placement/src/outlier.rs
+++ b/crates/placement/src/outlier.rs
@@ -1,6 +1,6 @@
 //! Outlier detection: which workers are ejected for a while because they fail, or lag far behind
 //! the others of their service. One node sees few requests of each worker; the leader sees them
-//! all. Health answers play no part: what requests show outweighs them.
+//! all. Health answers do not count: what requests show outweighs them.
 
 use config::constants as c;
 use control_state::ControlState;
--- a/crates/protocol/tests/correlation.rs
+++ b/crates/protocol/tests/correlation.rs
@@ -143,7 +143,7 @@
 }
 
 /// Plays steps: how many calls were answered, or the first thing that is wrong.
-fn play(steps: &[Step], fault: Fault) -> Result<usize, String> {
+fn run_steps(steps: &[Step], fault: Fault) -> Result<usize, String> {
     let mut world = World {
         fault,
         now: 0,
@@ -196,8 +196,8 @@
     #![proptest_config(ProptestConfig { cases: CASES, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
     fn an_answer_reaches_only_who_asked_and_once(steps in steps()) {
-        let played = play(&steps, Fault::None);
-        prop_assert!(played.is_ok(), "{played:?}");
+        let outcome = run_steps(&steps, Fault::None);
+        prop_assert!(outcome.is_ok(), "{outcome:?}");
     }
 }
 
@@ -208,9 +208,9 @@
         .filter_map(|_| Some(steps().new_tree(&mut runner).ok()?.current()))
         .collect();
     for fault in [Fault::LifeIgnored, Fault::PeerIgnored, Fault::AnsweredTwice] {
-        let found = worlds.iter().any(|steps| play(steps, fault).is_err());
+        let found = worlds.iter().any(|steps| run_steps(steps, fault).is_err());
         assert!(found, "{fault:?} was not found");
     }
-    let answered: usize = worlds.iter().filter_map(|w| play(w, Fault::None).ok()).sum();
+    let answered: usize = worlds.iter().filter_map(|w| run_steps(w, Fault::None).ok()).sum();
     assert!(answered > worlds.len() / 2, "{answered} calls were answered");
 }
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -41,7 +41,7 @@
     Leader,
 }
 
-/// One node's part in the protocol. Copies serve tests that play what may follow.
+/// One node's part in the protocol. Copies serve tests that try what may follow.
 #[derive(Clone)]
 pub struct RaftNode {
     id: u64,
--- a/crates/raft/tests/membership_repair.rs
+++ b/crates/raft/tests/membership_repair.rs
@@ -41,7 +41,7 @@
 
 /// Plays a way, a letter a step: the least left after any step if they are lost again,
 /// and the steps until a fresh loss is borne for good.
-fn play(regions: &[usize], way: &str) -> (i64, usize) {
+fn run_changes(regions: &[usize], way: &str) -> (i64, usize) {
     let of = |r: usize| regions.iter().filter(|x| **x == r).count() as i64;
     let mut membership = Voters {
         dead: of(0),
@@ -66,9 +66,9 @@
 fn removing_before_adding_never_leaves_too_few() {
     for regions in SIZES {
         let lost = regions.iter().filter(|r| **r == 0).count();
-        let add = play(regions, &("+".repeat(lost) + &"-".repeat(lost)));
-        let remove = play(regions, &("-".repeat(lost) + &"+".repeat(lost)));
-        let turns = play(regions, &"-+".repeat(lost));
+        let add = run_changes(regions, &("+".repeat(lost) + &"-".repeat(lost)));
+        let remove = run_changes(regions, &("-".repeat(lost) + &"+".repeat(lost)));
+        let turns = run_changes(regions, &"-+".repeat(lost));
         println!(
             "{} voters: add first {add:?}, remove first {remove:?}, in turns {turns:?}",
             regions.len()
--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -118,6 +118,7 @@
 }
 
 impl Evidence<'_> {
+    /// Notes a violation once.
     pub fn fail(&mut self, check: Check, at: u64, what: String) {
         let new = Violation { check, at, what };
         if !self.violations.contains(&new) {
--- a/crates/simulation/src/command_handler.rs
+++ b/crates/simulation/src/command_handler.rs
@@ -132,6 +132,7 @@
 }
 
 impl CommandHandler {
+    /// The handler of a process of this number.
     pub fn new(process: u64, mutant: Mutant) -> CommandHandler {
         let drawn = if mutant == Mutant::PairsByNumber {
             0
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -3,6 +3,7 @@
 use prost::Message;
 use raft::{Entry, PersistentState, StorageWrite};
 
+/// A simulated disk.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
     /// Identity written when the store was begun; 0 on an empty disk.
@@ -19,6 +20,7 @@
 }
 
 impl Disk {
+    /// Hands a write to the disk.
     pub fn write(&mut self, now: u64, seq: u64, write: StorageWrite) {
         let entries = write.entries.iter().map(|e| e.encoded_len());
         self.written += entries.sum::<usize>() + write.snapshot.as_ref().map_or(0, |s| s.encoded_len());
@@ -78,6 +80,7 @@
         last.map_or(0, |e| e.index).max(self.saved.snapshot.index)
     }
 
+    /// What a process finds on it.
     pub fn load(&self) -> PersistentState {
         self.saved.clone()
     }
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -126,6 +126,7 @@
 }
 
 impl History {
+    /// Adds what somebody observed.
     pub fn record(&mut self, at: u64, observer: &str, observation: Observation) {
         let observer = observer.to_string();
         self.events.push(Event {
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -135,6 +135,7 @@
     Read,
 }
 
+/// What a step does.
 #[derive(Clone, Copy, Debug)]
 pub enum StepAction {
     Fault(Fault),
@@ -145,6 +146,7 @@
     },
 }
 
+/// One step of a plan.
 #[derive(Clone, Copy, Debug)]
 pub struct Step {
     /// Pause before it, ms.
@@ -253,6 +255,7 @@
         tree.map(|t| PlanTree(Box::new(t))).map_err(|e| e.to_string())
     }
 
+    /// The plan as it is now.
     pub fn plan(&self) -> Plan {
         self.0.current()
     }
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -68,7 +68,7 @@
 
 /// Runs a scenario; a step that fails ends the test with its line.
 pub fn run_scenario(text: &str, seed: u64) {
-    let mut player = ScenarioRunner {
+    let mut runner = ScenarioRunner {
         cluster: Cluster::new(seed),
         routes: 0,
         all: false,
@@ -80,12 +80,12 @@
             continue;
         }
         let words: Vec<&str> = line.split_whitespace().collect();
-        let done = player.step(&words);
+        let done = runner.step(&words);
         assert!(
             done.is_ok(),
             "line {} `{line}` at {} ms: {}",
             number + 1,
-            player.cluster.now,
+            runner.cluster.now,
             done.err().unwrap_or_default()
         );
     }
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -11,6 +11,7 @@
     until: u64,
 }
 
+/// A worker that holds keys.
 #[derive(Clone, Debug)]
 pub struct SimulatedWorker {
     pub listed: Worker,
@@ -24,6 +25,7 @@
 }
 
 impl SimulatedWorker {
+    /// A worker that holds nothing.
     pub fn new(listed: Worker) -> SimulatedWorker {
         SimulatedWorker {
             listed,
@@ -57,6 +59,7 @@
         GrantResult::Accepted
     }
 
+    /// Gives keys back.
     pub fn release(&mut self, h: &KeyLease) -> ReleaseResult {
         self.took.push((h.from, h.to, h.fencing_token, 0));
         self.cut(h.from, h.to);
--- a/crates/simulation/tests/cold.rs
+++ b/crates/simulation/tests/cold.rs
@@ -37,7 +37,7 @@
         part: f64,
         dark_ms: u64,
     },
-    Crowd {
+    ClientLoad {
         per_s: f64,
     },
     /// A zone is emptied for so many ms; its workers turn cold shortly before.
@@ -52,7 +52,7 @@
     prop_oneof![
         (0..ZONES, 1..6usize).prop_map(|(zone, count)| Event::Begin { zone, count }),
         (0.1..1.0, 20..1500u64).prop_map(|(part, dark_ms)| Event::Herd { part, dark_ms }),
-        (0.0..400.0).prop_map(|per_s| Event::Crowd { per_s }),
+        (0.0..400.0).prop_map(|per_s| Event::ClientLoad { per_s }),
         (0..ZONES, 3000..5000u64).prop_map(|(zone, for_ms)| Event::Evacuate { zone, for_ms }),
         Just(Event::NewLeader),
     ]
@@ -210,7 +210,7 @@
                 }
                 self.answers.clear();
             }
-            Event::Crowd { per_s } => self.per_s = per_s,
+            Event::ClientLoad { per_s } => self.per_s = per_s,
             Event::Evacuate { zone, for_ms } => {
                 self.evacuate(zone, true);
                 self.back.push((self.now + for_ms, zone));
@@ -376,7 +376,7 @@
     }
 }
 
-fn play(seed: u64, nodes: u64, rate: &str, events: &[(u64, Event)]) -> Day {
+fn run_day(seed: u64, nodes: u64, rate: &str, events: &[(u64, Event)]) -> Day {
     let mut day = Day::new(seed, nodes, rate);
     for _ in 0..3000 / STEP_MS {
         day.step();
@@ -411,7 +411,7 @@
         nodes in prop_oneof![1..20u64, 60..90u64, 200..320u64],
         events in prop::collection::vec((0..2500u64, event()), 1..8),
     ) {
-        let day = play(seed, nodes, RATE, &events);
+        let day = run_day(seed, nodes, RATE, &events);
         let (most, _) = day.most();
         prop_assert!(most <= day.bound(), "{most} of {}", day.bound());
     }
@@ -424,7 +424,7 @@
         dark_ms: 100,
     };
     vec![
-        (0, Event::Crowd { per_s: 300.0 }),
+        (0, Event::ClientLoad { per_s: 300.0 }),
         (0, Event::Begin { zone: 1, count: 5 }),
         (600, herd),
     ]
@@ -432,19 +432,19 @@
 
 #[test]
 fn the_check_finds_a_share_that_is_too_large() {
-    let day = play(1, 80, "40.0", &hard());
+    let day = run_day(1, 80, "40.0", &hard());
     assert!(day.most().0 > day.bound(), "{:?}", day.most());
-    let day = play(1, 80, RATE, &hard());
+    let day = run_day(1, 80, RATE, &hard());
     assert!(day.most().0 <= day.bound(), "{:?}", day.most());
 }
 
 #[test]
 fn what_cold_workers_bear_is_used() {
     let events = [
-        (0, Event::Crowd { per_s: 400.0 }),
+        (0, Event::ClientLoad { per_s: 400.0 }),
         (0, Event::Begin { zone: 1, count: 5 }),
     ];
-    let day = play(3, 45, RATE, &events);
+    let day = run_day(3, 45, RATE, &events);
     // Workers of both services bear 3 a second for 3 s; of those with keys, one.
     let bears = (5.0 + 1.0) * 3.0 * 3.0 * c::WARMUP_PART;
     let used = day.most().1 as f64 / bears;
