--- a/crates/fleet-test/src/main.rs
+++ b/crates/fleet-test/src/main.rs
@@ -133,10 +133,18 @@
     {
         return up(program, machines, without_disk, cli.keep).await;
     }
+    let other_program = match cli.other_program.as_ref().map(|path| path.canonicalize()) {
+        None => None,
+        Some(Ok(path)) => Some(path),
+        Some(Err(e)) => {
+            eprintln!("fleet-test: --other-program: {e}");
+            return ExitCode::from(exit::NOT_RUN);
+        }
+    };
     let pace = if cli.short { Pace::Short } else { Pace::Full };
     let mut options = Options {
         keep: cli.keep,
-        other_program: cli.other_program.clone(),
+        other_program,
         ..Options::of(pace)
     };
     if let Command::Storm { seconds, seed } = cli.command {
--- a/crates/pebblepond/src/forwarding_tests.rs
+++ b/crates/pebblepond/src/forwarding_tests.rs
@@ -384,6 +384,21 @@
     assert_eq!(script.received.borrow().len(), 1);
 }
 
+/// Once shutdown is over the process ends at once: what it takes then is cut off, although a
+/// worker may have run it.
+#[actix_rt::test]
+async fn a_node_that_has_decided_to_end_takes_no_request() {
+    let (script, address) = worker(vec![ok("fine")]).await;
+    let (node, front_address) = node(&[address]).await;
+    let mut settings = (*node.settings.get()).clone();
+    settings.terms.bounds.grace_period.ms = 1000;
+    node.settings.set(settings);
+    crate::shutdown::shut_down(&node).await;
+    let answer = raw(front_address, &post("/once/a", "x")).await;
+    assert_eq!(script.received.borrow().len(), 0, "a worker ran it: {answer}");
+    assert_eq!(status(&answer), "503");
+}
+
 #[actix_rt::test]
 async fn a_closing_worker_is_not_called_on_the_same_connection() {
     let closing = "HTTP/1.1 200 OK\r\nAttempt-Id: 7\r\nServer-Seal: s\r\nConnection: close\r\nContent-Length: 1\r\n\r\n1";
--- a/crates/pebblepond/src/shutdown.rs
+++ b/crates/pebblepond/src/shutdown.rs
@@ -78,7 +78,7 @@
 /// Not ready, out of the directory, leadership passed on, and then whatever
 /// runs may end within the grace period. A voter stays, as long as there is time,
 /// until the others go on with all that it holds.
-async fn shut_down(context: &Rc<NodeContext>) {
+pub(crate) async fn shut_down(context: &Rc<NodeContext>) {
     log::info!("event=shutdown_begun");
     context.shutting_down.set(true);
     let driver = context.get::<Addr<RaftDriver>>();
