--- a/crates/raft/src/node/election.rs
+++ b/crates/raft/src/node/election.rs
@@ -109,13 +109,13 @@
     /// Waits a fresh election timeout.
     pub(super) fn reset_election_deadline(&mut self) {
         // Whoever is about to end lets others stand first.
-        let patience = if self.shutting_down {
+        let head_start = if self.shutting_down {
             2 * self.config.election_timeout_ms
         } else {
             0
         };
         self.election_deadline = self.now
-            + patience
+            + head_start
             + self.config.election_timeout_ms
             + self.rng.gen_range(0..=self.config.election_jitter_ms);
     }
--- /dev/null
+++ b/crates/simulation/src/command_handler/execution.rs
@@ -0,0 +1,159 @@
+//! What the leader does with a command.
+
+use super::{
+    CommandHandler, HandlerAction, Mutant, Phase, Proposal, RunningCommand, NOT_FOUND, NOT_LEADER, OK,
+    PRECONDITION_FAILED, UNAVAILABLE,
+};
+use crate::cluster::TOLERANCE;
+use crate::history::Request;
+use crate::node::Process;
+use config::constants as c;
+use control_state::{configuration_key, Judgement, Outcome};
+use protocol::{Change, ChangeKind, CommandTag, ConfigurationCommand, ConfigurationKey, EvacuationChange};
+use raft::{tolerates_faults, LogPosition};
+
+impl CommandHandler {
+    /// Executes a command on the leader: how it goes on, or the status that ends it.
+    pub(super) fn execute(
+        &mut self,
+        now: u64,
+        node: &mut Process,
+        running: &RunningCommand,
+        actions: &mut Vec<HandlerAction>,
+    ) -> Result<Phase, u16> {
+        if !node.raft.is_established_leader() {
+            return Err(NOT_LEADER);
+        }
+        if running.command.request != Request::Read && !tolerates_faults(node.raft.membership(), TOLERANCE) {
+            return Err(UNAVAILABLE);
+        }
+        match &running.command.request {
+            Request::Read if self.mutant == Mutant::ReadsCopy => {
+                Err(if node.state.version() > 0 { OK } else { NOT_FOUND })
+            }
+            Request::Read => Ok(self.confirm(now, node)),
+            Request::Replace { content, .. } => self.replace(now, node, running, content.base, actions),
+            Request::Evacuate { zone, begin } => {
+                let tag = running.command.tag.clone();
+                let tag = tag.map(|tag| self.with_repeats(now, node, tag));
+                let kind = ChangeKind::Evacuate(evacuation(zone, *begin));
+                self.propose(node, running, kind, None, tag, actions)
+            }
+        }
+    }
+
+    fn replace(
+        &mut self,
+        now: u64,
+        node: &mut Process,
+        running: &RunningCommand,
+        base: u64,
+        actions: &mut Vec<HandlerAction>,
+    ) -> Result<Phase, u16> {
+        let replace = ConfigurationCommand {
+            base,
+            body: running.command.body.clone(),
+            ..Default::default()
+        };
+        if self.mutant == Mutant::RefusesByCopy && base != node.state.version() {
+            return Err(PRECONDITION_FAILED);
+        }
+        match node.state.judge(&replace, running.confirmation) {
+            Judgement::Log => {}
+            Judgement::Confirm => return Ok(self.confirm(now, node)),
+            // Applied before: it stands at or below what is committed.
+            Judgement::Final(Outcome::AlreadyApplied | Outcome::Applied) => {
+                let index = node.raft.commit_index();
+                return Ok(Phase::Replicating { index, since: now });
+            }
+            Judgement::Final(outcome) => return Err(status_of(&outcome)),
+        }
+        let key = configuration_key(&replace);
+        if let Some(same) = self.pending.iter().find(|p| p.key.as_ref() == Some(&key)) {
+            return Ok(Phase::Logged {
+                index: same.index,
+                term: same.term,
+            });
+        }
+        self.propose(
+            node,
+            running,
+            ChangeKind::Replace(replace),
+            Some(key),
+            None,
+            actions,
+        )
+    }
+
+    /// A tag that says which recent command it most likely repeats.
+    fn with_repeats(&self, now: u64, node: &Process, tag: CommandTag) -> CommandTag {
+        let pending = self.pending.iter();
+        let pending = pending.filter_map(|p| Some((p.index, p.tag.as_ref()?)));
+        let is_recent = |index: u64| {
+            let seen_at = self.commands_seen.get(&index);
+            seen_at.is_some_and(|at| now.saturating_sub(*at) < c::REPEATED_COMMAND_MS)
+        };
+        let repeated = node.state.command_history.recent_like(&tag, pending, is_recent);
+        CommandTag {
+            repeats: repeated.unwrap_or(0),
+            ..tag
+        }
+    }
+
+    fn propose(
+        &mut self,
+        node: &mut Process,
+        running: &RunningCommand,
+        kind: ChangeKind,
+        key: Option<ConfigurationKey>,
+        tag: Option<CommandTag>,
+        actions: &mut Vec<HandlerAction>,
+    ) -> Result<Phase, u16> {
+        let data = Change::encode_tagged(node.state.compact_for_log(kind), tag.clone());
+        let LogPosition { index, term } = node.raft.propose(data).ok_or(NOT_LEADER)?;
+        self.pending.push(Proposal {
+            key,
+            tag,
+            index,
+            term,
+        });
+        actions.push(HandlerAction::Logged {
+            index,
+            term,
+            command: running.command.number,
+            attempt: running.command.attempt,
+        });
+        if self.mutant == Mutant::AcknowledgesEarly {
+            return Err(OK);
+        }
+        Ok(Phase::Logged { index, term })
+    }
+
+    /// Waits for a majority to confirm this copy.
+    fn confirm(&mut self, now: u64, node: &mut Process) -> Phase {
+        self.next += 1;
+        node.raft.request_read(self.next);
+        Phase::Reading {
+            token: self.next,
+            until: now + c::COMMAND_TIMEOUT_MS,
+        }
+    }
+}
+
+pub(super) fn evacuation(zone: &str, begin: bool) -> EvacuationChange {
+    EvacuationChange {
+        zone: zone.into(),
+        begin,
+    }
+}
+
+/// The status that tells what came of a command.
+pub(super) fn status_of(outcome: &Outcome) -> u16 {
+    match outcome {
+        Outcome::Applied | Outcome::AlreadyApplied => OK,
+        Outcome::Conflict(_) => PRECONDITION_FAILED,
+        Outcome::Invalid(_) => 400,
+        Outcome::RolloutRejected(_) => 409,
+        Outcome::Undecidable => UNAVAILABLE,
+    }
+}
--- a/crates/simulation/src/exploration.rs
+++ b/crates/simulation/src/exploration.rs
@@ -10,6 +10,7 @@
 
 mod delivery;
 mod faults;
+mod losses;
 mod observations;
 mod operators;
 
