--- a/crates/fleet-test/examples/pace.rs
+++ b/crates/fleet-test/examples/pace.rs
@@ -104,7 +104,7 @@
                 .settle(Asked::Replace(n), &[fleet.control_address(leader)], WITHIN)
                 .await;
             if !matches!(answer, fleet_test::checker::Answer::Good(_)) {
-                return Err(format!("order {n}: {answer:?}"));
+                return Err(format!("order {n}: {answer:?}").into());
             }
             times.push(begun.elapsed().as_secs_f64() * 1000.0);
             version += 1;
--- a/crates/fleet-test/src/call.rs
+++ b/crates/fleet-test/src/call.rs
@@ -44,9 +44,9 @@
     let mut url = format!("http://{to}{}", request.path());
     for _ in 0..=FOLLOWED {
         match once(client, &url, request).await {
-            Err(text) => return Answer::Unclear(text),
-            Ok((307, location, _)) => url = location,
-            Ok((status, _, body)) => return judged(status, body),
+            Err(error) => return Answer::Unclear(error.to_string()),
+            Ok(answer) if answer.status == 307 => url = answer.location,
+            Ok(answer) => return judged(answer.status, answer.body),
         }
     }
     Answer::Unclear("too many redirects".into())
@@ -62,7 +62,29 @@
     }
 }
 
-async fn once(client: &awc::Client, url: &str, request: &Request) -> Result<(u16, String, Vec<u8>), String> {
+/// Why one address has not answered.
+#[derive(Debug, thiserror::Error)]
+enum NoAnswer {
+    /// The request could not be sent.
+    #[error(transparent)]
+    Send(#[from] awc::error::SendRequestError),
+    /// The body could not be read.
+    #[error(transparent)]
+    Body(#[from] awc::error::PayloadError),
+    /// Nothing came in time.
+    #[error("a second of silence")]
+    Silence,
+}
+
+/// The answer of one address.
+struct HttpAnswer {
+    status: u16,
+    /// Where else to ask, if the answer says so.
+    location: String,
+    body: Vec<u8>,
+}
+
+async fn once(client: &awc::Client, url: &str, request: &Request) -> Result<HttpAnswer, NoAnswer> {
     let exchange = async {
         let sent = match request {
             Request::Get(_) => client.get(url).send().await,
@@ -80,17 +102,17 @@
                 }
             }
         };
-        let mut answer = sent.map_err(|e| e.to_string())?;
-        let body = answer
-            .body()
-            .limit(ANSWER_BYTES)
-            .await
-            .map_err(|e| e.to_string())?;
+        let mut answer = sent?;
+        let body = answer.body().limit(ANSWER_BYTES).await?;
         let location = answer.headers().get("location").and_then(|l| l.to_str().ok());
         let location = location.unwrap_or_default().to_string();
-        Ok((answer.status().as_u16(), location, body.to_vec()))
+        Ok(HttpAnswer {
+            status: answer.status().as_u16(),
+            location,
+            body: body.to_vec(),
+        })
     };
     tokio::time::timeout(Duration::from_millis(SILENCE_MS), exchange)
         .await
-        .unwrap_or_else(|_| Err("a second of silence".into()))
+        .unwrap_or(Err(NoAnswer::Silence))
 }
--- a/crates/fleet-test/src/fleet.rs
+++ b/crates/fleet-test/src/fleet.rs
@@ -75,7 +75,7 @@
     /// The node of a number.
     pub fn node(&mut self, number: u8) -> Result<&mut Node, ScenarioError> {
         let node = self.nodes.iter_mut().find(|n| n.number == number);
-        node.ok_or(format!("there is no node {number}"))
+        node.ok_or(format!("there is no node {number}").into())
     }
 
     fn launch(&mut self, number: u8, initial: bool) -> Result<(), ScenarioError> {
@@ -83,7 +83,7 @@
         let seeds: Vec<SocketAddrV4> = (1..=SEEDS).map(|n| net.control(n)).collect();
         let node = self.node(number)?;
         if node.removed {
-            return Err(format!("{} is gone for good", node.name()));
+            return Err(format!("{} is gone for good", node.name()).into());
         }
         let disk = node.disk();
         let text = settings::write(
@@ -166,7 +166,7 @@
                 return Ok(number);
             }
             if Instant::now() > until {
-                return Err(format!("no leader within {} s", within.as_secs_f32()));
+                return Err(format!("no leader within {} s", within.as_secs_f32()).into());
             }
             actix_rt::time::sleep(Duration::from_millis(LOOK_MS)).await;
         }
@@ -180,10 +180,9 @@
                 return Ok(how);
             }
             if Instant::now() > until {
-                return Err(format!(
-                    "node {number} has not ended {} s after SIGTERM",
-                    within.as_secs()
-                ));
+                return Err(
+                    format!("node {number} has not ended {} s after SIGTERM", within.as_secs()).into(),
+                );
             }
             actix_rt::time::sleep(Duration::from_millis(LOOK_MS)).await;
         }
--- a/crates/fleet-test/src/guard.rs
+++ b/crates/fleet-test/src/guard.rs
@@ -68,7 +68,7 @@
                 let _ = holder.kill();
                 let _ = holder.wait();
                 let _ = std::fs::remove_dir(&folder);
-                Err(format!("the fleet's guard: {e}"))
+                Err(format!("the fleet's guard: {e}").into())
             }
         }
     }
--- a/crates/fleet-test/src/lib.rs
+++ b/crates/fleet-test/src/lib.rs
@@ -35,4 +35,18 @@
 pub mod settings;
 
 /// What keeps a scenario from being run: no statement about the system.
-pub type ScenarioError = String;
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
+pub struct ScenarioError(String);
+
+impl From<String> for ScenarioError {
+    fn from(what: String) -> ScenarioError {
+        ScenarioError(what)
+    }
+}
+
+impl From<&str> for ScenarioError {
+    fn from(what: &str) -> ScenarioError {
+        ScenarioError(what.into())
+    }
+}
--- a/crates/fleet-test/src/net.rs
+++ b/crates/fleet-test/src/net.rs
@@ -31,7 +31,7 @@
                 return Ok(net);
             }
         }
-        Err(format!("no free addresses and ports in {TRIES} tries"))
+        Err(format!("no free addresses and ports in {TRIES} tries").into())
     }
 
     fn is_free(&self, machine: u8) -> bool {
--- a/crates/fleet-test/src/node.rs
+++ b/crates/fleet-test/src/node.rs
@@ -71,7 +71,7 @@
     /// Starts a process with these settings, in a process group.
     pub fn start(&mut self, program: &Path, settings: &str, group: i32) -> Result<(), ScenarioError> {
         if self.child.is_some() {
-            return Err(format!("{} runs already", self.name()));
+            return Err(format!("{} runs already", self.name()).into());
         }
         let failed = |e: std::io::Error| format!("{}: {e}", self.name());
         std::fs::create_dir_all(self.disk().as_ref().unwrap_or(&self.folder)).map_err(failed)?;
@@ -101,7 +101,7 @@
             .ok_or(format!("{} does not run", self.name()))?;
         // The number is the child's as long as nobody has waited for it.
         let pid = Pid::from_raw(child.id() as i32).ok_or("a process without a number")?;
-        kill_process(pid, signal).map_err(|e| format!("{}: {e}", self.name()))
+        kill_process(pid, signal).map_err(|e| format!("{}: {e}", self.name()).into())
     }
 
     /// Stops the process where it stands; connections to it hang.
@@ -144,12 +144,12 @@
     /// Empties the disk of a process that is down.
     pub fn wipe(&mut self) -> Result<(), ScenarioError> {
         if self.child.is_some() {
-            return Err(format!("{} runs: its disk cannot be lost", self.name()));
+            return Err(format!("{} runs: its disk cannot be lost", self.name()).into());
         }
         let Some(disk) = self.disk() else { return Ok(()) };
         std::fs::remove_dir_all(&disk)
             .and_then(|()| std::fs::create_dir(&disk))
-            .map_err(|e| format!("{}: {e}", disk.display()))
+            .map_err(|e| format!("{}: {e}", disk.display()).into())
     }
 
     /// The term in which this process leads, by its log.
--- a/crates/fleet-test/src/program.rs
+++ b/crates/fleet-test/src/program.rs
@@ -19,7 +19,8 @@
     Err(format!(
         "{} is missing; build it, or name another with --program",
         path.display()
-    ))
+    )
+    .into())
 }
 
 fn build(cargo: &std::ffi::OsStr, folder: &Path) -> Result<(), ScenarioError> {
@@ -30,7 +31,7 @@
     }
     match command.current_dir(env!("CARGO_MANIFEST_DIR")).status() {
         Ok(status) if status.success() => Ok(()),
-        Ok(status) => Err(format!("building pebblepond ended with {status}")),
-        Err(e) => Err(format!("building pebblepond: {e}")),
+        Ok(status) => Err(format!("building pebblepond ended with {status}").into()),
+        Err(e) => Err(format!("building pebblepond: {e}").into()),
     }
 }
--- a/crates/fleet-test/src/scenarios/cut_off.rs
+++ b/crates/fleet-test/src/scenarios/cut_off.rs
@@ -187,9 +187,7 @@
         short(&answer)
     ));
     if matches!(answer, Answer::Good(_)) && in_force == Some(false) {
-        run.broken(
-            "an evacuation was confirmed by a leader that had been frozen, and is not in force".into(),
-        );
+        run.broken("an evacuation was confirmed by a leader that had been frozen, and is not in force");
     }
     let last = run
         .operator
--- a/crates/fleet-test/src/scenarios/mod.rs
+++ b/crates/fleet-test/src/scenarios/mod.rs
@@ -173,7 +173,7 @@
         let limit = Duration::from_secs(longest);
         let outcome = match tokio::time::timeout(limit, (self.execute)(&mut run)).await {
             Ok(outcome) => outcome,
-            Err(_) => Err(format!("not over after {longest} s")),
+            Err(_) => Err(format!("not over after {longest} s").into()),
         };
         let Run {
             mut fleet,
@@ -213,9 +213,9 @@
     }
 
     /// A rule that was broken.
-    fn broken(&mut self, text: String) {
+    fn broken(&mut self, text: impl std::fmt::Display) {
         self.say(format!("BROKEN: {text}"));
-        self.broken.push(text);
+        self.broken.push(text.to_string());
     }
 
     /// A caller with connections of its own.
@@ -241,7 +241,7 @@
         let within = Duration::from_secs(FIRST_S);
         match self.send(order, within).await {
             Answer::Good(_) => {}
-            other => return Err(format!("the first configuration was not taken: {other:?}")),
+            other => return Err(format!("the first configuration was not taken: {other:?}").into()),
         }
         let leader = self.fleet.wait_for_leader(within).await?;
         self.say(format!(
@@ -356,7 +356,7 @@
         match self.is_evacuated(zone).await {
             Some(true) => self.say(format!("the evacuation of {zone} is in force")),
             Some(false) => self.broken(format!("the evacuation of {zone} was acknowledged and is lost")),
-            None => self.broken("the state cannot be read: no status".into()),
+            None => self.broken("the state cannot be read: no status"),
         }
     }
 
@@ -385,10 +385,7 @@
             }
             actix_rt::time::sleep(Duration::from_millis(50)).await;
         }
-        Err(format!(
-            "node {number} does not vote after {} s",
-            within.as_secs()
-        ))
+        Err(format!("node {number} does not vote after {} s", within.as_secs()).into())
     }
 
     /// Waits until a node that takes clients has a configuration in force; ms.
@@ -413,10 +410,7 @@
             }
             actix_rt::time::sleep(Duration::from_millis(20)).await;
         }
-        Err(format!(
-            "node {number} does not serve {path} after {} s",
-            within.as_secs()
-        ))
+        Err(format!("node {number} does not serve {path} after {} s", within.as_secs()).into())
     }
 }
 
--- a/crates/simulation/src/cluster.rs
+++ b/crates/simulation/src/cluster.rs
@@ -9,6 +9,7 @@
 use crate::worker::SimulatedWorker;
 use config::constants as c;
 use control_state::Outcome;
+pub use invariants::InvariantViolation;
 use network::InFlight;
 use protocol::{Change, ChangeKind, ConfigurationCommand};
 use raft::{tolerates_faults, FaultTolerance, Voter};
@@ -200,8 +201,8 @@
         for name in names {
             self.step(&name);
         }
-        if let Err(what) = self.check() {
-            self.fail(what);
+        if let Err(violation) = self.check() {
+            self.fail(violation.to_string());
         }
     }
 
--- a/crates/simulation/src/cluster/invariants.rs
+++ b/crates/simulation/src/cluster/invariants.rs
@@ -2,26 +2,76 @@
 
 use super::Cluster;
 
+/// Something that must hold at every moment and does not. Times are simulated, ms.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum InvariantViolation {
+    /// Several nodes may act as the leader.
+    #[error("{count} nodes hold the lease at {at}")]
+    SeveralLeases {
+        /// How many.
+        count: usize,
+        /// When.
+        at: u64,
+    },
+    /// Two nodes lead in one term.
+    #[error("two leaders in term {term} at {at}")]
+    TwoLeaders {
+        /// The term.
+        term: u64,
+        /// When.
+        at: u64,
+    },
+    /// A copy is older than it was.
+    #[error("{node} went back at {at}")]
+    WentBack {
+        /// Whose.
+        node: String,
+        /// When.
+        at: u64,
+    },
+    /// Two copies differ at the same index.
+    #[error("copies differ at index {index} ({node})")]
+    CopiesDiffer {
+        /// The index.
+        index: u64,
+        /// Whose differs from one seen before.
+        node: String,
+    },
+    /// Two workers hold the same key.
+    #[error("{first} and {second} hold the same keys at {at}")]
+    SharedKeys {
+        /// One worker.
+        first: String,
+        /// The other.
+        second: String,
+        /// When.
+        at: u64,
+    },
+}
+
 impl Cluster {
     /// What does not hold now that must at every moment: one lease, one leader in a term, no copy
     /// goes back, copies are alike at the same index, and no two workers hold the same key.
-    pub fn check(&mut self) -> Result<(), String> {
+    pub fn check(&mut self) -> Result<(), InvariantViolation> {
         self.check_leases()?;
         self.check_copies()?;
         self.check_keys()
     }
 
-    fn check_leases(&self) -> Result<(), String> {
+    fn check_leases(&self) -> Result<(), InvariantViolation> {
         let now = self.now;
         let processes = self.nodes.values().filter_map(|n| n.process.as_ref());
         let leases = processes.filter(|p| p.raft.holds_lease(now)).count();
         if leases > 1 {
-            return Err(format!("{leases} nodes hold the lease at {now}"));
+            return Err(InvariantViolation::SeveralLeases {
+                count: leases,
+                at: now,
+            });
         }
         Ok(())
     }
 
-    fn check_copies(&mut self) -> Result<(), String> {
+    fn check_copies(&mut self) -> Result<(), InvariantViolation> {
         let now = self.now;
         for node in self.nodes.values() {
             let Some(process) = &node.process else {
@@ -31,13 +81,15 @@
             if raft.is_leader() {
                 let first = *self.leaders.entry(raft.term()).or_insert(raft.id());
                 if first != raft.id() {
-                    return Err(format!("two leaders in term {} at {now}", raft.term()));
+                    let term = raft.term();
+                    return Err(InvariantViolation::TwoLeaders { term, at: now });
                 }
             }
             let key = (node.name.clone(), process.started);
             let applied = self.applied.entry(key).or_default();
             if state.index < *applied {
-                return Err(format!("{} went back at {now}", node.name));
+                let node = node.name.clone();
+                return Err(InvariantViolation::WentBack { node, at: now });
             }
             if state.index == *applied {
                 continue;
@@ -46,13 +98,17 @@
             let digest = anti_entropy::digests(state).ranges;
             let known = self.digests.entry(state.index).or_insert_with(|| digest.clone());
             if *known != digest {
-                return Err(format!("copies differ at index {} ({})", state.index, node.name));
+                let node = node.name.clone();
+                return Err(InvariantViolation::CopiesDiffer {
+                    index: state.index,
+                    node,
+                });
             }
         }
         Ok(())
     }
 
-    fn check_keys(&self) -> Result<(), String> {
+    fn check_keys(&self) -> Result<(), InvariantViolation> {
         let now = self.now;
         let mut held: Vec<(u32, u32, &str)> = Vec::new();
         for worker in self.workers.values() {
@@ -64,7 +120,11 @@
             let (_, to, holder) = pair[0];
             let (next_from, _, next_holder) = pair[1];
             if to >= next_from && holder != next_holder {
-                return Err(format!("{holder} and {next_holder} hold the same keys at {now}"));
+                return Err(InvariantViolation::SharedKeys {
+                    first: holder.into(),
+                    second: next_holder.into(),
+                    at: now,
+                });
             }
         }
         Ok(())
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
-use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
+use proptest::test_runner::{Config, Reason, RngAlgorithm, TestRng, TestRunner};
 
 /// How a link is cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -246,13 +246,13 @@
 
 impl PlanTree {
     /// The plan of a seed: the same in every run of one build.
-    pub fn of_seed(seed: u64, most: usize) -> Result<PlanTree, String> {
+    pub fn of_seed(seed: u64, most: usize) -> Result<PlanTree, Reason> {
         let mut bytes = [0u8; 32];
         bytes[..8].copy_from_slice(&seed.to_le_bytes());
         let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &bytes);
         let mut runner = TestRunner::new_with_rng(Config::default(), rng);
         let tree = plans(most).new_tree(&mut runner);
-        tree.map(|t| PlanTree(Box::new(t))).map_err(|e| e.to_string())
+        tree.map(|t| PlanTree(Box::new(t)))
     }
 
     /// The plan as it is now.
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -86,7 +86,7 @@
             "line {} `{line}` at {} ms: {}",
             number + 1,
             runner.cluster.now,
-            done.err().unwrap_or_default()
+            done.err().map(|e| e.to_string()).unwrap_or_default()
         );
     }
 }
@@ -101,11 +101,28 @@
     })
 }
 
-type Step = Result<(), String>;
+/// Why a step of a scenario fails.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
+pub struct StepError(String);
 
-fn number(word: Option<&&str>) -> Result<u64, String> {
+impl From<String> for StepError {
+    fn from(what: String) -> StepError {
+        StepError(what)
+    }
+}
+
+impl From<&str> for StepError {
+    fn from(what: &str) -> StepError {
+        StepError(what.into())
+    }
+}
+
+type Step = Result<(), StepError>;
+
+fn number(word: Option<&&str>) -> Result<u64, StepError> {
     word.and_then(|w| w.parse().ok())
-        .ok_or_else(|| "a number is missing".to_string())
+        .ok_or_else(|| "a number is missing".into())
 }
 
 impl ScenarioRunner {
@@ -138,7 +155,7 @@
             }
             "await" => self.await_expectation(arguments),
             "expect" => self.expect(arguments),
-            other => Err(format!("no such step: {other}")),
+            other => Err(format!("no such step: {other}").into()),
         }
     }
 
@@ -270,7 +287,7 @@
     }
 
     /// A machine's name; `leader` is whoever leads now, `last-leader` who did last.
-    fn named(&mut self, word: &str) -> Result<String, String> {
+    fn named(&mut self, word: &str) -> Result<String, StepError> {
         match word {
             "leader" => {
                 self.last_leader = self.cluster.leader_name().ok_or("nobody leads")?;
@@ -278,7 +295,7 @@
             }
             "last-leader" => Ok(self.last_leader.clone()),
             name if self.cluster.nodes.contains_key(name) => Ok(name.to_string()),
-            name => Err(format!("no machine {name}")),
+            name => Err(format!("no machine {name}").into()),
         }
     }
 
--- a/crates/simulation/src/scenario/expectations.rs
+++ b/crates/simulation/src/scenario/expectations.rs
@@ -1,6 +1,6 @@
 //! What a scenario expects of the cluster.
 
-use super::{number, ScenarioRunner, Step};
+use super::{number, ScenarioRunner, Step, StepError};
 use control_state::Outcome;
 
 impl ScenarioRunner {
@@ -15,7 +15,7 @@
             }
             "voter-bytes" | "node-bytes" => self.expect_bytes(words)?,
             "covered" | "holds" => self.expect_of_keys(words)?,
-            other => return Err(format!("nothing to expect: {other}")),
+            other => return Err(format!("nothing to expect: {other}").into()),
         };
         if holds {
             Ok(())
@@ -25,7 +25,7 @@
     }
 
     /// Of who leads and votes.
-    fn expect_of_leadership(&self, words: &[&str]) -> Result<bool, String> {
+    fn expect_of_leadership(&self, words: &[&str]) -> Result<bool, StepError> {
         let cluster = &self.cluster;
         let holds = match words[0] {
             "leader" => cluster.leader().is_some(),
@@ -47,13 +47,13 @@
                     .ok_or("nobody leads")?;
                 leader.raft.membership().voters.len() as u64 == number(words.get(1))?
             }
-            other => return Err(format!("nothing to expect: {other}")),
+            other => return Err(format!("nothing to expect: {other}").into()),
         };
         Ok(holds)
     }
 
     /// Of the control state and its copies.
-    fn expect_of_state(&self, words: &[&str]) -> Result<bool, String> {
+    fn expect_of_state(&self, words: &[&str]) -> Result<bool, StepError> {
         let cluster = &self.cluster;
         let holds = match words[0] {
             "answer" => {
@@ -63,7 +63,7 @@
                     "lost" => matches!(got, Some(Outcome::Conflict(_))),
                     "invalid" => matches!(got, Some(Outcome::Invalid(_))),
                     "none" => got.is_none(),
-                    other => return Err(format!("no such outcome: {other}")),
+                    other => return Err(format!("no such outcome: {other}").into()),
                 }
             }
             "acked-stands" => {
@@ -102,30 +102,30 @@
             "current" => words[1..]
                 .iter()
                 .all(|n| cluster.nodes[*n].process.as_ref().is_some_and(|l| l.current)),
-            other => return Err(format!("nothing to expect: {other}")),
+            other => return Err(format!("nothing to expect: {other}").into()),
         };
         Ok(holds)
     }
 
     /// Of what the nodes send.
-    fn expect_bytes(&self, words: &[&str]) -> Result<bool, String> {
+    fn expect_bytes(&self, words: &[&str]) -> Result<bool, StepError> {
         let cluster = &self.cluster;
         let holds = match words[0] {
             "voter-bytes" | "node-bytes" => {
                 let most = cluster.busiest(words[0] == "voter-bytes");
                 let bound = number(words.get(1))?;
                 if most > bound {
-                    return Err(format!("{most} bytes a second"));
+                    return Err(format!("{most} bytes a second").into());
                 }
                 most > 0
             }
-            other => return Err(format!("nothing to expect: {other}")),
+            other => return Err(format!("nothing to expect: {other}").into()),
         };
         Ok(holds)
     }
 
     /// Of who holds keys.
-    fn expect_of_keys(&self, words: &[&str]) -> Result<bool, String> {
+    fn expect_of_keys(&self, words: &[&str]) -> Result<bool, StepError> {
         let cluster = &self.cluster;
         let holds = match words[0] {
             "covered" => {
@@ -135,7 +135,7 @@
                 let mut next = 0;
                 for (from, to) in held {
                     if from > next {
-                        return Err(format!("nobody holds {next} to {}", from - 1));
+                        return Err(format!("nobody holds {next} to {}", from - 1).into());
                     }
                     next = next.max(to + 1);
                 }
@@ -145,7 +145,7 @@
                 let w = cluster.workers.get(words[1]).ok_or("no such worker")?;
                 (w.holds(cluster.now).next().is_some()) == (words[2] == "yes")
             }
-            other => return Err(format!("nothing to expect: {other}")),
+            other => return Err(format!("nothing to expect: {other}").into()),
         };
         Ok(holds)
     }
