--- a/crates/placement/src/demand.rs
+++ b/crates/placement/src/demand.rs
@@ -1,6 +1,7 @@
 //! What the reports of the nodes add up to: demand, capacities and distances.
 
 use crate::assignment::{GroupSite, PlacementInput, ServiceGroup, ServiceSite};
+use crate::outcomes::Outcomes;
 use config::{constants as c, WeightedService};
 use control_state::ControlState;
 use protocol::{name_hash, Report};
@@ -8,8 +9,8 @@
 
 /// What a site forwards of which nobody says how much it can, requests/s.
 const UNBOUNDED_RATE: f64 = 1e6;
-/// Below this many outcomes a worker is forgotten.
-const FORGET_BELOW: f64 = 0.1;
+/// Below this many answers a worker's response time is taken for the usual one.
+const MIN_SERVED: f64 = 0.5;
 
 /// The last report of a node.
 struct LatestReport {
@@ -17,31 +18,6 @@
     report: Report,
 }
 
-/// Outcomes of a worker; all fade.
-#[derive(Clone, Copy, Default)]
-struct WorkerOutcomes {
-    /// Sum of the response times of those served, ms.
-    response_ms: f64,
-    served: f64,
-    failed: f64,
-}
-
-impl WorkerOutcomes {
-    fn fade(&mut self) {
-        self.response_ms *= 1.0 - c::RATE_SMOOTHING;
-        self.served *= 1.0 - c::RATE_SMOOTHING;
-        self.failed *= 1.0 - c::RATE_SMOOTHING;
-    }
-
-    fn mean_response_ms(&self) -> f64 {
-        if self.served > 0.5 {
-            (self.response_ms / self.served).max(1.0)
-        } else {
-            c::DEFAULT_RESPONSE_MS
-        }
-    }
-}
-
 /// The hash of a service's name, and a client group.
 type DemandKey = (u32, String);
 
@@ -57,7 +33,7 @@
     /// Reports by node and site: a node passes on those of its followers.
     latest: BTreeMap<(u64, String), LatestReport>,
     /// By the hash of the worker's name.
-    outcomes: BTreeMap<u32, WorkerOutcomes>,
+    outcomes: BTreeMap<u32, Outcomes>,
 }
 
 impl DemandTracker {
@@ -73,10 +49,7 @@
             *self.counted.entry((demand.service, group.clone())).or_default() += demand.count as f64;
         }
         for worker in &report.workers {
-            let outcomes = self.outcomes.entry(worker.worker).or_default();
-            outcomes.response_ms += f64::from(worker.response_ms) * worker.served as f64;
-            outcomes.served += worker.served as f64;
-            outcomes.failed += worker.failed as f64;
+            self.outcomes.entry(worker.worker).or_default().add(worker);
         }
         self.latest
             .insert((node, report.site.clone()), LatestReport { at: now, report });
@@ -157,9 +130,8 @@
         if seconds <= 0.0 {
             return;
         }
-        self.outcomes.values_mut().for_each(WorkerOutcomes::fade);
         self.outcomes
-            .retain(|_, outcomes| outcomes.served + outcomes.failed > FORGET_BELOW);
+            .retain(|_, outcomes| outcomes.fade(1.0 - c::RATE_SMOOTHING));
         for rate in self.rates.values_mut() {
             *rate *= 1.0 - c::RATE_SMOOTHING;
         }
@@ -208,7 +180,7 @@
                 site: site.clone(),
             };
             *input.worker_capacity.entry(key).or_default() +=
-                f64::from(worker.slots.max(1)) * 1000.0 / outcomes.mean_response_ms();
+                f64::from(worker.slots.max(1)) * 1000.0 / response_ms(&outcomes);
         }
     }
 
@@ -233,6 +205,15 @@
     }
 }
 
+/// How long a worker takes for a request, ms; the usual time if it has answered too few.
+fn response_ms(outcomes: &Outcomes) -> f64 {
+    if outcomes.served > MIN_SERVED {
+        outcomes.mean_response_ms().max(1.0)
+    } else {
+        c::DEFAULT_RESPONSE_MS
+    }
+}
+
 /// The regions that the routes to a service are bound to; `None` if one of them is free.
 fn home_regions(state: &ControlState) -> BTreeMap<&str, Option<BTreeSet<&str>>> {
     let mut homes: BTreeMap<&str, Option<BTreeSet<&str>>> = BTreeMap::new();
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -15,6 +15,7 @@
 mod consolidation;
 mod demand;
 mod min_cost_flow;
+mod outcomes;
 mod outlier;
 mod warmup_admission;
 mod weighted_choice;
--- a/crates/placement/src/outlier.rs
+++ b/crates/placement/src/outlier.rs
@@ -2,46 +2,13 @@
 //! the others of their service. One node sees few requests of each worker; the leader sees them
 //! all. Health answers do not count: what requests show outweighs them.
 
+use crate::outcomes::Outcomes;
 use config::constants as c;
 use control_state::ControlState;
 use protocol::{name_hash, Worker, WorkerStats};
 use rollout::Cohort;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Below this many outcomes a worker is forgotten.
-const FORGET_BELOW: f64 = 0.1;
-/// Keeps divisions by a count defined.
-const EPSILON: f64 = 1e-9;
-
-/// Outcomes of attempts, which fade by [`c::OUTLIER_RETENTION`] at each evaluation.
-#[derive(Clone, Copy, Debug, Default)]
-struct Outcomes {
-    served: f64,
-    failed: f64,
-    /// Sum of the response times of those served, ms.
-    response_ms: f64,
-}
-
-impl Outcomes {
-    fn count(&self) -> f64 {
-        self.served + self.failed
-    }
-
-    fn failure_rate(&self) -> f64 {
-        self.failed / self.count().max(EPSILON)
-    }
-
-    fn mean_response_ms(&self) -> f64 {
-        self.response_ms / self.served.max(EPSILON)
-    }
-
-    fn fade(&mut self) {
-        self.served *= c::OUTLIER_RETENTION;
-        self.failed *= c::OUTLIER_RETENTION;
-        self.response_ms *= c::OUTLIER_RETENTION;
-    }
-}
-
 #[derive(Clone, Copy, Debug)]
 struct Ejection {
     /// When it ends, ms.
@@ -52,7 +19,7 @@
 /// Outcomes by worker, and the ejections that they have led to.
 #[derive(Default)]
 pub struct OutlierDetector {
-    /// By the hash of the worker's name.
+    /// By the hash of the worker's name; they fade at each evaluation.
     outcomes: BTreeMap<u32, Outcomes>,
     ejections: BTreeMap<String, Ejection>,
     /// Nobody is ejected anew before then, ms.
@@ -76,10 +43,7 @@
     /// Counts what a node reports of its workers.
     pub fn record(&mut self, stats: &[WorkerStats]) {
         for worker in stats {
-            let outcomes = self.outcomes.entry(worker.worker).or_default();
-            outcomes.served += worker.served as f64;
-            outcomes.failed += worker.failed as f64;
-            outcomes.response_ms += f64::from(worker.response_ms) * worker.served as f64;
+            self.outcomes.entry(worker.worker).or_default().add(worker);
         }
     }
 
@@ -96,9 +60,8 @@
         for (service, workers) in candidates(state) {
             ejected.extend(self.evaluate_service(now, state, service, &workers));
         }
-        self.outcomes.values_mut().for_each(Outcomes::fade);
         self.outcomes
-            .retain(|_, outcomes| outcomes.count() > FORGET_BELOW);
+            .retain(|_, outcomes| outcomes.fade(c::OUTLIER_RETENTION));
         self.ejections.retain(|id, ejection| {
             state.workers.contains_key(id) && now < ejection.until + 2 * c::EJECTION_MAX_MS
         });
