--- a/crates/fleet-test/src/fleet.rs
+++ b/crates/fleet-test/src/fleet.rs
@@ -48,11 +48,11 @@
             nodes: nodes.collect(),
             platform: Platform::start(net.platform())?,
             net,
-            program,
+            program: program.clone(),
             guard,
         };
         for number in 1..=count {
-            fleet.launch(number, true)?;
+            fleet.launch(number, true, &program)?;
         }
         Ok(fleet)
     }
@@ -78,8 +78,8 @@
         node.ok_or(format!("there is no node {number}").into())
     }
 
-    fn launch(&mut self, number: u8, initial: bool) -> Result<(), ScenarioError> {
-        let (net, program, group) = (self.net, self.program.clone(), self.guard.group());
+    fn launch(&mut self, number: u8, initial: bool, program: &Path) -> Result<(), ScenarioError> {
+        let (net, group) = (self.net, self.guard.group());
         let seeds: Vec<SocketAddrV4> = (1..=SEEDS).map(|n| net.control(n)).collect();
         let node = self.node(number)?;
         if node.removed {
@@ -96,20 +96,18 @@
             },
         );
         Settings::parse(&text).map_err(|e| e.to_string())?;
-        node.start(&program, &text, group)
+        node.start(program, &text, group)
     }
 
     /// Starts a node again, with what its disk holds.
     pub fn restart(&mut self, number: u8) -> Result<(), ScenarioError> {
-        self.launch(number, false)
+        let program = self.program.clone();
+        self.restart_with(number, &program)
     }
 
     /// Starts a node again with another program, as an upgrade does.
     pub fn restart_with(&mut self, number: u8, program: &Path) -> Result<(), ScenarioError> {
-        let own = std::mem::replace(&mut self.program, program.to_path_buf());
-        let started = self.launch(number, false);
-        self.program = own;
-        started
+        self.launch(number, false, program)
     }
 
     /// The program that nodes are started with.
@@ -124,7 +122,7 @@
             return Err("no address is left for another machine".into());
         }
         self.nodes.push(Node::new(self.guard.folder(), number, true));
-        self.launch(number, false)?;
+        self.restart(number)?;
         Ok(number)
     }
 
--- a/crates/fleet-test/src/scenarios/mod.rs
+++ b/crates/fleet-test/src/scenarios/mod.rs
@@ -30,6 +30,8 @@
 /// What the settings grant a machine that is back, ms.
 const CATCH_UP_MS: u64 = 4000;
 
+/// What the settings grant a process that ends in order, ms.
+const GRACE_MS: u64 = 6000;
 /// A member that the leader has heard within this time is there, ms.
 const SILENT_MS: u64 = 1000;
 
@@ -290,6 +292,36 @@
         Ok(took)
     }
 
+    /// Makes so many changes; how long the longest took, ms.
+    async fn changes(&mut self, count: usize) -> Result<u64, ScenarioError> {
+        let mut longest = 0;
+        for _ in 0..count {
+            longest = longest.max(self.change(3).await?);
+        }
+        self.say(format!("{count} changes, the longest took {longest} ms"));
+        Ok(longest)
+    }
+
+    /// Ends a node with SIGTERM, with so many changes going on; it must end within its grace
+    /// period.
+    async fn end_in_order(&mut self, number: u8, changes: usize) -> Result<(), ScenarioError> {
+        self.fleet.node(number)?.terminate()?;
+        let told = Instant::now();
+        self.changes(changes).await?;
+        let limit = Duration::from_millis(GRACE_MS).saturating_sub(told.elapsed());
+        match self.fleet.wait_for_end(number, limit).await {
+            Ok(how) => self.say(format!(
+                "node {number} ended {} ms after SIGTERM: {how}",
+                told.elapsed().as_millis()
+            )),
+            Err(e) => {
+                self.broken(e);
+                self.fleet.node(number)?.kill();
+            }
+        }
+        Ok(())
+    }
+
     /// Reads the configuration back through every running node; each must show
     /// what was acknowledged last.
     async fn read_back(&mut self) {
--- a/crates/fleet-test/src/scenarios/rolling_upgrade.rs
+++ b/crates/fleet-test/src/scenarios/rolling_upgrade.rs
@@ -7,8 +7,6 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// What the settings grant a process that ends in order, ms.
-const GRACE_MS: u64 = 6000;
 /// Wait for a node to vote again, s.
 const VOTE_S: u64 = 20;
 /// Changes beside each restart.
@@ -35,29 +33,15 @@
     numbers.sort_by_key(|number| *number == leader);
     for number in numbers {
         let begun = Instant::now();
-        run.fleet.node(number)?.terminate()?;
-        let longest = changes(run).await?;
-        let limit = Duration::from_millis(GRACE_MS).saturating_sub(begun.elapsed());
-        if let Err(e) = run.fleet.wait_for_end(number, limit).await {
-            run.broken(e);
-            run.fleet.node(number)?.kill();
-        }
+        run.end_in_order(number, CHANGES).await?;
         run.fleet.restart_with(number, program)?;
         if run.fleet.node(number)?.disk().is_some() {
             run.wait_for_vote(number, Duration::from_secs(VOTE_S)).await?;
         }
         run.say(format!(
-            "node {number} is back after {} ms; the longest change took {longest} ms",
+            "node {number} is back after {} ms",
             begun.elapsed().as_millis()
         ));
     }
     Ok(())
 }
-
-async fn changes(run: &mut Run) -> Result<u64, ScenarioError> {
-    let mut longest = 0;
-    for _ in 0..CHANGES {
-        longest = longest.max(run.change(3).await?);
-    }
-    Ok(longest)
-}
--- a/crates/fleet-test/src/scenarios/second_loss.rs
+++ b/crates/fleet-test/src/scenarios/second_loss.rs
@@ -13,15 +13,13 @@
 const VOTE_S: u64 = 20;
 /// Pause between the loss of a machine and its return, ms.
 const SILENCE_MS: u64 = 1500;
-/// What the settings grant a process that ends in order, ms.
-const GRACE_MS: u64 = 6000;
 
 /// Runs the scenario.
 pub async fn execute(run: &mut Run) -> Result<(), ScenarioError> {
     run.open().await?;
     let zone = settings::zone(ZONE);
     run.evacuate(&zone).await?;
-    changes(run).await?;
+    run.changes(CHANGES).await?;
     let leader = run.fleet.wait_for_leader(Duration::from_secs(CLEAR_S)).await?;
     // A follower first, then the leader itself, so that its successor leads with
     // what the repaired one helped to acknowledge.
@@ -30,11 +28,12 @@
     wipe(run, leader).await?;
     let leader = run.fleet.wait_for_leader(Duration::from_secs(CLEAR_S)).await?;
     run.say(format!("node {leader} leads, and is told to end"));
-    leave(run, leader).await?;
+    run.end_in_order(leader, CHANGES).await?;
+    run.fleet.node(leader)?.removed = true;
     let new = run.fleet.add()?;
     run.say(format!("node {new} is added with an empty disk"));
     vote(run, new).await?;
-    changes(run).await?;
+    run.changes(CHANGES).await?;
     // One more loss inside `Tolerance`: the rest must carry on.
     let leader = run.fleet.wait_for_leader(Duration::from_secs(CLEAR_S)).await?;
     run.fleet.node(leader)?.kill();
@@ -52,27 +51,19 @@
     (1..=5).find(|n| !these.contains(n)).unwrap_or(1)
 }
 
-async fn changes(run: &mut Run) -> Result<(), ScenarioError> {
-    let mut longest = 0;
-    for _ in 0..CHANGES {
-        longest = longest.max(run.change(3).await?);
-    }
-    run.say(format!("{CHANGES} changes, the longest took {longest} ms"));
-    Ok(())
-}
-
 /// Wipes a node, and waits until it votes and the time for its repair is over.
 async fn wipe(run: &mut Run, number: u8) -> Result<(), ScenarioError> {
     let node = run.fleet.node(number)?;
     node.kill();
     node.wipe()?;
     run.say(format!("node {number} is killed and its disk wiped"));
-    changes(run).await?;
+    run.changes(CHANGES).await?;
     // Long enough for the leader to miss its old self.
     pause(SILENCE_MS).await;
     run.fleet.restart(number)?;
     vote(run, number).await?;
-    changes(run).await
+    run.changes(CHANGES).await?;
+    Ok(())
 }
 
 /// Waits until a machine that just started votes, and no less than `CatchUp`.
@@ -89,23 +80,3 @@
     pause(granted.as_millis() as u64).await;
     Ok(())
 }
-
-/// Ends a node with SIGTERM for good, with changes going on.
-async fn leave(run: &mut Run, number: u8) -> Result<(), ScenarioError> {
-    run.fleet.node(number)?.terminate()?;
-    let told = Instant::now();
-    changes(run).await?;
-    let limit = Duration::from_millis(GRACE_MS).saturating_sub(told.elapsed());
-    match run.fleet.wait_for_end(number, limit).await {
-        Ok(how) => run.say(format!(
-            "node {number} ended {} ms after SIGTERM: {how}",
-            told.elapsed().as_millis()
-        )),
-        Err(e) => {
-            run.broken(e);
-            run.fleet.node(number)?.kill();
-        }
-    }
-    run.fleet.node(number)?.removed = true;
-    Ok(())
-}
--- a/crates/simulation/src/exploration/delivery.rs
+++ b/crates/simulation/src/exploration/delivery.rs
@@ -7,6 +7,7 @@
 use protocol::CallId;
 use rand::Rng;
 
+#[derive(Clone)]
 pub(super) enum InFlight {
     Request {
         to: String,
@@ -79,13 +80,13 @@
                 HandlerAction::Pass { to, id, command } => {
                     let known = self.cluster.nodes.values().find(|n| n.id() == to);
                     if let Some(to) = known.map(|n| n.name.clone()) {
-                        let from = name.to_string();
-                        self.send_between(name, &to.clone(), |_| InFlight::Call {
-                            from: from.clone(),
+                        let call = InFlight::Call {
+                            from: name.to_string(),
                             to: to.clone(),
                             id,
-                            command: command.clone(),
-                        });
+                            command,
+                        };
+                        self.send_between(name, &to, &call);
                     }
                 }
                 HandlerAction::Respond {
@@ -104,12 +105,13 @@
                     reply,
                 } => {
                     let from_id = self.cluster.nodes.get(name).map_or(0, Node::id);
-                    self.send_between(name, &to.clone(), |_| InFlight::Answer {
+                    let answer = InFlight::Answer {
                         from_id,
                         to: to.clone(),
                         id,
-                        reply: reply.clone(),
-                    });
+                        reply,
+                    };
+                    self.send_between(name, &to, &answer);
                 }
             }
         }
@@ -122,7 +124,7 @@
 
     /// Sends something from node to node: cut links lose it, lossy ones may lose or
     /// double it.
-    pub(super) fn send_between(&mut self, from: &str, to: &str, message_in_flight: impl Fn(()) -> InFlight) {
+    pub(super) fn send_between(&mut self, from: &str, to: &str, message: &InFlight) {
         if self
             .cluster
             .blocked_links
@@ -144,7 +146,7 @@
             };
             let base = if far { 30 } else { 1 };
             let at = self.cluster.now + base + late + self.rng.gen_range(0..5);
-            self.in_flight.push((at, message_in_flight(())));
+            self.in_flight.push((at, message.clone()));
         }
     }
 
--- a/crates/simulation/src/scenario/expectations.rs
+++ b/crates/simulation/src/scenario/expectations.rs
@@ -6,26 +6,24 @@
 impl ScenarioRunner {
     /// Whether an expectation holds now.
     pub(super) fn expect(&mut self, words: &[&str]) -> Step {
-        let holds = match words[0] {
-            "leader" | "no-leader" | "another-leader" | "can-shut-down" | "must-stay" | "voters" => {
-                self.expect_of_leadership(words)?
-            }
-            "answer" | "acked-stands" | "version" | "draining" | "all-current" | "current" => {
-                self.expect_of_state(words)?
+        let groups = [
+            Self::leadership_holds,
+            Self::state_holds,
+            Self::bytes_hold,
+            Self::keys_hold,
+        ];
+        for group in groups {
+            match group(self, words)? {
+                Some(true) => return Ok(()),
+                Some(false) => return Err("it is not so".into()),
+                None => {}
             }
-            "voter-bytes" | "node-bytes" => self.expect_bytes(words)?,
-            "covered" | "holds" => self.expect_of_keys(words)?,
-            other => return Err(format!("nothing to expect: {other}").into()),
-        };
-        if holds {
-            Ok(())
-        } else {
-            Err("it is not so".into())
         }
+        Err(format!("nothing to expect: {}", words[0]).into())
     }
 
-    /// Of who leads and votes.
-    fn expect_of_leadership(&self, words: &[&str]) -> Result<bool, StepError> {
+    /// Of who leads and votes; `None` for another expectation.
+    fn leadership_holds(&self, words: &[&str]) -> Result<Option<bool>, StepError> {
         let cluster = &self.cluster;
         let holds = match words[0] {
             "leader" => cluster.leader().is_some(),
@@ -47,13 +45,13 @@
                     .ok_or("nobody leads")?;
                 leader.raft.membership().voters.len() as u64 == number(words.get(1))?
             }
-            other => return Err(format!("nothing to expect: {other}").into()),
+            _ => return Ok(None),
         };
-        Ok(holds)
+        Ok(Some(holds))
     }
 
-    /// Of the control state and its copies.
-    fn expect_of_state(&self, words: &[&str]) -> Result<bool, StepError> {
+    /// Of the control state and its copies; `None` for another expectation.
+    fn state_holds(&self, words: &[&str]) -> Result<Option<bool>, StepError> {
         let cluster = &self.cluster;
         let holds = match words[0] {
             "answer" => {
@@ -102,13 +100,13 @@
             "current" => words[1..]
                 .iter()
                 .all(|n| cluster.nodes[*n].process.as_ref().is_some_and(|l| l.current)),
-            other => return Err(format!("nothing to expect: {other}").into()),
+            _ => return Ok(None),
         };
-        Ok(holds)
+        Ok(Some(holds))
     }
 
-    /// Of what the nodes send.
-    fn expect_bytes(&self, words: &[&str]) -> Result<bool, StepError> {
+    /// Of what the nodes send; `None` for another expectation.
+    fn bytes_hold(&self, words: &[&str]) -> Result<Option<bool>, StepError> {
         let cluster = &self.cluster;
         let holds = match words[0] {
             "voter-bytes" | "node-bytes" => {
@@ -119,13 +117,13 @@
                 }
                 most > 0
             }
-            other => return Err(format!("nothing to expect: {other}").into()),
+            _ => return Ok(None),
         };
-        Ok(holds)
+        Ok(Some(holds))
     }
 
-    /// Of who holds keys.
-    fn expect_of_keys(&self, words: &[&str]) -> Result<bool, StepError> {
+    /// Of who holds keys; `None` for another expectation.
+    fn keys_hold(&self, words: &[&str]) -> Result<Option<bool>, StepError> {
         let cluster = &self.cluster;
         let holds = match words[0] {
             "covered" => {
@@ -145,8 +143,8 @@
                 let w = cluster.workers.get(words[1]).ok_or("no such worker")?;
                 (w.holds(cluster.now).next().is_some()) == (words[2] == "yes")
             }
-            other => return Err(format!("nothing to expect: {other}").into()),
+            _ => return Ok(None),
         };
-        Ok(holds)
+        Ok(Some(holds))
     }
 }
