--- a/crates/config/src/constants/process.rs
+++ b/crates/config/src/constants/process.rs
@@ -8,3 +8,6 @@
 pub const SETTINGS_CHECK_INTERVAL_MS: u64 = 2000;
 /// Default pace of the counters in the log, s; 0 writes none.
 pub const COUNTERS_INTERVAL_S: u64 = 10;
+/// Pause after a connection could not be accepted, ms: what is short then, descriptors, comes
+/// back as connections end.
+pub const ACCEPT_RETRY_MS: u64 = 10;
--- a/crates/pebblepond/src/admin_http.rs
+++ b/crates/pebblepond/src/admin_http.rs
@@ -73,16 +73,11 @@
         };
         let service = Rc::new(service);
         loop {
-            let Ok((stream, _)) = listener.accept().await else {
-                actix_rt::time::sleep(Duration::from_millis(10)).await;
-                continue;
-            };
-            if sockets::set_options(&stream).is_ok() {
-                let service = service.clone();
-                actix_rt::spawn(async move {
-                    let _ = service.call(stream).await;
-                });
-            }
+            let stream = sockets::accept(&listener, c::ACCEPT_RETRY_MS).await;
+            let service = service.clone();
+            actix_rt::spawn(async move {
+                let _ = service.call(stream).await;
+            });
         }
     });
     Ok(())
--- a/crates/pebblepond/src/main.rs
+++ b/crates/pebblepond/src/main.rs
@@ -8,6 +8,7 @@
 mod counter_log;
 mod discovery;
 mod gossip_driver;
+mod http_headers;
 mod kernel;
 mod ownership_controller;
 mod peer_transport;
--- a/crates/pebblepond/src/peer_transport.rs
+++ b/crates/pebblepond/src/peer_transport.rs
@@ -40,12 +40,8 @@
 
 async fn accept(listener: TcpListener, transport: Addr<PeerTransport>, context: Rc<NodeContext>) {
     loop {
-        match listener.accept().await {
-            Ok((stream, _)) => {
-                actix_rt::spawn(read_frames(stream, transport.clone(), context.clone()));
-            }
-            Err(_) => actix_rt::time::sleep(Duration::from_millis(c::RECONNECT_PAUSE_MS)).await,
-        }
+        let stream = sockets::accept(&listener, c::RECONNECT_PAUSE_MS).await;
+        actix_rt::spawn(read_frames(stream, transport.clone(), context.clone()));
     }
 }
 
@@ -232,9 +228,6 @@
 
 /// Reads what a node sends, until it ends or sends something malformed.
 async fn read_frames(mut stream: TcpStream, transport: Addr<PeerTransport>, context: Rc<NodeContext>) {
-    if sockets::set_options(&stream).is_err() {
-        return;
-    }
     let mut buffer = BytesMut::with_capacity(4096);
     loop {
         while buffer.len() >= LENGTH_BYTES {
--- a/crates/pebblepond/src/placement_controller.rs
+++ b/crates/pebblepond/src/placement_controller.rs
@@ -230,14 +230,16 @@
 
 /// A placement as the fractions of the control state.
 fn fractions_of(placement: Placement) -> Vec<SiteFraction> {
-    let of_group = |(ServiceGroup { service, group }, parts): (ServiceGroup, _)| {
-        let parts: std::collections::BTreeMap<String, f64> = parts;
-        parts.into_iter().map(move |(site, part)| SiteFraction {
-            service: service.clone(),
-            group: group.clone(),
-            site,
-            part,
-        })
-    };
-    placement.into_iter().flat_map(of_group).collect()
+    let mut fractions = Vec::new();
+    for (ServiceGroup { service, group }, parts) in placement {
+        for (site, part) in parts {
+            fractions.push(SiteFraction {
+                service: service.clone(),
+                group: group.clone(),
+                site,
+                part,
+            });
+        }
+    }
+    fractions
 }
--- a/crates/pebblepond/src/proxy/attempts.rs
+++ b/crates/pebblepond/src/proxy/attempts.rs
@@ -57,10 +57,7 @@
             worker_error: None,
         };
         loop {
-            let worker = match self.choose_worker(&target, &mut progress).await {
-                Ok(worker) => worker,
-                Err(response) => return Err(response),
-            };
+            let worker = self.choose_worker(&target, &mut progress).await?;
             let guard = AttemptGuard {
                 balancer_actor: self.balancer_actor.clone(),
                 worker: worker.id.clone(),
--- a/crates/pebblepond/src/proxy/listener.rs
+++ b/crates/pebblepond/src/proxy/listener.rs
@@ -13,9 +13,6 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Pause after a connection could not be accepted, ms.
-const ACCEPT_RETRY_MS: u64 = 10;
-
 type HttpConnections = boxed::BoxService<TcpStream, (), DispatchError>;
 
 /// Whether a client's connection has been told to end: what the client sent
@@ -49,23 +46,18 @@
         return;
     };
     loop {
-        let Ok((stream, _)) = listener.accept().await else {
-            actix_rt::time::sleep(Duration::from_millis(ACCEPT_RETRY_MS)).await;
-            continue;
-        };
+        let stream = sockets::accept(&listener, c::ACCEPT_RETRY_MS).await;
         let newest = current_timeouts(&proxy);
         if newest != timeouts {
             if let Some(fresh) = build_service(proxy.clone(), newest).await {
                 (timeouts, service) = (newest, fresh);
             }
         }
-        if sockets::set_options(&stream).is_ok() {
-            let service = service.clone();
-            actix_rt::spawn(async move {
-                // How a client's connection ends is the client's affair.
-                let _ = service.call(stream).await;
-            });
-        }
+        let service = service.clone();
+        actix_rt::spawn(async move {
+            // How a client's connection ends is the client's affair.
+            let _ = service.call(stream).await;
+        });
     }
 }
 
--- a/crates/pebblepond/src/proxy/request.rs
+++ b/crates/pebblepond/src/proxy/request.rs
@@ -1,9 +1,9 @@
 //! What is checked of a request before a worker is chosen.
 
-use super::headers::number;
 use super::response::{closing, plain};
 use super::{Proxy, Refusal};
 use crate::balancer_actor::DrawService;
+use crate::http_headers::number;
 use crate::upstream::RequestBody;
 use actix_http::body::BoxBody;
 use actix_http::header::{self, HeaderValue};
--- a/crates/pebblepond/src/proxy/response.rs
+++ b/crates/pebblepond/src/proxy/response.rs
@@ -1,7 +1,8 @@
 //! Answers to clients: a worker's, and those of the node's own.
 
 use super::attempts::AttemptGuard;
-use super::headers::{end_to_end, number};
+use super::headers::end_to_end;
+use crate::http_headers::number;
 use crate::upstream::{BodyParts, ResponseBody, UpstreamResponse};
 use actix_http::body::{BodySize, BodyStream, BoxBody, MessageBody, SizedStream};
 use actix_http::{ConnectionType, Response, StatusCode};
--- a/crates/pebblepond/src/sockets.rs
+++ b/crates/pebblepond/src/sockets.rs
@@ -9,7 +9,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Sets what all TCP connections have: no delay, and an end to silence.
-pub fn set_options(stream: &TcpStream) -> io::Result<()> {
+fn set_options(stream: &TcpStream) -> io::Result<()> {
     set_options_for(stream, u64::from(c::TCP_USER_TIMEOUT_MS))
 }
 
@@ -31,6 +31,18 @@
     TcpListener::from_std(socket.into())
 }
 
+/// The next connection that comes in, with the options of all; `retry_ms` is the pause after one
+/// that could not be accepted, ms.
+pub async fn accept(listener: &TcpListener, retry_ms: u64) -> TcpStream {
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) if set_options(&stream).is_ok() => return stream,
+            Ok(_) => {}
+            Err(_) => tokio::time::sleep(Duration::from_millis(retry_ms)).await,
+        }
+    }
+}
+
 /// Connects to a peer within a time.
 pub async fn connect(address: &str, wait_ms: u64) -> io::Result<TcpStream> {
     open(address, wait_ms, u64::from(c::TCP_USER_TIMEOUT_MS)).await
--- a/crates/pebblepond/src/upstream/headers.rs
+++ b/crates/pebblepond/src/upstream/headers.rs
@@ -1,5 +1,6 @@
 //! What the headers of an answer say of its request and its connection.
 
+use crate::http_headers::connection_options;
 use actix_http::header::{self, HeaderMap, HeaderValue};
 use actix_http::{ResponseHead, StatusCode};
 use balancer::{HeadSummary, IdEcho};
@@ -41,10 +42,7 @@
 
 /// Whether the peer ends the connection after this answer.
 pub(super) fn says_close(headers: &HeaderMap) -> bool {
-    headers
-        .get_all(header::CONNECTION)
-        .filter_map(|v| v.to_str().ok())
-        .any(|v| v.split(',').any(|t| t.trim().eq_ignore_ascii_case("close")))
+    connection_options(headers).any(|option| option.eq_ignore_ascii_case("close"))
 }
 
 /// How long a connection may rest, ms: a second less than its peer announced.
--- a/crates/pebblepond/src/upstream/mod.rs
+++ b/crates/pebblepond/src/upstream/mod.rs
@@ -16,9 +16,10 @@
 
 pub use api_call::{call_api, ApiCall, ApiResponse};
 
+use crate::http_headers::number;
 use crate::sockets::{self, is_quiet};
 use actix_http::h1::MessageType;
-use actix_http::header::{self, HeaderMap};
+use actix_http::header::HeaderMap;
 use actix_http::{Method, RequestHead, ResponseHead, ServiceConfig, StatusCode};
 use balancer::{Attempt, Outcome};
 use bytes::{Bytes, BytesMut};
@@ -215,7 +216,7 @@
             let is_usable = self.attempt.may_reuse_connection() && connection.is_between_messages();
             if self.idle_ms > 0 && is_usable {
                 let pool = &self.upstream.pool;
-                pool.put(&self.address, connection, self.idle_ms);
+                pool.put(self.address, connection, self.idle_ms);
             }
         }
         self.attempt.outcome()
@@ -251,11 +252,7 @@
             }
         }
     }
-    let length = response
-        .headers
-        .get(header::CONTENT_LENGTH)
-        .and_then(|v| v.to_str().ok())
-        .and_then(|v| v.parse().ok());
+    let length = number(&response.headers, "Content-Length");
     response.outcome = completion.attempt.outcome();
     let rest = StreamedBody {
         first: Some(whole.freeze()),
--- a/crates/pebblepond/src/upstream/pool.rs
+++ b/crates/pebblepond/src/upstream/pool.rs
@@ -106,9 +106,9 @@
     }
 
     /// Keeps a connection that may rest so long, ms.
-    pub(super) fn put(&self, address: &str, connection: Connection, idle_ms: u64) {
+    pub(super) fn put(&self, address: String, connection: Connection, idle_ms: u64) {
         let mut idle = self.idle.borrow_mut();
-        let connections = idle.entry(address.to_string()).or_default();
+        let connections = idle.entry(address).or_default();
         let since = Instant::now();
         if connections.len() < c::MAX_IDLE_CONNECTIONS {
             connections.push(IdleConnection {
--- a/crates/pebblepond/src/upstream/tests.rs
+++ b/crates/pebblepond/src/upstream/tests.rs
@@ -13,7 +13,7 @@
     let upstream = Upstream::new();
     let rest = |upstream: &Upstream, io, s: u64| {
         let connection = Connection::new(io, ServiceConfig::default());
-        upstream.pool.put(&address, connection, 100_000);
+        upstream.pool.put(address.clone(), connection, 100_000);
         if let Some(idle) = upstream
             .pool
             .idle
@@ -80,7 +80,7 @@
             let io = TcpStream::connect(&address).await.expect("connects");
             let mut connection = Connection::new(io, ServiceConfig::default());
             connection.lacks_id = lacks_id;
-            upstream.pool.put(&address, connection, 100_000);
+            upstream.pool.put(address.clone(), connection, 100_000);
         }
         let taken = upstream.pool.take(&address, 60_000, matching);
         assert_eq!(taken.is_some(), used);
