--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -9,6 +9,8 @@
 mod modification;
 /// The settings file of a node.
 pub mod settings;
+/// Times of Raft and of the membership protocol.
+pub mod timing;
 
 pub use configuration::{
     warmup_limit, ClientLimits, Configuration, Route, RouteKind, Service, WeightedService,
--- /dev/null
+++ b/crates/config/src/timing.rs
@@ -0,0 +1,46 @@
+//! The times of the protocols, put together from the constants: the program and its simulation
+//! run on the same.
+
+use crate::constants as c;
+
+/// Raft's times and sizes.
+pub const RAFT: raft::Config = raft::Config {
+    heartbeat_ms: c::HEARTBEAT_MS,
+    learner_heartbeat_ms: c::LEARNER_HEARTBEAT_MS,
+    election_timeout_ms: c::ELECTION_TIMEOUT_MS,
+    election_jitter_ms: c::ELECTION_JITTER_MS,
+    lease_ms: c::LEASE_MS,
+    resend_ms: c::APPEND_RESEND_MS,
+    snapshot_resend_ms: c::SNAPSHOT_RESEND_MS,
+    peer_timeout_ms: c::PEER_TIMEOUT_MS,
+    append_bytes: c::APPEND_BYTES,
+    retained_bytes: c::LOG_RETAINED_BYTES,
+};
+
+/// How long a leader bears the silence of a voter.
+pub const VOTER_SILENCE: raft::SilenceTimeouts = raft::SilenceTimeouts {
+    contact_ms: c::CONTACT_TIMEOUT_MS,
+    removal_ms: c::VOTER_REMOVAL_MS,
+    urgent_removal_ms: c::VOTER_URGENT_REMOVAL_MS,
+};
+
+/// How long a learner bears the silence of its upstream.
+pub const UPSTREAM: raft::UpstreamTimeouts = raft::UpstreamTimeouts {
+    silence_ms: c::UPSTREAM_SILENCE_MS,
+    avoid_ms: c::UPSTREAM_AVOID_MS,
+};
+
+/// The membership protocol's times and sizes.
+pub const GOSSIP: gossip::Config = gossip::Config {
+    probe_interval_ms: c::PROBE_INTERVAL_MS,
+    probe_timeout_ms: c::PROBE_TIMEOUT_MS,
+    suspect_after_ms: c::SUSPECT_AFTER_MS,
+    indirect_probes: c::INDIRECT_PROBES,
+    suspicion_timeout_ms: c::SUSPICION_TIMEOUT_MS,
+    dead_retention_ms: c::DEAD_RETENTION_MS,
+    retransmits: c::GOSSIP_RETRANSMITS,
+    message_members: c::GOSSIP_MESSAGE_MEMBERS,
+    join_interval_ms: c::JOIN_INTERVAL_MS,
+    rejoin_interval_ms: c::REJOIN_INTERVAL_MS,
+    exchange_interval_ms: c::EXCHANGE_INTERVAL_MS,
+};
--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -10,6 +10,7 @@
 mod configuration_commands;
 mod delta;
 mod error;
+mod recent_commands;
 mod snapshot;
 mod state;
 
@@ -21,4 +22,5 @@
 pub use configuration_commands::{Confirmation, Judgement};
 pub use delta::{delta, patch};
 pub use error::{InvalidChange, SnapshotError};
+pub use recent_commands::RecentCommands;
 pub use state::{ControlState, KEY_SPACE};
--- a/crates/pebblepond/src/control/driver.rs
+++ b/crates/pebblepond/src/control/driver.rs
@@ -9,12 +9,12 @@
 use crate::peer_transport::PayloadKind;
 use crate::storage::{Storage, StorageEvent};
 use actix::prelude::*;
-use config::constants as c;
-use control_state::{ControlState, Outcome};
+use config::{constants as c, timing};
+use control_state::{ControlState, Outcome, RecentCommands};
 use protocol::{ChangeKind, CommandResponse, Incarnation, PendingCalls, RangeDigests};
-use raft::{Config, EntryType, RaftNode, Role, Snapshot, UpstreamSelector};
+use raft::{EntryType, RaftNode, Role, Snapshot, UpstreamSelector};
 use rand::Rng;
-use std::collections::{BTreeMap, HashMap};
+use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
@@ -28,19 +28,6 @@
 /// Shortest and longest pause between two ticks of Raft, ms.
 const TICK_MS: (u64, u64) = (10, 200);
 
-const CONFIG: Config = Config {
-    heartbeat_ms: c::HEARTBEAT_MS,
-    learner_heartbeat_ms: c::LEARNER_HEARTBEAT_MS,
-    election_timeout_ms: c::ELECTION_TIMEOUT_MS,
-    election_jitter_ms: c::ELECTION_JITTER_MS,
-    lease_ms: c::LEASE_MS,
-    resend_ms: c::APPEND_RESEND_MS,
-    snapshot_resend_ms: c::SNAPSHOT_RESEND_MS,
-    peer_timeout_ms: c::PEER_TIMEOUT_MS,
-    append_bytes: c::APPEND_BYTES,
-    retained_bytes: c::LOG_RETAINED_BYTES,
-};
-
 fn start(context: &Rc<NodeContext>) -> Result<(), StartError> {
     let settings = context.settings.get();
     let (events, storage_events) = mpsc::unbounded_channel();
@@ -128,8 +115,8 @@
     pub(super) repairs: PendingCalls<u64, RangeDigests>,
     /// The last number given to a command that reached this process.
     pub(super) last_command: u64,
-    /// When each tagged command of the history was first seen here, ms, by index.
-    pub(super) commands_seen: BTreeMap<u64, u64>,
+    /// When the commands of the history were first seen here.
+    pub(super) recent_commands: RecentCommands,
     /// Whom this node has chosen to bootstrap the cluster; 0 for nobody.
     pub(super) appointed: u64,
     /// What others were last told of this node.
@@ -153,7 +140,7 @@
     fn new(context: Rc<NodeContext>, loaded: Loaded, is_new_system: bool) -> RaftDriver {
         let now = context.now();
         let seed = rand::thread_rng().gen();
-        let mut raft = RaftNode::new(loaded.identity.id, loaded.saved, CONFIG, now, seed);
+        let mut raft = RaftNode::new(loaded.identity.id, loaded.saved, timing::RAFT, now, seed);
         raft.set_snapshot_check(ControlState::is_snapshot_readable);
         let incarnation = Incarnation(rand::thread_rng().gen());
         RaftDriver {
@@ -170,7 +157,7 @@
             calls: PendingCalls::new(incarnation, c::COMMAND_TIMEOUT_MS),
             repairs: PendingCalls::new(incarnation, c::CONTACT_TIMEOUT_MS),
             last_command: 0,
-            commands_seen: BTreeMap::new(),
+            recent_commands: RecentCommands::default(),
             appointed: 0,
             told: None,
             started_at: now,
--- a/crates/pebblepond/src/control/maintenance.rs
+++ b/crates/pebblepond/src/control/maintenance.rs
@@ -2,10 +2,10 @@
 //! for newer copies among peers.
 
 use super::driver::RaftDriver;
-use config::constants as c;
+use config::{constants as c, timing};
 use gossip::Member;
 use protocol::{Payload, RangeDigests};
-use raft::{FaultTolerance, UpstreamCandidate, UpstreamTimeouts, Voter};
+use raft::{FaultTolerance, UpstreamCandidate, Voter};
 use rand::seq::SliceRandom;
 use rand::Rng;
 
@@ -99,14 +99,10 @@
             return;
         }
         let candidates = self.upstream_candidates();
-        let timeouts = UpstreamTimeouts {
-            silence_ms: c::UPSTREAM_SILENCE_MS,
-            avoid_ms: c::UPSTREAM_AVOID_MS,
-        };
         let (own_id, current) = (self.raft.id(), self.raft.upstream());
         let selected = self
             .upstream_selector
-            .select(now, own_id, current, &candidates, timeouts);
+            .select(now, own_id, current, &candidates, timing::UPSTREAM);
         if let Some(upstream) = selected {
             self.context.counters.add("upstreams_selected");
             log::debug!(
--- a/crates/pebblepond/src/control/membership.rs
+++ b/crates/pebblepond/src/control/membership.rs
@@ -1,17 +1,11 @@
 //! The leader's care for learners and voters.
 
 use super::driver::RaftDriver;
-use config::constants as c;
+use config::timing;
 use gossip::Member;
-use raft::{next_membership, PeerObservation, SilenceTimeouts, Voter};
+use raft::{next_membership, PeerObservation, Voter};
 use std::collections::BTreeSet;
 
-const TIMEOUTS: SilenceTimeouts = SilenceTimeouts {
-    contact_ms: c::CONTACT_TIMEOUT_MS,
-    removal_ms: c::VOTER_REMOVAL_MS,
-    urgent_removal_ms: c::VOTER_URGENT_REMOVAL_MS,
-};
-
 impl RaftDriver {
     /// Every other node with a disk that may belong to this cluster.
     pub(super) fn learners(&self) -> BTreeSet<u64> {
@@ -27,7 +21,7 @@
     pub(super) fn change_membership(&mut self, now: u64) {
         self.raft.set_learners(&self.learners());
         let peers = self.peer_observations();
-        let next = next_membership(&self.raft, now, &peers, self.tolerance(), TIMEOUTS);
+        let next = next_membership(&self.raft, now, &peers, self.tolerance(), timing::VOTER_SILENCE);
         if let Some(membership) = next {
             let before = self.raft.membership().voters.len();
             let voters = membership.voters.len();
--- a/crates/pebblepond/src/control/proposals.rs
+++ b/crates/pebblepond/src/control/proposals.rs
@@ -1,10 +1,8 @@
 //! Changes on their way through the log, and commands that repeat others.
 
 use super::driver::RaftDriver;
-use config::constants as c;
 use control_state::{configuration_key, Outcome};
 use protocol::{Change, ChangeKind, CommandTag, ConfigurationKey};
-use std::collections::BTreeSet;
 use tokio::sync::oneshot;
 
 /// What a change came to, and its index in the log.
@@ -75,28 +73,12 @@
         self.propose(kind, tag)
     }
 
-    /// The index of the command that this one most likely repeats: the newest on its subject,
-    /// if it was the same and came a moment ago as far as this node has seen. What is byte for
-    /// byte alike cannot be told apart any better; the log has the last word, and holds it for
-    /// all leaders.
+    /// The index of the command that this one most likely repeats.
     pub(super) fn repeated(&self, tag: &CommandTag) -> Option<u64> {
-        let now = self.context.now();
         let pending = self.proposals.iter();
         let pending = pending.filter_map(|(index, p)| Some((*index, p.tag.as_ref()?)));
-        let is_recent = |index: u64| {
-            let seen = self.commands_seen.get(&index);
-            seen.is_some_and(|at| now.saturating_sub(*at) < c::REPEATED_COMMAND_MS)
-        };
-        self.state.command_history.recent_like(tag, pending, is_recent)
-    }
-
-    /// Notes when the tagged commands of the history were first seen here.
-    pub(super) fn note_commands_seen(&mut self) {
-        let now = self.context.now();
-        let known: BTreeSet<u64> = self.state.command_history.tagged_indexes().collect();
-        self.commands_seen.retain(|index, _| known.contains(index));
-        for index in known {
-            self.commands_seen.entry(index).or_insert(now);
-        }
+        let history = &self.state.command_history;
+        self.recent_commands
+            .repeated(self.context.now(), history, tag, pending)
     }
 }
--- a/crates/pebblepond/src/control/publication.rs
+++ b/crates/pebblepond/src/control/publication.rs
@@ -8,7 +8,8 @@
 impl RaftDriver {
     /// Publishes what has changed.
     pub(super) fn publish(&mut self) {
-        self.note_commands_seen();
+        let now = self.context.now();
+        self.recent_commands.note(now, &self.state.command_history);
         self.publish_contact();
         let before = self.context.status.get();
         let status = NodeStatus {
--- a/crates/pebblepond/src/gossip_driver.rs
+++ b/crates/pebblepond/src/gossip_driver.rs
@@ -2,9 +2,8 @@
 
 use crate::kernel::{Component, NodeContext, StartError};
 use actix::prelude::*;
-use config::constants as c;
-use config::Settings;
-use gossip::{Config, Envelope, Member, MembershipProtocol};
+use config::{constants as c, timing, Settings};
+use gossip::{Envelope, Member, MembershipProtocol};
 use prost::Message as _;
 use rand::Rng;
 use std::collections::BTreeMap;
@@ -20,20 +19,6 @@
 /// Pause after a failed read, ms.
 const READ_RETRY_MS: u64 = 10;
 
-const CONFIG: Config = Config {
-    probe_interval_ms: c::PROBE_INTERVAL_MS,
-    probe_timeout_ms: c::PROBE_TIMEOUT_MS,
-    suspect_after_ms: c::SUSPECT_AFTER_MS,
-    indirect_probes: c::INDIRECT_PROBES,
-    suspicion_timeout_ms: c::SUSPICION_TIMEOUT_MS,
-    dead_retention_ms: c::DEAD_RETENTION_MS,
-    retransmits: c::GOSSIP_RETRANSMITS,
-    message_members: c::GOSSIP_MESSAGE_MEMBERS,
-    join_interval_ms: c::JOIN_INTERVAL_MS,
-    rejoin_interval_ms: c::REJOIN_INTERVAL_MS,
-    exchange_interval_ms: c::EXCHANGE_INTERVAL_MS,
-};
-
 fn start(context: &Rc<NodeContext>) -> Result<(), StartError> {
     let settings = context.settings.get();
     let address = settings.internal_address();
@@ -46,7 +31,7 @@
     let protocol = MembershipProtocol::new(
         own_member(&settings),
         seeds.collect(),
-        CONFIG,
+        timing::GOSSIP,
         context.now(),
         rand::thread_rng().gen(),
     );
--- a/crates/raft/src/storage.rs
+++ b/crates/raft/src/storage.rs
@@ -22,6 +22,23 @@
     pub entries: Vec<Entry>,
 }
 
+impl PersistentState {
+    /// What a disk gives back once a write is on it.
+    pub fn apply(&mut self, write: StorageWrite) {
+        if let Some(hard_state) = write.hard_state {
+            self.hard_state = hard_state;
+        }
+        if let Some(snapshot) = write.snapshot {
+            self.entries.retain(|e| e.index > snapshot.index);
+            self.snapshot = snapshot;
+        }
+        if let Some(from) = write.truncate_from {
+            self.entries.retain(|e| e.index < from);
+        }
+        self.entries.extend(write.entries);
+    }
+}
+
 /// What has to reach the disk as one write, in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StorageWrite {
--- a/crates/raft/tests/cluster/mod.rs
+++ b/crates/raft/tests/cluster/mod.rs
@@ -263,7 +263,7 @@
         loop {
             let ready = node.take_ready();
             let last = node.last_position();
-            write(&mut m.saved, ready.write);
+            m.saved.apply(ready.write);
             node.on_persisted(last);
             let sent = ready.messages.into_iter().chain(ready.persisted_messages);
             self.wire.extend(sent.map(|message| (m.id, message)));
@@ -277,7 +277,7 @@
         }
         if node.log_len() > 4 {
             node.compact(Vec::new());
-            write(&mut m.saved, node.take_ready().write);
+            m.saved.apply(node.take_ready().write);
         }
     }
 
@@ -383,17 +383,3 @@
         ))
     }
 }
-
-fn write(saved: &mut PersistentState, write: StorageWrite) {
-    if let Some(hard_state) = write.hard_state {
-        saved.hard_state = hard_state;
-    }
-    if let Some(snapshot) = write.snapshot {
-        saved.entries.retain(|e| e.index > snapshot.index);
-        saved.snapshot = snapshot;
-    }
-    if let Some(from) = write.truncate_from {
-        saved.entries.retain(|e| e.index < from);
-    }
-    saved.entries.extend(write.entries);
-}
--- a/crates/raft/tests/learner_relay.rs
+++ b/crates/raft/tests/learner_relay.rs
@@ -1,18 +1,12 @@
 //! Relaying the log to learners.
 
+mod cluster;
+
 use raft::*;
 
 const CONFIG: Config = Config {
-    heartbeat_ms: 100,
-    learner_heartbeat_ms: 400,
-    election_timeout_ms: 450,
-    election_jitter_ms: 300,
-    lease_ms: 260,
-    resend_ms: 400,
-    snapshot_resend_ms: 1000,
-    peer_timeout_ms: 3000,
-    append_bytes: 1 << 20,
     retained_bytes: 1 << 14,
+    ..cluster::CONFIG
 };
 
 fn append(index: u64, log_term: u64, commit: u64, entries: Vec<Entry>) -> Message {
--- a/crates/raft/tests/narrow_links.rs
+++ b/crates/raft/tests/narrow_links.rs
@@ -1,22 +1,15 @@
 //! Links that carry 2 Mbit/s, and messages that take seconds on them.
 
+mod cluster;
+
 use prost::Message as _;
-use raft::{
-    Config, HardState, Membership, Message, PersistentState, RaftNode, Snapshot, StorageWrite, Voter,
-};
+use raft::{Config, HardState, Membership, Message, PersistentState, RaftNode, Snapshot, Voter};
 use std::collections::BTreeMap;
 
 const CONFIG: Config = Config {
-    heartbeat_ms: 100,
-    learner_heartbeat_ms: 400,
-    election_timeout_ms: 450,
-    election_jitter_ms: 300,
-    lease_ms: 260,
-    resend_ms: 400,
-    snapshot_resend_ms: 1000,
-    peer_timeout_ms: 3000,
     append_bytes: 256 * 1024,
     retained_bytes: 16 * 1024,
+    ..cluster::CONFIG
 };
 /// One way, ms.
 const LATENCY: u64 = 30;
@@ -85,21 +78,6 @@
         self.nodes.insert(id, node);
     }
 
-    fn write(&mut self, id: u64, write: StorageWrite) {
-        let disk = self.disks.entry(id).or_default();
-        if let Some(hard_state) = write.hard_state {
-            disk.hard_state = hard_state;
-        }
-        if let Some(snapshot) = write.snapshot {
-            disk.entries.retain(|e| e.index > snapshot.index);
-            disk.snapshot = snapshot;
-        }
-        if let Some(from) = write.truncate_from {
-            disk.entries.retain(|e| e.index < from);
-        }
-        disk.entries.extend(write.entries);
-    }
-
     fn carry(&mut self, node: u64, out: bool, at: u64, bytes: usize) -> u64 {
         let Some(width) = self.width.get(&node) else {
             return at;
@@ -133,7 +111,7 @@
             loop {
                 let ready = node.take_ready();
                 sent.extend(ready.messages.into_iter().chain(ready.persisted_messages));
-                self.write(id, ready.write);
+                self.disks.entry(id).or_default().apply(ready.write);
                 node.on_persisted(node.last_position());
                 let installed = ready.snapshot.map(|s| s.index);
                 let applied = ready.committed_entries.last().map(|e| e.index).or(installed);
--- a/crates/simulation/examples/capacity.rs
+++ b/crates/simulation/examples/capacity.rs
@@ -11,9 +11,9 @@
 //! minutes and a few hundred megabytes.
 
 use balancer::{AttemptResult, LoadBalancer, Locality, PeerInfo, SelectionRequest};
-use config::{constants as c, settings::Bounds, Configuration, RouteKind};
+use config::{constants as c, settings::Bounds, timing, Configuration, RouteKind};
 use control_state::{ControlState, KEY_SPACE};
-use gossip::{Config, Member, MembershipProtocol, Message};
+use gossip::{Member, MembershipProtocol, Message};
 use key_ownership::{Action, GrantResult, OwnershipManager};
 use placement::{DiscoveryInput, OutlierDetector, ProxyNode, WarmupAdmission};
 use prost::Message as _;
@@ -90,20 +90,6 @@
     );
 }
 
-const TIMING: Config = Config {
-    probe_interval_ms: c::PROBE_INTERVAL_MS,
-    probe_timeout_ms: c::PROBE_TIMEOUT_MS,
-    suspect_after_ms: c::SUSPECT_AFTER_MS,
-    indirect_probes: c::INDIRECT_PROBES,
-    suspicion_timeout_ms: c::SUSPICION_TIMEOUT_MS,
-    dead_retention_ms: c::DEAD_RETENTION_MS,
-    retransmits: c::GOSSIP_RETRANSMITS,
-    message_members: c::GOSSIP_MESSAGE_MEMBERS,
-    join_interval_ms: c::JOIN_INTERVAL_MS,
-    rejoin_interval_ms: c::REJOIN_INTERVAL_MS,
-    exchange_interval_ms: c::EXCHANGE_INTERVAL_MS,
-};
-
 /// Bytes a second and processor time of a node's membership: at the start, calm,
 /// and with a restart every two seconds.
 fn membership() {
@@ -123,7 +109,7 @@
                 has_disk: i < 9,
                 ..Default::default()
             };
-            MembershipProtocol::new(me, (0..3).map(name).collect(), TIMING, now, i as u64)
+            MembershipProtocol::new(me, (0..3).map(name).collect(), timing::GOSSIP, now, i as u64)
         };
         let mut boards: BTreeMap<String, MembershipProtocol> =
             (0..nodes).map(|i| (name(i), board(i, 0))).collect();
--- a/crates/simulation/src/cluster/duties.rs
+++ b/crates/simulation/src/cluster/duties.rs
@@ -4,10 +4,10 @@
 use super::network::{Caller, InFlight, WORKER_CALL_MS};
 use super::{voter_of, Cluster, TOLERANCE};
 use crate::node::{Node, Process};
-use config::constants as c;
+use config::{constants as c, timing};
 use key_ownership::Action;
 use protocol::{Change, ChangeKind, KeyLeaseChange, Worker, WorkersChange};
-use raft::{next_membership, PeerObservation, SilenceTimeouts, UpstreamCandidate, UpstreamTimeouts};
+use raft::{next_membership, PeerObservation, UpstreamCandidate};
 use rand::rngs::SmallRng;
 use rand::Rng;
 use std::collections::BTreeSet;
@@ -24,10 +24,6 @@
             .values()
             .filter(|n| n.disk.is_some() && n.process.is_some());
         let voters: Vec<(u64, String)> = with_disk.map(|n| (n.id(), n.region.clone())).collect();
-        let timeouts = UpstreamTimeouts {
-            silence_ms: c::UPSTREAM_SILENCE_MS,
-            avoid_ms: c::UPSTREAM_AVOID_MS,
-        };
         let frozen = &self.frozen;
         let is_running_learner = |n: &&mut Node| n.disk.is_none() && !frozen.contains(&n.name);
         for node in self.nodes.values_mut().filter(is_running_learner) {
@@ -42,7 +38,7 @@
             let candidates: Vec<UpstreamCandidate> = voters.iter().map(candidate).collect();
             let (own_id, upstream) = (process.raft.id(), process.raft.upstream());
             let selector = &mut process.upstream_selector;
-            if let Some(chosen) = selector.select(now, own_id, upstream, &candidates, timeouts) {
+            if let Some(chosen) = selector.select(now, own_id, upstream, &candidates, timing::UPSTREAM) {
                 process.raft.subscribe(now, chosen);
             } else if now % SUBSCRIPTION_INTERVAL_MS == 1 {
                 process.raft.repeat_subscription();
@@ -143,12 +139,8 @@
             .collect();
         self.raft.set_learners(&learners);
         let others: Vec<PeerObservation> = others.cloned().collect();
-        let timeouts = SilenceTimeouts {
-            contact_ms: c::CONTACT_TIMEOUT_MS,
-            removal_ms: c::VOTER_REMOVAL_MS,
-            urgent_removal_ms: c::VOTER_URGENT_REMOVAL_MS,
-        };
-        if let Some(membership) = next_membership(&self.raft, now, &others, TOLERANCE, timeouts) {
+        if let Some(membership) = next_membership(&self.raft, now, &others, TOLERANCE, timing::VOTER_SILENCE)
+        {
             self.raft.propose_membership(&membership);
         }
     }
--- a/crates/simulation/src/command_handler.rs
+++ b/crates/simulation/src/command_handler.rs
@@ -8,11 +8,11 @@
 use crate::history::{digest, Reply, Request};
 use crate::node::{Process, StepResult};
 use config::constants as c;
-use control_state::{Confirmation, Outcome};
+use control_state::{Confirmation, Outcome, RecentCommands};
 use execution::{evacuation, status_of};
 use protocol::{CallId, CommandTag, ConfigurationKey, PendingCalls};
 use raft::{is_durable, LogPosition, ReadState};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
 /// What may be wrong with a command handler, planted to see that the checker finds it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -124,8 +124,8 @@
     calls: PendingCalls<u64, u64>,
     running_commands: BTreeMap<u64, RunningCommand>,
     next: u64,
-    /// When commands of the command history were first seen here, by index.
-    commands_seen: BTreeMap<u64, u64>,
+    /// When the commands of the history were first seen here.
+    recent_commands: RecentCommands,
     /// Commands in the log that are not applied yet.
     pending: Vec<Proposal>,
     mutant: Mutant,
@@ -144,7 +144,7 @@
             calls: PendingCalls::new(protocol::Incarnation(drawn), c::COMMAND_TIMEOUT_MS),
             running_commands: BTreeMap::new(),
             next: 0,
-            commands_seen: BTreeMap::new(),
+            recent_commands: RecentCommands::default(),
             pending: Vec::new(),
             mutant,
         }
@@ -211,11 +211,7 @@
     /// One step of time, after the node has done what `did` says.
     pub fn step(&mut self, now: u64, node: &mut Process, step_result: &StepResult) -> Vec<HandlerAction> {
         let mut actions = Vec::new();
-        let known: BTreeSet<u64> = node.state.command_history.tagged_indexes().collect();
-        self.commands_seen.retain(|index, _| known.contains(index));
-        for index in known {
-            self.commands_seen.entry(index).or_insert(now);
-        }
+        self.recent_commands.note(now, &node.state.command_history);
         let leads = node.raft.is_leader();
         let stands = node.state.index;
         let numbers: Vec<u64> = self.running_commands.keys().copied().collect();
--- a/crates/simulation/src/command_handler/execution.rs
+++ b/crates/simulation/src/command_handler/execution.rs
@@ -89,11 +89,8 @@
     fn with_repeats(&self, now: u64, node: &Process, tag: CommandTag) -> CommandTag {
         let pending = self.pending.iter();
         let pending = pending.filter_map(|p| Some((p.index, p.tag.as_ref()?)));
-        let is_recent = |index: u64| {
-            let seen_at = self.commands_seen.get(&index);
-            seen_at.is_some_and(|at| now.saturating_sub(*at) < c::REPEATED_COMMAND_MS)
-        };
-        let repeated = node.state.command_history.recent_like(&tag, pending, is_recent);
+        let history = &node.state.command_history;
+        let repeated = self.recent_commands.repeated(now, history, &tag, pending);
         CommandTag {
             repeats: repeated.unwrap_or(0),
             ..tag
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -1,7 +1,7 @@
 //! A disk that loses what was not synced when the power goes.
 
 use prost::Message;
-use raft::{Entry, PersistentState, StorageWrite};
+use raft::{PersistentState, StorageWrite};
 
 /// A simulated disk.
 #[derive(Clone, Debug, Default)]
@@ -33,33 +33,12 @@
         let mut last = None;
         while !self.stuck && self.pending.first().is_some_and(|(at, _, _)| *at <= now) {
             let (_, seq, write) = self.pending.remove(0);
-            self.apply(write);
+            self.saved.apply(write);
             last = Some(seq);
         }
         last
     }
 
-    fn apply(&mut self, write: StorageWrite) {
-        if let Some(hard_state) = write.hard_state {
-            self.saved.hard_state = hard_state;
-        }
-        if let Some(snapshot) = write.snapshot {
-            self.saved.entries.retain(|e| e.index > snapshot.index);
-            self.saved.snapshot = snapshot;
-        }
-        if let Some(from) = write.truncate_from {
-            self.saved.entries.retain(|e| e.index < from);
-        }
-        for entry in write.entries {
-            self.put(entry);
-        }
-    }
-
-    fn put(&mut self, entry: Entry) {
-        self.saved.entries.retain(|e| e.index != entry.index);
-        self.saved.entries.push(entry);
-    }
-
     /// The process ends: what it has handed to the system stays. A store
     /// commits whole writes, so those under way are there or not, in order.
     pub fn end(&mut self, power_lost: bool, keep: usize) {
@@ -70,7 +49,7 @@
         };
         let pending = std::mem::take(&mut self.pending);
         for (_, _, write) in pending.into_iter().take(keep) {
-            self.apply(write);
+            self.saved.apply(write);
         }
     }
 
--- a/crates/simulation/src/node.rs
+++ b/crates/simulation/src/node.rs
@@ -1,27 +1,13 @@
 //! One node: Raft, its copy of the control state, and the ownership of keys.
 
 use crate::disk::Disk;
-use config::constants as c;
+use config::{constants as c, timing};
 use control_state::{ControlState, Outcome};
 use key_ownership::OwnershipManager;
 use protocol::ConfigurationCommand;
-use raft::{Config, EntryType, LogPosition, RaftNode, ReadState, Snapshot, StorageWrite, UpstreamSelector};
+use raft::{EntryType, LogPosition, RaftNode, ReadState, Snapshot, StorageWrite, UpstreamSelector};
 use std::collections::VecDeque;
 
-/// Timing of Raft, as in the program.
-pub const CONFIG: Config = Config {
-    heartbeat_ms: c::HEARTBEAT_MS,
-    learner_heartbeat_ms: c::LEARNER_HEARTBEAT_MS,
-    election_timeout_ms: c::ELECTION_TIMEOUT_MS,
-    election_jitter_ms: c::ELECTION_JITTER_MS,
-    lease_ms: c::LEASE_MS,
-    resend_ms: c::APPEND_RESEND_MS,
-    snapshot_resend_ms: c::SNAPSHOT_RESEND_MS,
-    peer_timeout_ms: c::PEER_TIMEOUT_MS,
-    append_bytes: c::APPEND_BYTES,
-    retained_bytes: c::LOG_RETAINED_BYTES,
-};
-
 /// Entries after which the log is compacted, entries.
 const MAX_LOG_ENTRIES: usize = 40;
 
@@ -148,7 +134,7 @@
         };
         let state = ControlState::from_snapshot(saved.snapshot.index, &saved.snapshot.data);
         let state = state.expect("the disk gives back what was written");
-        let mut raft = RaftNode::new(id, saved, CONFIG, now, id);
+        let mut raft = RaftNode::new(id, saved, timing::RAFT, now, id);
         raft.set_snapshot_check(ControlState::is_snapshot_readable);
         self.process = Some(Process {
             raft,
