--- a/crates/key-ownership/src/assignment.rs
+++ b/crates/key-ownership/src/assignment.rs
@@ -1,4 +1,4 @@
-//! Who gets which ranges.
+//! Assignment of key ranges to workers, and balancing of their load.
 
 use crate::load::Loads;
 use config::constants as c;
@@ -7,19 +7,19 @@
 use std::cell::OnceCell;
 use std::collections::HashMap;
 
-/// Stands for a fence that is still to be given.
+/// Placeholder in a planned lease whose fencing token has not been assigned yet.
 pub const NEW_TOKEN: u64 = 0;
 
-/// What planning goes by.
+/// Input for planning changes to key leases.
 pub struct Assignment<'a> {
     pub state: &'a ControlState,
     pub loads: &'a Loads,
-    pub is_weak: &'a dyn Fn(&str) -> bool,
-    /// The workers by service, once they have been asked for.
+    pub is_deprioritized: &'a dyn Fn(&str) -> bool,
+    /// Workers by service, computed on first use.
     by_service: OnceCell<HashMap<&'a str, Vec<&'a Worker>>>,
 }
 
-/// A worker that may be given keys, what it bears and what it has.
+/// A worker that may be given keys, with its relative capacity and the load of the ranges it holds.
 struct Candidate<'a> {
     worker: &'a Worker,
     capacity: f64,
@@ -33,22 +33,21 @@
 }
 
 impl<'a> Assignment<'a> {
-    /// The key leases of a state as they are, with the loads that were counted. `is_weak` says
-    /// which workers should hold less.
+    /// Creates the planning input from the current control state and the measured loads.
+    /// `is_deprioritized` returns whether a worker should be given keys only if there is no other.
     pub fn new(
         state: &'a ControlState,
         loads: &'a Loads,
-        is_weak: &'a dyn Fn(&str) -> bool,
+        is_deprioritized: &'a dyn Fn(&str) -> bool,
     ) -> Assignment<'a> {
         Assignment {
             state,
             loads,
-            is_weak,
+            is_deprioritized,
             by_service: OnceCell::new(),
         }
     }
 
-    /// The workers of a service.
     fn workers_of(&self, service: &str) -> &[&'a Worker] {
         let by_service = self.by_service.get_or_init(|| {
             let mut all: HashMap<&str, Vec<&Worker>> = HashMap::new();
@@ -60,87 +59,100 @@
         by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// The workers of a service that may be given keys: warm ones, or cold
-    /// ones if there are no others.
-    fn usable(&self, service: &str) -> Vec<&Worker> {
+    /// Returns the workers of a service that may be given keys. Deprioritized and ejected workers
+    /// are returned only if there are no others.
+    fn assignable_workers(&self, service: &str) -> Vec<&Worker> {
         if !self.state.is_partitioned(service) {
             return Vec::new();
         }
-        let able: Vec<&Worker> = self
+        let eligible: Vec<&Worker> = self
             .workers_of(service)
             .iter()
             .copied()
             .filter(|w| !w.draining && !self.state.evacuated.contains_key(&w.zone))
             .filter(|w| self.state.may_hold_keys(w))
             .collect();
-        let fit = |w: &&Worker| !(self.is_weak)(&w.id) && !self.state.ejected.contains(&w.id);
-        let warm: Vec<&Worker> = able.iter().copied().filter(fit).collect();
-        if warm.is_empty() {
-            able
+        let is_preferred =
+            |w: &&Worker| !(self.is_deprioritized)(&w.id) && !self.state.ejected.contains(&w.id);
+        let preferred: Vec<&Worker> = eligible.iter().copied().filter(is_preferred).collect();
+        if preferred.is_empty() {
+            eligible
         } else {
-            warm
+            preferred
         }
     }
 
     fn candidates(&self, service: &str) -> Vec<Candidate<'_>> {
-        let usable = self.usable(service);
-        let mut held: HashMap<&str, f64> = HashMap::new();
+        let workers = self.assignable_workers(service);
+        let mut load_by_worker: HashMap<&str, f64> = HashMap::new();
         let table = self.state.key_leases.get(service);
-        for h in table.into_iter().flat_map(|t| t.values()).filter(|h| !h.revoking) {
-            *held.entry(&h.worker).or_default() += self.loads.weight(service, h.from, h.to);
+        for lease in table
+            .into_iter()
+            .flat_map(|t| t.values())
+            .filter(|lease| !lease.revoking)
+        {
+            *load_by_worker.entry(&lease.worker).or_default() +=
+                self.loads.weight(service, lease.from, lease.to);
         }
-        let capacities = self.loads.capacities(&usable);
-        usable
+        let capacities = self.loads.capacities(&workers);
+        workers
             .into_iter()
             .zip(capacities)
             .map(|(worker, capacity)| Candidate {
                 worker,
                 capacity,
-                load: held.get(worker.id.as_str()).copied().unwrap_or(0.0),
+                load: load_by_worker.get(worker.id.as_str()).copied().unwrap_or(0.0),
             })
             .collect()
     }
 
-    /// Cuts a range into parts of about equal load, one for each name.
-    fn cut(&self, service: &str, from: u32, to: u32, names: &[String]) -> Vec<(u32, u32, String)> {
+    /// Splits a range into parts of about equal load, one for each worker.
+    fn split_by_load(
+        &self,
+        service: &str,
+        from: u32,
+        to: u32,
+        worker_ids: &[String],
+    ) -> Vec<(u32, u32, String)> {
         let total = self.loads.weight(service, from, to);
         let mut parts = Vec::new();
         let mut start = from;
-        for (i, name) in names.iter().enumerate() {
+        for (i, worker_id) in worker_ids.iter().enumerate() {
             if start > to {
                 break;
             }
-            let last = i + 1 == names.len();
+            let last = i + 1 == worker_ids.len();
             let end = if last {
                 to
             } else {
-                self.reach(service, start, to, total / names.len() as f64)
+                self.last_key_of_load(service, start, to, total / worker_ids.len() as f64)
             };
-            parts.push((start, end, name.clone()));
+            parts.push((start, end, worker_id.clone()));
             start = end + 1;
         }
         parts
     }
 
-    /// The last key of the shortest run from `start` that weighs as much as wanted.
-    fn reach(&self, service: &str, start: u32, to: u32, wanted: f64) -> u32 {
+    /// Returns the last key of the shortest range from `start` whose load is at least `target`, or
+    /// `to` if the whole range has less.
+    fn last_key_of_load(&self, service: &str, start: u32, to: u32, target: f64) -> u32 {
         let mut sum = 0.0;
-        let heavy = |key: &u32| {
+        let reaches_target = |key: &u32| {
             sum += self.loads.weight(service, *key, *key);
-            sum >= wanted
+            sum >= target
         };
-        (start..=to).find(heavy).unwrap_or(to)
+        (start..=to).find(reaches_target).unwrap_or(to)
     }
 
-    /// The first division of a service, neighbours in one zone.
-    pub fn divide(&self, service: &str, next_token: &mut u64) -> Vec<KeyLease> {
-        let mut workers = self.usable(service);
+    /// Returns the first leases of a service. Neighbouring ranges go to workers of the same zone.
+    pub fn first_leases(&self, service: &str, next_token: &mut u64) -> Vec<KeyLease> {
+        let mut workers = self.assignable_workers(service);
         workers.sort_by(|a, b| (&a.zone, &a.id).cmp(&(&b.zone, &b.id)));
-        let names: Vec<String> = workers.iter().map(|w| w.id.clone()).collect();
-        if names.is_empty() {
+        let worker_ids: Vec<String> = workers.iter().map(|w| w.id.clone()).collect();
+        if worker_ids.is_empty() {
             return Vec::new();
         }
-        self.cut(service, 0, KEY_SPACE - 1, &names)
+        self.split_by_load(service, 0, KEY_SPACE - 1, &worker_ids)
             .into_iter()
             .map(|(from, to, worker)| {
                 *next_token += 1;
@@ -156,55 +168,62 @@
             .collect()
     }
 
-    /// Turns ranges without a holder into ranges of the least busy workers,
-    /// and passes the others on as they are.
+    /// Assigns ranges without a holder to the least utilized workers. Other changes are passed on;
+    /// those with the placeholder token get a new one.
     pub fn assign(&self, changes: &[KeyLease], next_token: &mut u64) -> Vec<KeyLease> {
-        let mut out = Vec::new();
-        let mut given: Vec<(String, Vec<Candidate>)> = Vec::new();
-        for put in changes {
-            if !put.worker.is_empty() {
-                let mut put = put.clone();
-                if put.fencing_token == NEW_TOKEN {
-                    put.fencing_token = *next_token;
+        let mut assigned = Vec::new();
+        let mut candidates_by_service: Vec<(String, Vec<Candidate>)> = Vec::new();
+        for change in changes {
+            if !change.worker.is_empty() {
+                let mut change = change.clone();
+                if change.fencing_token == NEW_TOKEN {
+                    change.fencing_token = *next_token;
                     *next_token += 1;
                 }
-                out.push(put);
+                assigned.push(change);
                 continue;
             }
-            if !given.iter().any(|(s, _)| *s == put.service) {
-                given.push((put.service.clone(), self.candidates(&put.service)));
+            if !candidates_by_service.iter().any(|(s, _)| *s == change.service) {
+                candidates_by_service.push((change.service.clone(), self.candidates(&change.service)));
             }
-            let Some((_, candidates)) = given.iter_mut().find(|(s, _)| *s == put.service) else {
+            let Some((_, candidates)) = candidates_by_service
+                .iter_mut()
+                .find(|(s, _)| *s == change.service)
+            else {
                 continue;
             };
             if candidates.is_empty() {
-                // Nobody can take it; say so once.
-                let preceding = self.state.key_lease(&put.service, put.from);
-                if preceding.is_some_and(|h| !h.worker.is_empty()) {
-                    out.push(put.clone());
+                // No worker can take the range. Its lease is logged without a holder once only.
+                let preceding = self.state.key_lease(&change.service, change.from);
+                if preceding.is_some_and(|lease| !lease.worker.is_empty()) {
+                    assigned.push(change.clone());
                 }
                 continue;
             }
-            // The least busy workers, as many as it takes to have the room.
-            let weight = self.loads.weight(&put.service, put.from, put.to);
-            let mean = 1.0 / candidates.iter().map(|x| x.capacity).sum::<f64>();
+            // Takes the least utilized workers until their spare capacity suffices for the range.
+            let weight = self.loads.weight(&change.service, change.from, change.to);
+            let mean = 1.0 / candidates.iter().map(|candidate| candidate.capacity).sum::<f64>();
             candidates.sort_by(|a, b| a.utilization().total_cmp(&b.utilization()));
-            let mut room = 0.0;
-            let mut names = Vec::new();
-            for x in candidates.iter().take(c::MAX_SPLIT_RANGES) {
-                names.push(x.worker.id.clone());
-                room += (mean * x.capacity - x.load).max(0.0);
-                if room >= weight * 0.8 {
+            let mut spare_capacity = 0.0;
+            let mut worker_ids = Vec::new();
+            for candidate in candidates.iter().take(c::MAX_SPLIT_RANGES) {
+                worker_ids.push(candidate.worker.id.clone());
+                spare_capacity += (mean * candidate.capacity - candidate.load).max(0.0);
+                if spare_capacity >= weight * 0.8 {
                     break;
                 }
             }
-            for (from, to, worker) in self.cut(&put.service, put.from, put.to, &names) {
-                if let Some(x) = candidates.iter_mut().find(|x| x.worker.id == worker) {
-                    x.load += self.loads.weight(&put.service, from, to);
+            for (from, to, worker) in self.split_by_load(&change.service, change.from, change.to, &worker_ids)
+            {
+                if let Some(candidate) = candidates
+                    .iter_mut()
+                    .find(|candidate| candidate.worker.id == worker)
+                {
+                    candidate.load += self.loads.weight(&change.service, from, to);
                 }
-                let handover = put.handover.clone();
-                let service = put.service.clone();
-                out.push(KeyLease {
+                let handover = change.handover.clone();
+                let service = change.service.clone();
+                assigned.push(KeyLease {
                     service,
                     from,
                     to,
@@ -216,64 +235,77 @@
                 *next_token += 1;
             }
         }
-        out
+        assigned
     }
 
-    /// Steps towards equal loads: the fullest workers give up what they have
-    /// above the mean, piece by piece, as far as the leanest have room for it.
+    /// Plans moves that even out the load: the most utilized workers give up load above the mean in
+    /// steps, as far as the least utilized workers have room for it.
     pub fn rebalance(&self) -> Vec<KeyLease> {
-        let mut out = Vec::new();
+        let mut moves = Vec::new();
         for (service, table) in &self.state.key_leases {
             let mut candidates = self.candidates(service);
             if candidates.len() < 2 {
                 continue;
             }
-            let mean = candidates.iter().map(|x| x.load).sum::<f64>()
-                / candidates.iter().map(|x| x.capacity).sum::<f64>();
-            // The fewer requests a worker gets, the more its count is luck.
-            let seen = self.loads.rate(service) / candidates.len() as f64 * c::KEY_LOAD_WINDOW_S;
-            let above = c::OVERLOADED_ABOVE.max(1.0 + c::KEY_LOAD_DEVIATIONS / seen.max(1.0).sqrt());
-            // What the workers keep once the pieces planned so far are gone.
-            let whole = table.values().filter(|h| !h.revoking);
-            let mut kept: Vec<KeyLease> = whole.map(|h| (**h).clone()).collect();
-            let under_way = table.len() - kept.len();
-            let most = c::REBALANCE_MIN_MOVES.max(candidates.len() / c::REBALANCE_WORKERS_PER_MOVE);
-            let moves = out.len() + most.saturating_sub(under_way);
-            while out.len() < moves {
+            let mean = candidates.iter().map(|candidate| candidate.load).sum::<f64>()
+                / candidates.iter().map(|candidate| candidate.capacity).sum::<f64>();
+            // The fewer requests a worker gets, the larger is the random deviation of its count.
+            let requests_per_worker =
+                self.loads.rate(service) / candidates.len() as f64 * c::KEY_LOAD_WINDOW_S;
+            let overload_ratio =
+                c::OVERLOADED_ABOVE.max(1.0 + c::KEY_LOAD_DEVIATIONS / requests_per_worker.max(1.0).sqrt());
+            // Ranges that remain with their workers after the moves planned so far.
+            let unrevoked = table.values().filter(|lease| !lease.revoking);
+            let mut remaining: Vec<KeyLease> = unrevoked.map(|lease| (**lease).clone()).collect();
+            let pending_moves = table.len() - remaining.len();
+            let max_moves = c::REBALANCE_MIN_MOVES.max(candidates.len() / c::REBALANCE_WORKERS_PER_MOVE);
+            let move_limit = moves.len() + max_moves.saturating_sub(pending_moves);
+            while moves.len() < move_limit {
                 candidates.sort_by(|a, b| a.utilization().total_cmp(&b.utilization()));
-                let (Some(lean), Some(full)) = (candidates.first(), candidates.last()) else {
+                let (Some(least_utilized), Some(most_utilized)) = (candidates.first(), candidates.last())
+                else {
                     break;
                 };
-                let hot = self.loads.known(service) && full.utilization() > mean * above;
-                if !hot && lean.utilization() >= mean * c::UNDERLOADED_BELOW || full.utilization() <= mean {
+                let is_overloaded = self.loads.has_enough_samples(service)
+                    && most_utilized.utilization() > mean * overload_ratio;
+                if !is_overloaded && least_utilized.utilization() >= mean * c::UNDERLOADED_BELOW
+                    || most_utilized.utilization() <= mean
+                {
                     break;
                 }
-                let room = (mean - lean.utilization()) * lean.capacity;
-                let amount = ((full.utilization() - mean) * full.capacity).min(room);
-                let amount = if hot { amount } else { amount.max(room * 0.5) };
-                let mine = kept.iter().filter(|h| h.worker == full.worker.id);
-                let pieces = mine.filter_map(|h| self.piece(h, amount));
-                let Some((piece, weight)) = pieces.max_by(|a, b| a.1.total_cmp(&b.1)) else {
-                    // One key cannot be divided; others may still have too much.
+                let spare_load = (mean - least_utilized.utilization()) * least_utilized.capacity;
+                let amount = ((most_utilized.utilization() - mean) * most_utilized.capacity).min(spare_load);
+                let amount = if is_overloaded {
+                    amount
+                } else {
+                    amount.max(spare_load * 0.5)
+                };
+                let own_leases = remaining
+                    .iter()
+                    .filter(|lease| lease.worker == most_utilized.worker.id);
+                let subranges = own_leases.filter_map(|lease| self.end_subrange(lease, amount));
+                let Some((subrange, weight)) = subranges.max_by(|a, b| a.1.total_cmp(&b.1)) else {
+                    // A single key cannot be split; other workers may still have too much load.
                     candidates.pop();
                     continue;
                 };
-                cut_away(&mut kept, &piece);
-                out.push(piece);
+                remove_subrange(&mut remaining, &subrange);
+                moves.push(subrange);
                 let last = candidates.len() - 1;
                 candidates[0].load += weight;
                 candidates[last].load -= weight;
             }
         }
-        out
+        moves
     }
 
-    /// A piece at an end of a holding that weighs at most about the amount.
-    fn piece(&self, h: &KeyLease, amount: f64) -> Option<(KeyLease, f64)> {
-        let walk = |keys: &mut dyn Iterator<Item = u32>| {
+    /// Returns a subrange at one end of a lease, marked for revocation, and its load, which is at
+    /// most about `amount` (20 % more). Returns `None` if the single key at each end has more.
+    fn end_subrange(&self, lease: &KeyLease, amount: f64) -> Option<(KeyLease, f64)> {
+        let take_keys = |keys: &mut dyn Iterator<Item = u32>| {
             let (mut sum, mut end) = (0.0, None);
             for key in keys {
-                let weight = self.loads.weight(&h.service, key, key);
+                let weight = self.loads.weight(&lease.service, key, key);
                 if sum + weight > amount * 1.2 {
                     break;
                 }
@@ -285,33 +317,34 @@
             }
             end.map(|key| (key, sum))
         };
-        let up = walk(&mut (h.from..=h.to));
-        let down = walk(&mut (h.from..=h.to).rev());
-        let piece = |from, to| KeyLease {
+        let from_start = take_keys(&mut (lease.from..=lease.to));
+        let from_end = take_keys(&mut (lease.from..=lease.to).rev());
+        let subrange = |from, to| KeyLease {
             from,
             to,
             revoking: true,
-            ..h.clone()
+            ..lease.clone()
         };
-        match (up, down) {
-            (Some((b, u)), d) if d.is_none_or(|(_, d)| u >= d) => Some((piece(h.from, b), u)),
-            (_, Some((b, d))) => Some((piece(b, h.to), d)),
+        match (from_start, from_end) {
+            (Some((b, u)), d) if d.is_none_or(|(_, d)| u >= d) => Some((subrange(lease.from, b), u)),
+            (_, Some((b, d))) => Some((subrange(b, lease.to), d)),
             _ => None,
         }
     }
 }
 
-/// Takes a piece off the end of the holding that it is part of.
-fn cut_away(kept: &mut Vec<KeyLease>, piece: &KeyLease) {
-    for h in kept
-        .iter_mut()
-        .filter(|h| h.fencing_token == piece.fencing_token && h.from <= piece.from && h.to >= piece.to)
-    {
-        if h.from == piece.from {
-            h.from = piece.to + 1;
+/// Removes a subrange from the end of the lease that contains it.
+fn remove_subrange(remaining: &mut Vec<KeyLease>, subrange: &KeyLease) {
+    for lease in remaining.iter_mut().filter(|lease| {
+        lease.fencing_token == subrange.fencing_token
+            && lease.from <= subrange.from
+            && lease.to >= subrange.to
+    }) {
+        if lease.from == subrange.from {
+            lease.from = subrange.to + 1;
         } else {
-            h.to = piece.from - 1;
+            lease.to = subrange.from - 1;
         }
     }
-    kept.retain(|h| h.from <= h.to);
+    remaining.retain(|lease| lease.from <= lease.to);
 }
--- a/crates/key-ownership/src/calls.rs
+++ b/crates/key-ownership/src/calls.rs
@@ -1,8 +1,8 @@
-//! The calls to workers that ownership asks for, and how they end.
+//! Calls to workers that the ownership manager requests, and their results.
 
 use protocol::KeyLease;
 
-/// Gives a worker keys, or renews its lease of them.
+/// A call that grants a worker a key lease, or renews it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GrantCall {
     /// Tells the call from all others of this process.
@@ -11,11 +11,11 @@
     pub address: String,
     /// The range, its worker and its fencing token.
     pub lease: KeyLease,
-    /// How long the lease lasts from when the worker takes it, ms.
+    /// Duration of the lease from when the worker receives it, in milliseconds.
     pub lease_ms: u64,
 }
 
-/// Asks a worker to give keys back.
+/// A call that asks a worker to release a key range.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReleaseCall {
     /// Tells the call from all others of this process.
@@ -26,10 +26,12 @@
     pub lease: KeyLease,
 }
 
-/// What the leader is to do.
+/// An action that the leader is to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Put these leases into the log; `OwnershipManager::on_logged` says how that went.
+    /// Append these leases to the log, then call
+    /// [`OwnershipManager::on_logged`](crate::OwnershipManager::on_logged), whether that succeeded
+    /// or failed.
     Log(Vec<KeyLease>),
     /// Call a worker.
     Grant(GrantCall),
@@ -37,24 +39,24 @@
     Release(ReleaseCall),
 }
 
-/// How a grant ended.
+/// Result of a grant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum GrantResult {
-    /// The worker has the lease.
+    /// The worker accepted the lease.
     Accepted,
-    /// The worker has seen a higher fencing token.
+    /// The worker refused the lease because it has seen a higher fencing token.
     Fenced,
-    /// No byte of the call was sent.
+    /// The call failed before any byte of it was sent.
     NotSent,
-    /// It may have arrived.
+    /// The result is unknown: the call may have reached the worker.
     Unknown,
 }
 
-/// How a release ended.
+/// Result of a release.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReleaseResult {
-    /// The worker has let go, and hands this over to the next one.
+    /// The worker released the range. The text is the handover for the next holder.
     Released(String),
-    /// It has not, or is not known to.
+    /// The worker did not release the range, or the result is unknown.
     Failed,
 }
--- a/crates/key-ownership/src/expiry.rs
+++ b/crates/key-ownership/src/expiry.rs
@@ -1,53 +1,60 @@
-//! When leases have certainly ended, whatever became of the calls that granted them.
+//! Upper bounds on when leases expire, whatever the results of the calls that granted them.
 
 use config::constants as c;
 
-/// By when a grant has arrived or never will, from when it is made, ms: it is given up after
-/// its timeout, and what has been sent by then ends with its connection.
-pub(crate) const LATEST_ARRIVAL_MS: u64 = c::GRANT_TIMEOUT_MS + GIVEN_UP_ARRIVAL_MS;
-/// The same for a grant that was given up, from then, ms.
-pub(crate) const GIVEN_UP_ARRIVAL_MS: u64 = c::WORKER_USER_TIMEOUT_MS + 4 * c::DEFAULT_RTT_MS as u64;
-
-/// When the leases under a fencing token must have ended, as far as calls that are over go, and
-/// until when one of unknown end may still arrive, ms.
+/// Time from the start of a grant call until it has reached the worker or never will, in
+/// milliseconds. The call is abandoned after its timeout; data sent by then arrives or is dropped
+/// when its connection ends.
+pub(crate) const LATEST_ARRIVAL_MS: u64 = c::GRANT_TIMEOUT_MS + ABANDONED_ARRIVAL_MS;
+/// Time from when a grant call was abandoned until it has reached the worker or never will, in
+/// milliseconds.
+pub(crate) const ABANDONED_ARRIVAL_MS: u64 = c::WORKER_USER_TIMEOUT_MS + 4 * c::DEFAULT_RTT_MS as u64;
+
+/// Expiry bounds of the leases under a fencing token, from the calls that have completed. `end` is
+/// the time by which all of them have expired; `settled_at` is the time until which a grant with
+/// unknown result may still arrive. Both are in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Expiry {
     pub(crate) end: u64,
-    pub(crate) settled: u64,
+    pub(crate) settled_at: u64,
 }
 
-/// How long leases last.
+/// Lease durations.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LeaseTimes {
-    /// An ordinary lease, ms.
+    /// Duration of an ordinary lease, in milliseconds.
     pub(crate) lease_ms: u64,
-    /// The last one before a range is revoked, so that what runs may end, ms.
+    /// Duration of the final lease before a range is revoked, in milliseconds. It lets requests in
+    /// progress complete.
     pub(crate) final_ms: u64,
-    /// A worker that stood still may take a grant so much later, ms.
-    thaw_ms: u64,
+    /// Delay with which a worker that was suspended may accept a grant, in milliseconds.
+    resume_delay_ms: u64,
 }
 
 impl LeaseTimes {
-    /// Times inside what the deployment allows.
-    pub(crate) fn new(most_ms: u64, thaw_ms: u64) -> LeaseTimes {
+    /// Returns the lease durations, limited to `max_lease_ms`, the longest lease that the
+    /// deployment allows.
+    pub(crate) fn new(max_lease_ms: u64, resume_delay_ms: u64) -> LeaseTimes {
         LeaseTimes {
-            lease_ms: c::KEY_LEASE_MS.min(most_ms),
-            final_ms: c::FINAL_KEY_LEASE_MS.min(most_ms),
-            thaw_ms,
+            lease_ms: c::KEY_LEASE_MS.min(max_lease_ms),
+            final_ms: c::FINAL_KEY_LEASE_MS.min(max_lease_ms),
+            resume_delay_ms,
         }
     }
 
-    /// The latest end of an ordinary lease that arrives at `arrival` ms.
+    /// Returns the latest time at which an ordinary lease that arrives at `arrival` expires, in
+    /// milliseconds.
     pub(crate) fn end(&self, arrival: u64) -> u64 {
-        self.end_of(arrival, self.lease_ms)
+        self.latest_end(arrival, self.lease_ms)
     }
 
-    /// The latest end of a final lease that arrives at `arrival` ms.
+    /// Returns the latest time at which a final lease that arrives at `arrival` expires, in
+    /// milliseconds.
     pub(crate) fn final_end(&self, arrival: u64) -> u64 {
-        self.end_of(arrival, self.final_ms)
+        self.latest_end(arrival, self.final_ms)
     }
 
-    fn end_of(&self, arrival: u64, lease_ms: u64) -> u64 {
-        arrival + (lease_ms as f64 * c::LEASE_CLOCK_FACTOR).ceil() as u64 + self.thaw_ms
+    fn latest_end(&self, arrival: u64, lease_ms: u64) -> u64 {
+        arrival + (lease_ms as f64 * c::LEASE_CLOCK_FACTOR).ceil() as u64 + self.resume_delay_ms
     }
 }
--- a/crates/key-ownership/src/lib.rs
+++ b/crates/key-ownership/src/lib.rs
@@ -1,10 +1,12 @@
-//! Ownership of keys: contiguous ranges, each leased to one worker at a time under a fencing
-//! token from the log, with renewals, hand-over by release, and the wait for a holder that fell
-//! silent (C. Gray, D. Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed
-//! File Cache Consistency").
+//! Ownership of keys. Each service's keys are divided into contiguous ranges, each leased to one
+//! worker at a time under a fencing token from the log. This crate renews leases, hands ranges over
+//! after a release, and waits for the lease of an unresponsive holder to expire (C. Gray, D.
+//! Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache
+//! Consistency").
 //!
-//! [`OwnershipManager`] is a pure state machine. It runs on the leader while that holds its own
-//! lease; who holds what is in the control state, and is logged before it is granted.
+//! [`OwnershipManager`] is a state machine without I/O. It runs on the leader while the leader
+//! holds its own lease. The holder of each range is in the control state and is logged before the
+//! range is granted.
 
 mod assignment;
 mod calls;
--- a/crates/key-ownership/src/manager.rs
+++ b/crates/key-ownership/src/manager.rs
@@ -1,20 +1,20 @@
-//! The state of ownership on the leader, and how calls change it.
+//! Ownership state on the leader, and how the results of calls change it.
 
 mod round;
 
 use crate::calls::{GrantCall, GrantResult, ReleaseCall, ReleaseResult};
-use crate::expiry::{Expiry, LeaseTimes, GIVEN_UP_ARRIVAL_MS, LATEST_ARRIVAL_MS};
+use crate::expiry::{Expiry, LeaseTimes, ABANDONED_ARRIVAL_MS, LATEST_ARRIVAL_MS};
 use crate::load::Loads;
 use config::constants as c;
 use control_state::ControlState;
 use protocol::{KeyCounts, KeyLease, WorkerStats};
 use std::collections::{BTreeMap, HashSet};
 
-/// Renewals of different fencing tokens are spread over a part of the interval, in so many
-/// steps: not all are due together.
+/// Number of steps over which renewals of different fencing tokens are spread within an interval,
+/// so that they are not all due at once.
 const RENEWAL_STEPS: u64 = 16;
 
-/// A range of a service under a fencing token.
+/// Identifies a range of a service under a fencing token.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RangeKey {
     service: String,
@@ -32,88 +32,91 @@
     }
 }
 
-/// What the leader knows of a range beside its lease.
+/// The leader's state of a range, in addition to its lease.
 #[derive(Clone, Debug, Default)]
 struct RangeState {
-    /// The number of the pending call: an answer to any other is too late.
+    /// Number of the pending call. A response to any other call is ignored.
     call: Option<u64>,
     next_grant_at: u64,
-    /// When a release that failed is tried again.
+    /// Time after which a failed release is retried, in milliseconds.
     retry_release_at: u64,
-    /// The worker has seen a higher fencing token: to be granted under a new one.
+    /// The worker has seen a higher fencing token, so the range must be granted under a new one.
     is_fenced: bool,
-    /// Grants in a row that were not answered.
+    /// Number of consecutive grants without a response.
     failures: u32,
-    /// The first and last key of the pending grant.
+    /// First and last key of the pending grant.
     sent_range: (u32, u32),
-    /// When the lease of the pending grant must have ended if it arrives as late as it can.
+    /// Time by which the lease of the pending grant has expired even if the grant arrives as late
+    /// as possible, in milliseconds.
     pending_expiry: u64,
-    /// The holder has let go, and handed this over.
+    /// The handover text of the holder, once it has released the range.
     released: Option<String>,
-    /// Its last grant before it lets go was made, so that what runs may end.
+    /// Whether the final grant was made, which lets requests in progress complete before the
+    /// release.
     is_final_granted: bool,
-    /// When that lease must have ended.
+    /// Time by which the lease of the final grant has expired, in milliseconds.
     final_expiry: u64,
 }
 
-/// Ranges of the leaders before.
+/// State of ranges that earlier leaders granted.
 #[derive(Clone, Default)]
 struct Inherited {
-    /// Of everything that earlier leaders granted.
+    /// Expiry bounds that hold for every lease granted by earlier leaders.
     expiry: Expiry,
     highest_token: u64,
-    /// Ranges that were being revoked when this leader began, by token and first key: they may
-    /// have had their last, longer grant.
+    /// Ranges that were being revoked when this leader took over, by token and first key. They may
+    /// have been given their final, longer grant.
     revoking: HashSet<(u64, u32)>,
 }
 
-/// How much longer a worker warms up.
+/// The announced warm-up of a worker.
 #[derive(Clone, Copy, Default)]
 struct Warmup {
-    /// The index of the log at which that was told.
+    /// Log index at which the warm-up was announced.
     index: u64,
     until: u64,
 }
 
-/// Decides who holds which keys, and when to call whom.
+/// Decides which worker holds which keys, and when to call which worker.
 #[derive(Clone)]
 pub struct OwnershipManager {
-    /// The longest lease that the deployment allows, ms.
-    most_lease_ms: u64,
-    thaw_ms: u64,
+    /// Longest lease that the deployment allows, in milliseconds.
+    max_lease_ms: u64,
+    resume_delay_ms: u64,
     times: LeaseTimes,
     ranges: BTreeMap<RangeKey, RangeState>,
-    /// Calls made by this process; their numbers are never used again.
-    calls: u64,
+    /// Number of calls made by this process. Call numbers are never reused.
+    calls_made: u64,
     unmatched_answers: u64,
-    /// By fencing token.
+    /// Expiry bounds by fencing token.
     expiries: BTreeMap<u64, Expiry>,
     inherited: Inherited,
-    awaits_log: bool,
-    /// Workers that warm up, by identifier.
+    is_log_pending: bool,
+    /// Workers that are warming up, by identifier.
     warming: BTreeMap<String, Warmup>,
-    /// Workers that answered no grant, and until when they get no keys.
+    /// Workers that did not respond to grants, and the time until which they are given no keys, in
+    /// milliseconds.
     avoided_until: BTreeMap<String, u64>,
     loads: Loads,
     renewal_interval_ms: u64,
-    /// Loads were counted since their balance was last checked.
+    /// Whether a counting period has closed since the balance was last checked.
     has_new_loads: bool,
 }
 
 impl OwnershipManager {
-    /// Ownership in a deployment where leases last `most_lease_ms` at the most, and a worker
-    /// that stood still takes a grant up to `thaw_ms` late.
-    pub fn new(most_lease_ms: u64, thaw_ms: u64) -> OwnershipManager {
+    /// Creates the manager for a deployment in which leases last at most `max_lease_ms`, and a
+    /// worker that was suspended may accept a grant up to `resume_delay_ms` late.
+    pub fn new(max_lease_ms: u64, resume_delay_ms: u64) -> OwnershipManager {
         OwnershipManager {
-            most_lease_ms,
-            thaw_ms,
-            times: LeaseTimes::new(most_lease_ms, thaw_ms),
+            max_lease_ms,
+            resume_delay_ms,
+            times: LeaseTimes::new(max_lease_ms, resume_delay_ms),
             ranges: BTreeMap::new(),
-            calls: 0,
+            calls_made: 0,
             unmatched_answers: 0,
             expiries: BTreeMap::new(),
             inherited: Inherited::default(),
-            awaits_log: false,
+            is_log_pending: false,
             warming: BTreeMap::new(),
             avoided_until: BTreeMap::new(),
             loads: Loads::default(),
@@ -122,49 +125,50 @@
         }
     }
 
-    /// This node leads from now on: what earlier leaders granted may have arrived as late as
-    /// now, and what they sent may still be under way.
+    /// Starts a new leadership of this node. Grants of earlier leaders may have arrived as late as
+    /// now, and calls they sent may still be in flight.
     pub fn begin(&mut self, now: u64, state: &ControlState) {
-        let settled = now + LATEST_ARRIVAL_MS;
+        let settled_at = now + LATEST_ARRIVAL_MS;
         let leases = state.key_leases.values().flat_map(|t| t.values());
         let revoking = leases.filter(|l| l.revoking);
         let inherited = Inherited {
             expiry: Expiry {
-                end: self.times.end(settled),
-                settled,
+                end: self.times.end(settled_at),
+                settled_at,
             },
             highest_token: state.highest_fencing_token(),
             revoking: revoking.map(|l| (l.fencing_token, l.from)).collect(),
         };
         *self = OwnershipManager {
             loads: std::mem::take(&mut self.loads),
-            calls: self.calls,
+            calls_made: self.calls_made,
             unmatched_answers: self.unmatched_answers,
             inherited,
-            ..OwnershipManager::new(self.most_lease_ms, self.thaw_ms)
+            ..OwnershipManager::new(self.max_lease_ms, self.resume_delay_ms)
         };
     }
 
-    /// Adds what a node has counted.
+    /// Adds a node's counts of requests by key and of outcomes by worker.
     pub fn add_loads(&mut self, keys: &[KeyCounts], workers: &[WorkerStats]) {
         self.loads.add(keys, workers);
     }
 
-    /// The last `Action::Log` is in the log and applied, or has failed.
+    /// Notes that the entry of the last [`Action::Log`](crate::Action::Log) has been applied, or
+    /// has failed.
     pub fn on_logged(&mut self) {
-        self.awaits_log = false;
+        self.is_log_pending = false;
     }
 
-    /// A grant has ended; one that nobody waits for any more changes nothing.
+    /// Handles the result of a grant. A result that belongs to no pending call changes nothing.
     pub fn on_grant_result(&mut self, now: u64, call: &GrantCall, result: GrantResult) {
         let lease = &call.lease;
         let interval_ms = self.renewal_interval_ms;
         let final_end = self.times.final_end(now);
-        let Some(range) = self.waiting_range(lease, call.number) else {
+        let Some(range) = self.pending_range(lease, call.number) else {
             return;
         };
         if result == GrantResult::Accepted {
-            // A last grant that is answered has arrived by now; there is but one.
+            // A final grant that the worker answered has arrived by now, and only one is made.
             range.final_expiry = range.final_expiry.min(final_end);
         }
         let was_not_taken = matches!(result, GrantResult::NotSent | GrantResult::Fenced);
@@ -185,26 +189,26 @@
             let until = now + c::HOLDER_AVOID_MS;
             self.avoided_until.insert(lease.worker.clone(), until);
         }
-        self.note_expiry(now, lease.fencing_token, result);
+        self.record_expiry(now, lease.fencing_token, result);
     }
 
-    fn note_expiry(&mut self, now: u64, token: u64, result: GrantResult) {
+    fn record_expiry(&mut self, now: u64, token: u64, result: GrantResult) {
         let mut expiry = self.expiry(token);
         match result {
-            // It arrived by now; one before it may still.
-            GrantResult::Accepted => expiry.end = self.times.end(now.max(expiry.settled)),
+            // This grant has arrived by now, but an earlier one may still arrive.
+            GrantResult::Accepted => expiry.end = self.times.end(now.max(expiry.settled_at)),
             GrantResult::NotSent | GrantResult::Fenced => {}
             GrantResult::Unknown => {
-                expiry.settled = expiry.settled.max(now + GIVEN_UP_ARRIVAL_MS);
-                expiry.end = expiry.end.max(self.times.end(expiry.settled));
+                expiry.settled_at = expiry.settled_at.max(now + ABANDONED_ARRIVAL_MS);
+                expiry.end = expiry.end.max(self.times.end(expiry.settled_at));
             }
         }
         self.expiries.insert(token, expiry);
     }
 
-    /// A release has ended; the next [`OwnershipManager::tick`] goes on from there.
+    /// Handles the result of a release. The next [`OwnershipManager::tick`] acts on it.
     pub fn on_release_result(&mut self, now: u64, call: &ReleaseCall, result: ReleaseResult) {
-        let Some(range) = self.waiting_range(&call.lease, call.number) else {
+        let Some(range) = self.pending_range(&call.lease, call.number) else {
             return;
         };
         range.call = None;
@@ -214,7 +218,7 @@
         }
     }
 
-    /// When all leases under a fencing token have certainly ended, ms.
+    /// Returns the time by which all leases under a fencing token have expired, in milliseconds.
     pub fn expires_by(&self, token: u64) -> u64 {
         let ranges = self.ranges.iter();
         let pending = ranges.filter(|(key, range)| key.token == token && range.call.is_some());
@@ -222,15 +226,17 @@
         expiries.fold(self.expiry(token).end, u64::max)
     }
 
-    /// Answers that belonged to no pending call: of an earlier leadership, or second ones.
+    /// Returns the number of results that belonged to no pending call: those of an earlier
+    /// leadership, and duplicates.
     pub fn unmatched_answers(&self) -> u64 {
         self.unmatched_answers
     }
 
-    /// The range of a call, if it waits for just this one.
-    fn waiting_range(&mut self, lease: &KeyLease, number: u64) -> Option<&mut RangeState> {
+    /// Returns the range that waits for the result of this call. Counts the result as unmatched if
+    /// there is none.
+    fn pending_range(&mut self, lease: &KeyLease, number: u64) -> Option<&mut RangeState> {
         let range = self.ranges.get_mut(&RangeKey::of(lease));
-        let range = range.filter(|r| r.call == Some(number));
+        let range = range.filter(|state| state.call == Some(number));
         if range.is_none() {
             self.unmatched_answers += 1;
         }
@@ -245,20 +251,22 @@
         }
     }
 
-    /// When the lease of a range has certainly ended, its last grant included, as far as calls
-    /// that are over go.
+    /// Returns the time by which the lease of a range has expired, in milliseconds. It covers
+    /// completed calls and a final grant that an earlier leader may have made, but not the pending
+    /// call.
     fn range_expiry(&self, lease: &KeyLease) -> u64 {
         let end = self.expiry(lease.fencing_token).end;
         let key = (lease.fencing_token, lease.from);
         if self.inherited.revoking.contains(&key) {
-            end.max(self.times.final_end(self.inherited.expiry.settled))
+            end.max(self.times.final_end(self.inherited.expiry.settled_at))
         } else {
             end
         }
     }
 }
 
-/// How much earlier than others a token is renewed: tokens in turn come due in turn.
+/// Returns how much earlier than the interval a token is renewed, in milliseconds. Consecutive
+/// tokens get different offsets.
 fn renewal_offset(interval_ms: u64, token: u64) -> u64 {
     interval_ms / 4 * (token % RENEWAL_STEPS) / RENEWAL_STEPS
 }
--- a/crates/key-ownership/src/manager/round.rs
+++ b/crates/key-ownership/src/manager/round.rs
@@ -1,4 +1,4 @@
-//! One round of ownership: what to grant, to revoke and to log.
+//! One round of ownership decisions: which ranges to grant, to revoke and to log.
 
 use super::{OwnershipManager, RangeKey, RangeState, Warmup};
 use crate::assignment::{Assignment, NEW_TOKEN};
@@ -10,37 +10,38 @@
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
 
-/// Grants that are made in one round at least.
+/// Minimum number of grants allowed in one round.
 const MIN_GRANTS: usize = 8;
 
-/// A grant that is due.
+/// A grant call and the time since which it is due, in milliseconds.
 struct DueGrant {
     due_at: u64,
     call: GrantCall,
 }
 
-/// What a round has come to so far.
+/// Decisions of a round so far.
 #[derive(Default)]
 struct Round {
     actions: Vec<Action>,
     grants: Vec<DueGrant>,
-    /// Leases that are to change; those without a worker are to be assigned.
+    /// Leases to be changed. Those without a worker are still to be assigned to one.
     changes: Vec<KeyLease>,
 }
 
-/// The calls that were pending when the round began.
+/// Calls that were pending when the round began.
 #[derive(Default)]
 struct PendingCalls {
-    /// Ranges as they were when the call was made, which may be more than the lease is now.
+    /// Token and range of each pending call. The range is the one that was sent, which may be
+    /// larger than the current lease.
     ranges: Vec<(u64, (u32, u32))>,
-    /// Latest expiry by fencing token: pieces of one range share it.
+    /// Latest expiry by fencing token, since subranges of one split range share a token.
     expiries: BTreeMap<u64, u64>,
 }
 
 impl PendingCalls {
     fn of(ranges: &BTreeMap<RangeKey, RangeState>) -> PendingCalls {
         let mut pending = PendingCalls::default();
-        for (key, range) in ranges.iter().filter(|(_, r)| r.call.is_some()) {
+        for (key, range) in ranges.iter().filter(|(_, range)| range.call.is_some()) {
             pending.ranges.push((key.token, range.sent_range));
             let expiry = pending.expiries.entry(key.token).or_default();
             *expiry = range.pending_expiry.max(*expiry);
@@ -59,7 +60,7 @@
     }
 }
 
-/// A lease that its worker no longer holds.
+/// Returns a lease without its holder.
 fn without_holder(lease: &KeyLease) -> KeyLease {
     KeyLease {
         worker: String::new(),
@@ -69,30 +70,30 @@
 }
 
 impl OwnershipManager {
-    /// Looks at who holds what and says what to do.
+    /// Checks all leases and returns the actions to carry out.
     pub fn tick(&mut self, now: u64, state: &ControlState) -> Vec<Action> {
         if state.configuration.is_none() {
             return Vec::new();
         }
-        self.note_warming(now, state);
+        self.record_warmups(now, state);
         self.has_new_loads |= self.loads.close_period(now);
         let tables = state.key_leases.values();
         let leases: Vec<Arc<KeyLease>> = tables.flat_map(|t| t.values().cloned()).collect();
-        self.forget_gone(&leases, state.highest_fencing_token());
+        self.remove_stale_state(&leases, state.highest_fencing_token());
         let pending = PendingCalls::of(&self.ranges);
         let mut round = Round::default();
         for lease in &leases {
             self.check_lease(now, state, lease, &pending, &mut round);
         }
         self.make_due_grants(now, leases.len(), &mut round);
-        if !self.awaits_log {
+        if !self.is_log_pending {
             self.log_changes(now, state, &mut round);
         }
         round.actions
     }
 
-    /// Remembers how long workers warm up, from when that was told.
-    fn note_warming(&mut self, now: u64, state: &ControlState) {
+    /// Records the end of each worker's warm-up, counted from when it was announced.
+    fn record_warmups(&mut self, now: u64, state: &ControlState) {
         let is_warming = |id: &String| state.workers.get(id).is_some_and(|w| w.warmup_ms > 0);
         self.warming.retain(|id, _| is_warming(id));
         for worker in state.workers.values().filter(|w| w.warmup_ms > 0) {
@@ -106,18 +107,18 @@
         }
     }
 
-    /// Drops what is known of ranges that are no more; tokens above the highest are still to be
-    /// logged. With hundreds of holders, checking each against every other would take the leader
-    /// longer than the renewals.
-    fn forget_gone(&mut self, leases: &[Arc<KeyLease>], highest_token: u64) {
-        let held: HashSet<(&str, u32, u64)> = leases
+    /// Drops the state of ranges that no longer exist. Tokens above the highest logged one are
+    /// kept, since they are still to be logged. Sets are used because with hundreds of holders,
+    /// comparing each range with every lease would take the leader longer than the renewals.
+    fn remove_stale_state(&mut self, leases: &[Arc<KeyLease>], highest_token: u64) {
+        let current: HashSet<(&str, u32, u64)> = leases
             .iter()
-            .map(|l| (l.service.as_str(), l.from, l.fencing_token))
+            .map(|lease| (lease.service.as_str(), lease.from, lease.fencing_token))
             .collect();
         self.ranges.retain(|key, range| {
-            range.call.is_some() || held.contains(&(key.service.as_str(), key.from, key.token))
+            range.call.is_some() || current.contains(&(key.service.as_str(), key.from, key.token))
         });
-        let tokens: HashSet<u64> = leases.iter().map(|l| l.fencing_token).collect();
+        let tokens: HashSet<u64> = leases.iter().map(|lease| lease.fencing_token).collect();
         self.expiries
             .retain(|token, _| *token > highest_token || tokens.contains(token));
     }
@@ -139,8 +140,8 @@
         }
         let listed = state.workers.get(&lease.worker);
         let Some(worker) = listed.filter(|_| state.is_partitioned(&lease.service)) else {
-            // Nobody is left to call, but that does not end the lease: a worker that the list
-            // leaves out may run.
+            // There is no listed worker to call, but that does not end the lease: a worker that the
+            // list omits may still run.
             round.changes.extend(self.freed(now, lease, pending));
             return;
         };
@@ -177,7 +178,7 @@
         }
     }
 
-    /// One step of taking a range back: mark it, have it released, free it.
+    /// Performs one step of revoking a range: mark it, request its release, and free it.
     fn revoke(
         &mut self,
         now: u64,
@@ -198,15 +199,15 @@
             round.changes.push(freed);
             return;
         }
-        let is_settled = self.expiry(lease.fencing_token).settled <= now;
+        let is_settled = self.expiry(lease.fencing_token).settled_at <= now;
         if is_settled && !pending.overlaps(lease) {
             let is_ejected = state.ejected.contains(&worker.id);
-            let action = self.take_back(now, lease, worker, is_ejected);
+            let action = self.revocation_call(now, lease, worker, is_ejected);
             round.actions.extend(action);
         }
     }
 
-    /// The lease without its holder, once that has let go or its lease has certainly ended.
+    /// Returns the lease without its holder if the holder has released it or the lease has expired.
     fn freed(&self, now: u64, lease: &KeyLease, pending: &PendingCalls) -> Option<KeyLease> {
         let range = self.ranges.get(&RangeKey::of(lease))?;
         let expiry = self.range_expiry(lease).max(pending.expiry(lease.fencing_token));
@@ -217,19 +218,25 @@
         })
     }
 
-    /// The call that takes a range back: first a last, longer grant, so that what runs may go
-    /// on until its end; then the release.
-    fn take_back(&mut self, now: u64, lease: &KeyLease, worker: &Worker, is_ejected: bool) -> Option<Action> {
+    /// Returns the next call for revoking a range: first a final, longer grant, so that requests in
+    /// progress can complete; then the release.
+    fn revocation_call(
+        &mut self,
+        now: u64,
+        lease: &KeyLease,
+        worker: &Worker,
+        is_ejected: bool,
+    ) -> Option<Action> {
         let times = self.times;
         let range = self.ranges.get_mut(&RangeKey::of(lease))?;
-        self.calls += 1;
-        let number = self.calls;
+        self.calls_made += 1;
+        let number = self.calls_made;
         range.call = Some(number);
-        // Who has left grants unanswered is let run out instead.
-        let is_well = range.failures == 0 && !is_ejected;
+        // No final grant goes to a worker that left grants unanswered or is ejected.
+        let is_responsive = range.failures == 0 && !is_ejected;
         let address = worker.address.clone();
         let lease = lease.clone();
-        if !range.is_final_granted && is_well && times.final_ms > times.lease_ms {
+        if !range.is_final_granted && is_responsive && times.final_ms > times.lease_ms {
             range.is_final_granted = true;
             range.final_expiry = times.final_end(now + LATEST_ARRIVAL_MS);
             range.sent_range = (lease.from, lease.to);
@@ -249,19 +256,19 @@
         }))
     }
 
-    /// Makes a part of the grants that are due, the most urgent first: all at once, hundreds of
-    /// calls would hold up the heartbeats.
-    fn make_due_grants(&mut self, now: u64, leases: usize, round: &mut Round) {
-        let interval_ms = leases as u64 * 1000 / c::MAX_GRANTS_PER_S;
+    /// Makes some of the grants that are due, the most urgent first. Hundreds of calls at once
+    /// would delay the heartbeats.
+    fn make_due_grants(&mut self, now: u64, lease_count: usize, round: &mut Round) {
+        let interval_ms = lease_count as u64 * 1000 / c::MAX_GRANTS_PER_S;
         self.renewal_interval_ms =
             interval_ms.clamp(c::KEY_RENEWAL_INTERVAL_MS, c::KEY_RENEWAL_MAX_INTERVAL_MS);
-        let checks = self.renewal_interval_ms as usize;
-        let most = MIN_GRANTS + leases * 2 * c::KEY_CHECK_INTERVAL_MS as usize / checks;
+        let renewal_ms = self.renewal_interval_ms as usize;
+        let max_grants = MIN_GRANTS + lease_count * 2 * c::KEY_CHECK_INTERVAL_MS as usize / renewal_ms;
         let pending_expiry = self.times.end(now + LATEST_ARRIVAL_MS);
         round.grants.sort_by_key(|g| g.due_at);
-        for DueGrant { mut call, .. } in round.grants.drain(..).take(most) {
-            self.calls += 1;
-            call.number = self.calls;
+        for DueGrant { mut call, .. } in round.grants.drain(..).take(max_grants) {
+            self.calls_made += 1;
+            call.number = self.calls_made;
             if let Some(range) = self.ranges.get_mut(&RangeKey::of(&call.lease)) {
                 range.call = Some(call.number);
                 range.sent_range = (call.lease.from, call.lease.to);
@@ -271,51 +278,54 @@
         }
     }
 
-    /// Assigns what has no holder, divides new services, and evens out the loads.
+    /// Assigns ranges without a holder, creates the first leases of new services, and rebalances
+    /// the load.
     fn log_changes(&mut self, now: u64, state: &ControlState, round: &mut Round) {
-        let is_weak = |id: &str| {
+        let is_deprioritized = |id: &str| {
             let worker = state.workers.get(id);
-            self.is_weak(now, id) || worker.is_some_and(|w| state.is_warmup_unknown(w))
+            self.is_deprioritized(now, id) || worker.is_some_and(|w| state.is_warmup_unknown(w))
         };
-        let assignment = Assignment::new(state, &self.loads, &is_weak);
+        let assignment = Assignment::new(state, &self.loads, &is_deprioritized);
         let mut next_token = state.highest_fencing_token() + 1;
         let mut changes = assignment.assign(&round.changes, &mut next_token);
         let services = state.configuration.iter().flat_map(|c| c.services.values());
         for service in services.filter(|s| s.partitioned) {
             if !state.key_leases.contains_key(&*service.name) {
-                changes.extend(assignment.divide(&service.name, &mut next_token));
+                changes.extend(assignment.first_leases(&service.name, &mut next_token));
             }
         }
-        // Balance is checked when there is a new count to go by; among hundreds of holders some
-        // keys are always on their way for other reasons.
-        let checks_balance = changes.is_empty() && self.has_new_loads;
-        if checks_balance {
+        // The balance is checked only when there are new counts. With hundreds of holders, some
+        // keys are always being moved for other reasons.
+        let is_balance_due = changes.is_empty() && self.has_new_loads;
+        if is_balance_due {
             changes = assignment.rebalance();
         }
-        self.has_new_loads &= !checks_balance;
+        self.has_new_loads &= !is_balance_due;
         self.inherit_expiries(state, &changes);
         if !changes.is_empty() {
-            self.awaits_log = true;
+            self.is_log_pending = true;
             round.actions.push(Action::Log(changes));
         }
     }
 
-    /// A holder that is to have its range under a new token may hold it under the old one until
-    /// that lease ends, whatever becomes of the new one.
+    /// Carries the expiry bounds over to the new token of a holder that keeps its range. The holder
+    /// may hold the range under the old token until that lease expires, even if the grant under the
+    /// new token fails.
     fn inherit_expiries(&mut self, state: &ControlState, changes: &[KeyLease]) {
         for change in changes.iter().filter(|change| !change.worker.is_empty()) {
-            let before = state.key_lease(&change.service, change.from);
-            let before = before.filter(|lease| lease.worker == change.worker);
-            let Some(before) = before.filter(|lease| lease.fencing_token != change.fencing_token) else {
+            let old_lease = state.key_lease(&change.service, change.from);
+            let old_lease = old_lease.filter(|lease| lease.worker == change.worker);
+            let Some(old_lease) = old_lease.filter(|lease| lease.fencing_token != change.fencing_token)
+            else {
                 continue;
             };
-            let expiry = self.expiry(before.fencing_token);
+            let expiry = self.expiry(old_lease.fencing_token);
             self.expiries.insert(change.fencing_token, expiry);
         }
     }
 
-    /// Whether a worker warms up or has lately answered no grant.
-    fn is_weak(&self, now: u64, id: &str) -> bool {
+    /// Returns whether a worker is warming up or has recently not responded to grants.
+    fn is_deprioritized(&self, now: u64, id: &str) -> bool {
         self.warming.get(id).is_some_and(|w| now < w.until)
             || self.avoided_until.get(id).is_some_and(|until| now < *until)
     }
--- a/crates/key-ownership/tests/ownership.rs
+++ b/crates/key-ownership/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Ownership of keys over workers that die, drain and answer late.
+//! Key ownership with workers that fail, drain and respond late.
 
 use config::constants as c;
 use control_state::{ControlState, KEY_SPACE};
@@ -8,11 +8,11 @@
 const CONFIG: &str = r#"{"Version":1,"Limits":{"HeaderMaxBytes":1,"BodyMaxBytes":1,"HeaderTimeout":"1s","IdleTimeout":"1s"},
     "AccessPoints":[],"Groups":[{"Name":"s","Partitioned":true}]}"#;
 
-/// The configuration without the service.
+/// The same limits as `CONFIG`, without service `s`.
 const CONFIG_WITHOUT_SERVICE: &str = r#"{"Version":2,"Limits":{"HeaderMaxBytes":1,"BodyMaxBytes":1,"HeaderTimeout":"1s","IdleTimeout":"1s"},
     "AccessPoints":[],"Groups":[{"Name":"other"}]}"#;
 
-/// Keys that a worker holds, as the worker sees it.
+/// A key range that a worker holds, from the worker's point of view.
 #[derive(Debug)]
 struct Hold {
     worker: String,
@@ -40,9 +40,9 @@
     state: ControlState,
     ownership: OwnershipManager,
     now: u64,
-    /// Calls made since the last look.
+    /// Actions since this list was last cleared.
     calls: Vec<Action>,
-    /// All that workers held, by the order of the grants.
+    /// All ranges that workers held, in the order of the grants.
     holds: Vec<Hold>,
 }
 
@@ -68,7 +68,7 @@
         self.state.apply(self.state.index + 1, &Change::encode(kind));
     }
 
-    /// Puts a configuration in force, whatever its version says.
+    /// Replaces the configuration, with the next version instead of the one in the text.
     fn configure(&mut self, text: &str) {
         let version = self.state.version();
         let body = text.replacen(['1', '2'], &(version + 1).to_string(), 1);
@@ -80,8 +80,8 @@
         assert_eq!(self.state.version(), version + 1);
     }
 
-    /// A worker takes a grant; it may as well if the answer is lost.
-    fn note_grant(&mut self, call: &GrantCall) {
+    /// Records that a worker accepted a grant, which it may also do if its response is lost.
+    fn record_grant(&mut self, call: &GrantCall) {
         self.holds.push(Hold {
             worker: call.lease.worker.clone(),
             from: call.lease.from,
@@ -92,8 +92,9 @@
         });
     }
 
-    /// A worker lets go. What it keeps of a range is a hold of its own.
-    fn note_release(&mut self, call: &ReleaseCall) {
+    /// Records that a worker released a range. The parts of its range that it keeps become holds of
+    /// their own.
+    fn record_release(&mut self, call: &ReleaseCall) {
         let (now, lease) = (self.now, &call.lease);
         let mut kept = Vec::new();
         let holds = self
@@ -116,11 +117,12 @@
         self.holds.extend(kept);
     }
 
-    /// No key had two holders at the same time, and none was granted under a lower token.
+    /// Checks that no key had two holders at the same time, and that none was granted under a lower
+    /// token than before.
     fn check_holds(&self) {
         for (i, later) in self.holds.iter().enumerate() {
             for earlier in &self.holds[..i] {
-                assert!(!later.overlaps(earlier), "{later:?} beside {earlier:?}");
+                assert!(!later.overlaps(earlier), "{later:?} overlaps {earlier:?}");
                 assert!(
                     !later.shares_keys(earlier) || later.token >= earlier.token,
                     "{later:?} after {earlier:?}"
@@ -134,31 +136,31 @@
         self.ownership.on_logged();
     }
 
-    /// Runs for a time; grants to `dead` end unclear, others succeed.
-    fn run(&mut self, ms: u64, dead: &str) {
+    /// Runs for a time. Grants to `unresponsive` have an unknown result; others succeed.
+    fn run(&mut self, ms: u64, unresponsive: &str) {
         for _ in 0..ms / 100 {
             self.now += 100;
-            for act in self.ownership.tick(self.now, &self.state) {
-                self.calls.push(act.clone());
-                match act {
+            for action in self.ownership.tick(self.now, &self.state) {
+                self.calls.push(action.clone());
+                match action {
                     Action::Log(put) => self.log(put),
                     Action::Grant(g) => {
-                        self.note_grant(&g);
-                        let end = if g.lease.worker == dead {
+                        self.record_grant(&g);
+                        let result = if g.lease.worker == unresponsive {
                             GrantResult::Unknown
                         } else {
                             GrantResult::Accepted
                         };
-                        self.ownership.on_grant_result(self.now, &g, end);
+                        self.ownership.on_grant_result(self.now, &g, result);
                     }
                     Action::Release(r) => {
-                        let end = if r.lease.worker == dead {
+                        let result = if r.lease.worker == unresponsive {
                             ReleaseResult::Failed
                         } else {
-                            self.note_release(&r);
+                            self.record_release(&r);
                             ReleaseResult::Released("token".into())
                         };
-                        self.ownership.on_release_result(self.now, &r, end);
+                        self.ownership.on_release_result(self.now, &r, result);
                     }
                 }
             }
@@ -168,16 +170,16 @@
     fn held_by(&self, id: &str) -> u32 {
         self.state.key_leases["s"]
             .values()
-            .filter(|h| h.worker == id)
-            .map(|h| h.to - h.from + 1)
+            .filter(|lease| lease.worker == id)
+            .map(|lease| lease.to - lease.from + 1)
             .sum()
     }
 
     fn check_cover(&self) {
         let mut next = 0;
-        for h in self.state.key_leases["s"].values() {
-            assert_eq!(h.from, next);
-            next = h.to + 1;
+        for lease in self.state.key_leases["s"].values() {
+            assert_eq!(lease.from, next);
+            next = lease.to + 1;
         }
         assert_eq!(next, KEY_SPACE);
     }
@@ -193,240 +195,264 @@
 }
 
 #[test]
-fn keys_are_logged_before_they_are_granted_under_new_tokens() {
-    let mut p = Scenario::new(4);
-    p.run(500, "");
-    assert!(matches!(p.calls[0], Action::Log(_)));
-    p.check_cover();
-    assert_eq!(p.held_by("w2"), KEY_SPACE / 4);
-    let fences: std::collections::BTreeSet<u64> = p.state.key_leases["s"]
+fn leases_are_logged_before_they_are_granted_under_distinct_tokens() {
+    let mut scenario = Scenario::new(4);
+    scenario.run(500, "");
+    assert!(matches!(scenario.calls[0], Action::Log(_)));
+    scenario.check_cover();
+    assert_eq!(scenario.held_by("w2"), KEY_SPACE / 4);
+    let tokens: std::collections::BTreeSet<u64> = scenario.state.key_leases["s"]
         .values()
         .map(|h| h.fencing_token)
         .collect();
-    assert_eq!(fences.len(), 4);
+    assert_eq!(tokens.len(), 4);
 }
 
 #[test]
 fn draining_worker_hands_over_under_a_higher_fencing_token() {
-    let mut p = Scenario::new(4);
-    p.run(1000, "");
-    let top = p.state.highest_fencing_token();
+    let mut scenario = Scenario::new(4);
+    scenario.run(1000, "");
+    let highest_token = scenario.state.highest_fencing_token();
     let put = vec![Worker {
         draining: true,
         ..worker("w1")
     }];
-    p.change(ChangeKind::Workers(WorkersChange {
+    scenario.change(ChangeKind::Workers(WorkersChange {
         put,
         ..Default::default()
     }));
-    p.calls.clear();
-    p.run(1000, "");
-    p.check_cover();
-    assert_eq!(p.held_by("w1"), 0);
-    let moved: Vec<_> = p.state.key_leases["s"]
+    scenario.calls.clear();
+    scenario.run(1000, "");
+    scenario.check_cover();
+    assert_eq!(scenario.held_by("w1"), 0);
+    let moved_leases: Vec<_> = scenario.state.key_leases["s"]
         .values()
-        .filter(|h| h.fencing_token > top)
+        .filter(|h| h.fencing_token > highest_token)
         .collect();
-    assert!(moved.len() > 1 && moved.iter().all(|h| h.handover == "token"));
+    assert!(moved_leases.len() > 1 && moved_leases.iter().all(|h| h.handover == "token"));
 }
 
 #[test]
-fn silent_holder_keeps_its_keys_until_its_lease_has_ended() {
-    let mut p = Scenario::new(3);
-    p.run(1000, "");
-    let stopped = p.now;
+fn unresponsive_holder_keeps_its_keys_until_its_lease_expires() {
+    let mut scenario = Scenario::new(3);
+    scenario.run(1000, "");
+    let drained_at = scenario.now;
     let put = vec![Worker {
         draining: true,
         ..worker("w0")
     }];
-    p.change(ChangeKind::Workers(WorkersChange {
+    scenario.change(ChangeKind::Workers(WorkersChange {
         put,
         ..Default::default()
     }));
-    let least = (c::KEY_LEASE_MS as f64 * c::LEASE_CLOCK_FACTOR) as u64;
-    while p.held_by("w0") > 0 {
-        p.run(100, "w0");
-        assert!(p.now < stopped + 3 * c::KEY_LEASE_MS);
+    let min_lease_ms = (c::KEY_LEASE_MS as f64 * c::LEASE_CLOCK_FACTOR) as u64;
+    while scenario.held_by("w0") > 0 {
+        scenario.run(100, "w0");
+        assert!(scenario.now < drained_at + 3 * c::KEY_LEASE_MS);
     }
     assert!(
-        p.now - stopped + c::KEY_RENEWAL_INTERVAL_MS >= least,
+        scenario.now - drained_at + c::KEY_RENEWAL_INTERVAL_MS >= min_lease_ms,
         "{}",
-        p.now - stopped
+        scenario.now - drained_at
     );
 }
 
 #[test]
-fn holder_that_answers_no_grant_loses_its_keys() {
-    let mut p = Scenario::new(3);
-    p.run(1000, "");
-    p.run(5000, "w0");
-    assert!(p.held_by("w0") > 0, "its last grant may still run");
-    p.run(6000, "w0");
-    assert_eq!(p.held_by("w0"), 0);
-    p.check_cover();
+fn holder_that_does_not_respond_to_grants_loses_its_keys() {
+    let mut scenario = Scenario::new(3);
+    scenario.run(1000, "");
+    scenario.run(5000, "w0");
+    assert!(
+        scenario.held_by("w0") > 0,
+        "its last lease may not have expired yet"
+    );
+    scenario.run(6000, "w0");
+    assert_eq!(scenario.held_by("w0"), 0);
+    scenario.check_cover();
 }
 
-/// Guards against keys that go to others while a worker that the list leaves out holds them
-/// (OWNER; review case 2). The list is no proof that a process has ended.
+/// Guards against keys that are given to others while a worker that the list omits still holds them
+/// (OWNER; review case 2). A worker missing from the list may still run.
 #[test]
-fn a_worker_that_is_not_listed_keeps_its_keys_until_its_lease_has_ended() {
-    let mut p = Scenario::new(3);
-    p.run(2000, "");
-    let removed_at = p.now;
-    p.change(ChangeKind::Workers(WorkersChange {
+fn unlisted_worker_keeps_its_keys_until_its_lease_expires() {
+    let mut scenario = Scenario::new(3);
+    scenario.run(2000, "");
+    let removed_at = scenario.now;
+    scenario.change(ChangeKind::Workers(WorkersChange {
         removed: vec!["w0".into()],
         ..Default::default()
     }));
-    let before = p.holds.iter().filter(|h| h.worker == "w0");
-    let lease_end = before.map(|h| h.until).max().expect("it held keys");
-    while p.held_by("w0") > 0 {
-        p.run(100, "");
-        assert!(p.now < removed_at + 2 * c::KEY_LEASE_MS, "freed in the end");
+    let before = scenario.holds.iter().filter(|h| h.worker == "w0");
+    let lease_end = before.map(|h| h.until).max().expect("the worker held keys");
+    while scenario.held_by("w0") > 0 {
+        scenario.run(100, "");
+        assert!(
+            scenario.now < removed_at + 2 * c::KEY_LEASE_MS,
+            "the keys must be freed eventually"
+        );
     }
-    assert!(p.now >= lease_end, "{} before {lease_end}", p.now);
-    p.run(2000, "");
-    p.check_holds();
-    p.check_cover();
+    assert!(scenario.now >= lease_end, "{} before {lease_end}", scenario.now);
+    scenario.run(2000, "");
+    scenario.check_holds();
+    scenario.check_cover();
 }
 
-/// The same for one that the list shows again: it goes on under the same tokens.
+/// Guards against a worker losing its keys or tokens when the list omits it for a short time.
 #[test]
-fn a_worker_that_one_list_left_out_goes_on_with_its_keys() {
-    let mut p = Scenario::new(3);
-    p.run(2000, "");
-    let held = p.held_by("w0");
-    let top = p.state.highest_fencing_token();
-    p.change(ChangeKind::Workers(WorkersChange {
+fn worker_missing_from_one_list_keeps_its_keys_and_tokens() {
+    let mut scenario = Scenario::new(3);
+    scenario.run(2000, "");
+    let held = scenario.held_by("w0");
+    let highest_token = scenario.state.highest_fencing_token();
+    scenario.change(ChangeKind::Workers(WorkersChange {
         removed: vec!["w0".into()],
         ..Default::default()
     }));
-    p.run(600, "");
-    p.change(ChangeKind::Workers(WorkersChange {
+    scenario.run(600, "");
+    scenario.change(ChangeKind::Workers(WorkersChange {
         put: vec![worker("w0")],
         ..Default::default()
     }));
-    p.run(5000, "");
-    assert_eq!((p.held_by("w0"), p.state.highest_fencing_token()), (held, top));
-    p.check_holds();
+    scenario.run(5000, "");
+    assert_eq!(
+        (scenario.held_by("w0"), scenario.state.highest_fencing_token()),
+        (held, highest_token)
+    );
+    scenario.check_holds();
 }
 
 #[test]
-fn a_new_leader_waits_for_the_last_leases_of_drained_and_of_unlisted_workers() {
-    let mut p = Scenario::new(3);
-    p.run(1000, "");
-    p.ownership.begin(p.now, &p.state);
-    let begun_at = p.now;
+fn new_leader_waits_for_the_final_leases_of_draining_and_unlisted_workers() {
+    let mut scenario = Scenario::new(3);
+    scenario.run(1000, "");
+    scenario.ownership.begin(scenario.now, &scenario.state);
+    let begun_at = scenario.now;
     let put = vec![Worker {
         draining: true,
         ..worker("w1")
     }];
-    p.change(ChangeKind::Workers(WorkersChange {
+    scenario.change(ChangeKind::Workers(WorkersChange {
         put,
         removed: vec!["w0".into()],
         ..Default::default()
     }));
-    p.run(300, "w1");
-    assert!(p.held_by("w0") > 0 && p.held_by("w1") > 0);
-    while p.now < begun_at + c::KEY_LEASE_MS {
-        p.run(100, "w1");
+    scenario.run(300, "w1");
+    assert!(scenario.held_by("w0") > 0 && scenario.held_by("w1") > 0);
+    while scenario.now < begun_at + c::KEY_LEASE_MS {
+        scenario.run(100, "w1");
         assert!(
-            p.held_by("w0") > 0 && p.held_by("w1") > 0,
-            "an earlier leader's last grant may still run"
+            scenario.held_by("w0") > 0 && scenario.held_by("w1") > 0,
+            "a lease granted by an earlier leader may not have expired yet"
         );
     }
-    p.run(c::KEY_LEASE_MS, "w1");
-    assert_eq!(p.held_by("w0"), 0);
-    p.run(c::FINAL_KEY_LEASE_MS, "w1");
-    assert_eq!(p.held_by("w1"), 0);
-    p.check_holds();
-    p.check_cover();
+    scenario.run(c::KEY_LEASE_MS, "w1");
+    assert_eq!(scenario.held_by("w0"), 0);
+    scenario.run(c::FINAL_KEY_LEASE_MS, "w1");
+    assert_eq!(scenario.held_by("w1"), 0);
+    scenario.check_holds();
+    scenario.check_cover();
 }
 
-/// Guards against keys with two holders, and against fencing tokens that fall, after a
-/// configuration without the service (OWNER; review case 1).
+/// Guards against keys with two holders, and against fencing tokens that decrease, after a
+/// configuration without the service was in force for a while (OWNER; review case 1).
 #[test]
-fn a_service_that_is_dropped_and_comes_back_gives_no_key_a_second_holder() {
+fn no_key_has_two_holders_after_a_service_is_removed_and_restored() {
     for gap_ms in [100, 400, 1000, 3000, 4000, 6000, 12_000] {
-        let mut p = Scenario::new(4);
-        p.run(2000, "");
-        let top = p.state.highest_fencing_token();
-        p.configure(CONFIG_WITHOUT_SERVICE);
-        // Other workers than before: all ranges would be divided anew.
+        let mut scenario = Scenario::new(4);
+        scenario.run(2000, "");
+        let highest_token = scenario.state.highest_fencing_token();
+        scenario.configure(CONFIG_WITHOUT_SERVICE);
+        // The set of workers changes, so a new division of the keys would give every worker other
+        // ranges.
         let put = vec![worker("a"), worker("b")];
-        p.change(ChangeKind::Workers(WorkersChange {
+        scenario.change(ChangeKind::Workers(WorkersChange {
             put,
             ..Default::default()
         }));
-        p.calls.clear();
-        p.run(gap_ms, "");
-        assert!(!p.calls.iter().any(|a| matches!(a, Action::Grant(_))), "{gap_ms}");
-        assert!(p.state.highest_fencing_token() >= top, "{gap_ms}: a token fell");
-        p.configure(CONFIG);
-        p.run(8000, "");
-        p.check_holds();
-        p.check_cover();
-        for lease in p.state.key_leases["s"].values() {
+        scenario.calls.clear();
+        scenario.run(gap_ms, "");
+        assert!(
+            !scenario.calls.iter().any(|a| matches!(a, Action::Grant(_))),
+            "{gap_ms}"
+        );
+        assert!(
+            scenario.state.highest_fencing_token() >= highest_token,
+            "{gap_ms}: the highest fencing token decreased"
+        );
+        scenario.configure(CONFIG);
+        scenario.run(8000, "");
+        scenario.check_holds();
+        scenario.check_cover();
+        for lease in scenario.state.key_leases["s"].values() {
             assert!(!lease.worker.is_empty(), "{gap_ms}: {lease:?}");
         }
     }
 }
 
-/// The same, with a new leader that knows of the leases from a snapshot only.
+/// Guards against the same faults when a new leader knows the leases only from a snapshot.
 #[test]
-fn a_new_leader_from_a_snapshot_waits_for_the_leases_of_a_dropped_service() {
+fn new_leader_from_a_snapshot_waits_for_the_leases_of_a_removed_service() {
     for gap_ms in [100, 2000, 6000] {
-        let mut p = Scenario::new(4);
-        p.run(2000, "");
-        let top = p.state.highest_fencing_token();
-        p.configure(CONFIG_WITHOUT_SERVICE);
-        p.run(gap_ms, "");
-        let snapshot = p.state.to_snapshot();
-        p.state = ControlState::from_snapshot(p.state.index, &snapshot).expect("readable");
-        p.ownership = OwnershipManager::new(10_000, 300);
-        p.ownership.begin(p.now, &p.state);
-        p.configure(CONFIG);
-        p.change(ChangeKind::Workers(WorkersChange {
+        let mut scenario = Scenario::new(4);
+        scenario.run(2000, "");
+        let highest_token = scenario.state.highest_fencing_token();
+        scenario.configure(CONFIG_WITHOUT_SERVICE);
+        scenario.run(gap_ms, "");
+        let snapshot = scenario.state.to_snapshot();
+        scenario.state = ControlState::from_snapshot(scenario.state.index, &snapshot).expect("readable");
+        scenario.ownership = OwnershipManager::new(10_000, 300);
+        scenario.ownership.begin(scenario.now, &scenario.state);
+        scenario.configure(CONFIG);
+        scenario.change(ChangeKind::Workers(WorkersChange {
             put: vec![worker("a")],
             removed: vec!["w0".into()],
             ..Default::default()
         }));
-        p.run(12_000, "");
-        p.check_cover();
-        let tokens = p.state.key_leases["s"].values().map(|l| l.fencing_token);
+        scenario.run(12_000, "");
+        scenario.check_cover();
+        let tokens = scenario.state.key_leases["s"].values().map(|l| l.fencing_token);
         let lowest = tokens.min().expect("leases");
         assert!(
-            gap_ms < 6000 || lowest > top,
-            "{gap_ms}: tokens begin anew at {lowest}"
+            gap_ms < 6000 || lowest > highest_token,
+            "{gap_ms}: fencing tokens restart at {lowest}"
         );
     }
 }
 
 #[test]
-fn newcomer_gets_a_fair_share_once_it_is_warm() {
-    let mut p = Scenario::new(4);
-    p.run(1000, "");
+fn new_worker_gets_a_fair_share_once_it_is_warm() {
+    let mut scenario = Scenario::new(4);
+    scenario.run(1000, "");
     let put = vec![Worker {
         warmup_ms: 3000,
         ..worker("new")
     }];
-    p.change(ChangeKind::Workers(WorkersChange {
+    scenario.change(ChangeKind::Workers(WorkersChange {
         put,
         ..Default::default()
     }));
-    p.run(2500, "");
-    assert_eq!(p.held_by("new"), 0, "still cold");
-    p.run(6000, "");
-    p.check_cover();
-    assert!(p.held_by("new") >= KEY_SPACE / 5 * 4 / 10, "{}", p.held_by("new"));
-    let settled = p.state.highest_fencing_token();
-    p.run(6000, "");
-    assert_eq!(p.state.highest_fencing_token(), settled, "and then nothing moves");
+    scenario.run(2500, "");
+    assert_eq!(scenario.held_by("new"), 0, "the worker is still warming up");
+    scenario.run(6000, "");
+    scenario.check_cover();
+    assert!(
+        scenario.held_by("new") >= KEY_SPACE / 5 * 4 / 10,
+        "{}",
+        scenario.held_by("new")
+    );
+    let settled = scenario.state.highest_fencing_token();
+    scenario.run(6000, "");
+    assert_eq!(
+        scenario.state.highest_fencing_token(),
+        settled,
+        "no key moves after that"
+    );
 }
 
 #[test]
-fn busy_key_is_set_apart_and_a_pending_grant_delays_the_release() {
-    let mut p = Scenario::new(4);
-    p.run(1000, "");
+fn holder_of_a_busy_key_holds_few_other_keys() {
+    let mut scenario = Scenario::new(4);
+    scenario.run(1000, "");
     let hot = 5000;
     for _ in 0..8 {
         let buckets: Vec<u32> = (0..KEY_SPACE).collect();
@@ -434,7 +460,7 @@
             .iter()
             .map(|b| if *b == hot { 96_000 } else { 1 })
             .collect();
-        p.ownership.add_loads(
+        scenario.ownership.add_loads(
             &[KeyCounts {
                 service: name_hash("s"),
                 buckets,
@@ -442,164 +468,196 @@
             }],
             &[],
         );
-        p.run(1000, "");
+        scenario.run(1000, "");
     }
-    p.check_cover();
-    let holder = p.state.key_lease("s", 5000).expect("covered").worker.clone();
-    assert!(p.held_by(&holder) < KEY_SPACE / 16, "{}", p.held_by(&holder));
+    scenario.check_cover();
+    let holder = scenario
+        .state
+        .key_lease("s", 5000)
+        .expect("covered")
+        .worker
+        .clone();
+    assert!(
+        scenario.held_by(&holder) < KEY_SPACE / 16,
+        "{}",
+        scenario.held_by(&holder)
+    );
 }
 
 #[test]
 fn no_release_while_a_grant_under_the_same_token_is_pending() {
-    let mut p = Scenario::new(2);
-    p.run(200, "");
-    // The grants of this round stay under way.
+    let mut scenario = Scenario::new(2);
+    scenario.run(200, "");
+    // The grants of this round stay pending.
     let grants = loop {
-        p.now += 100;
-        let acts = p.ownership.tick(p.now, &p.state);
-        if acts.len() == 2 {
-            break acts;
+        scenario.now += 100;
+        let actions = scenario.ownership.tick(scenario.now, &scenario.state);
+        if actions.len() == 2 {
+            break actions;
         }
-        assert!(p.now < 5000);
+        assert!(scenario.now < 5000);
     };
-    let h = p.state.key_lease("s", 0).expect("covered").clone();
+    let h = scenario.state.key_lease("s", 0).expect("covered").clone();
     let piece = KeyLease {
         to: 99,
         revoking: true,
         ..h.clone()
     };
-    p.change(ChangeKind::KeyLeases(KeyLeaseChange { put: vec![piece] }));
-    p.now += 100;
-    assert!(!p
+    scenario.change(ChangeKind::KeyLeases(KeyLeaseChange { put: vec![piece] }));
+    scenario.now += 100;
+    assert!(!scenario
         .ownership
-        .tick(p.now, &p.state)
+        .tick(scenario.now, &scenario.state)
         .iter()
         .any(|a| matches!(a, Action::Release(_))));
     for g in grants {
         if let Action::Grant(g) = g {
-            p.ownership.on_grant_result(p.now, &g, GrantResult::Accepted);
+            scenario
+                .ownership
+                .on_grant_result(scenario.now, &g, GrantResult::Accepted);
         }
     }
-    // First a last grant that outlasts what runs, then the release.
-    p.now += 100;
-    let acts = p.ownership.tick(p.now, &p.state);
-    let last = acts.iter().find_map(|a| match a {
+    // The final grant, which lets requests in progress complete, comes before the release.
+    scenario.now += 100;
+    let actions = scenario.ownership.tick(scenario.now, &scenario.state);
+    let final_grant = actions.iter().find_map(|a| match a {
         Action::Grant(g) if g.lease_ms > c::KEY_LEASE_MS => Some(g.clone()),
         _ => None,
     });
-    let last = last.expect("a last grant");
-    assert_eq!((last.lease.from, last.lease.to), (0, 99));
-    assert!(!acts.iter().any(|a| matches!(a, Action::Release(_))));
-    p.ownership.on_grant_result(p.now, &last, GrantResult::Accepted);
-    p.now += 100;
-    assert!(p
+    let final_grant = final_grant.expect("a final grant");
+    assert_eq!((final_grant.lease.from, final_grant.lease.to), (0, 99));
+    assert!(!actions.iter().any(|a| matches!(a, Action::Release(_))));
+    scenario
+        .ownership
+        .on_grant_result(scenario.now, &final_grant, GrantResult::Accepted);
+    scenario.now += 100;
+    assert!(scenario
         .ownership
-        .tick(p.now, &p.state)
+        .tick(scenario.now, &scenario.state)
         .iter()
         .any(|a| matches!(a, Action::Release(_))));
 }
 
 #[test]
 fn fenced_grant_is_repeated_under_a_new_token() {
-    let mut p = Scenario::new(2);
-    p.run(500, "");
-    let top = p.state.highest_fencing_token();
-    let call = until(&mut p, |act| match act {
+    let mut scenario = Scenario::new(2);
+    scenario.run(500, "");
+    let highest_token = scenario.state.highest_fencing_token();
+    let call = first_action(&mut scenario, |action| match action {
         Action::Grant(g) if g.lease.from == 0 => Some(g.clone()),
         _ => None,
     });
-    let h = call.lease.clone();
-    p.ownership.on_grant_result(p.now, &call, GrantResult::Fenced);
-    p.calls.clear();
-    p.run(1500, "");
-    let again = p.state.key_lease("s", 0).expect("covered");
+    let lease = call.lease.clone();
+    scenario
+        .ownership
+        .on_grant_result(scenario.now, &call, GrantResult::Fenced);
+    scenario.calls.clear();
+    scenario.run(1500, "");
+    let repeated = scenario.state.key_lease("s", 0).expect("covered");
     assert_eq!(
-        (again.worker.as_str(), again.fencing_token),
-        (h.worker.as_str(), top + 1)
+        (repeated.worker.as_str(), repeated.fencing_token),
+        (lease.worker.as_str(), highest_token + 1)
     );
-    assert!(p
+    assert!(scenario
         .calls
         .iter()
-        .any(|a| matches!(a, Action::Grant(g) if g.lease.fencing_token == top + 1)));
+        .any(|a| matches!(a, Action::Grant(g) if g.lease.fencing_token == highest_token + 1)));
 }
 
-/// Guards against a range that is freed while its holder goes on under the token that it had
-/// before a new one was logged for it, and never arrived (OWNER).
+/// Guards against a range that is freed while its holder still holds it under an old token: a new
+/// token was logged, but the grant under it never arrived (OWNER).
 #[test]
-fn a_holder_under_a_new_token_keeps_its_keys_until_the_lease_under_the_old_one_has_ended() {
-    let mut p = Scenario::new(2);
-    p.run(2000, "");
-    let held = p.holds.iter().filter(|h| h.worker == "w0");
-    let lease_end = held.map(|h| h.until).max().expect("it holds keys");
-    let call = until(&mut p, |act| match act {
+fn holder_keeps_its_keys_until_the_lease_under_its_old_token_expires() {
+    let mut scenario = Scenario::new(2);
+    scenario.run(2000, "");
+    let held = scenario.holds.iter().filter(|h| h.worker == "w0");
+    let lease_end = held.map(|h| h.until).max().expect("the worker holds keys");
+    let call = first_action(&mut scenario, |action| match action {
         Action::Grant(g) if g.lease.worker == "w0" => Some(g.clone()),
         _ => None,
     });
     let old_token = call.lease.fencing_token;
-    p.ownership.on_grant_result(p.now, &call, GrantResult::Fenced);
-    while p
+    scenario
+        .ownership
+        .on_grant_result(scenario.now, &call, GrantResult::Fenced);
+    while scenario
         .state
         .key_lease("s", call.lease.from)
         .is_some_and(|l| l.fencing_token == old_token)
     {
-        p.now += 100;
-        for act in p.ownership.tick(p.now, &p.state) {
-            match act {
-                Action::Log(put) => p.log(put),
-                Action::Grant(g) => p.ownership.on_grant_result(p.now, &g, GrantResult::NotSent),
-                Action::Release(r) => p.ownership.on_release_result(p.now, &r, ReleaseResult::Failed),
+        scenario.now += 100;
+        for action in scenario.ownership.tick(scenario.now, &scenario.state) {
+            match action {
+                Action::Log(put) => scenario.log(put),
+                Action::Grant(g) => {
+                    scenario
+                        .ownership
+                        .on_grant_result(scenario.now, &g, GrantResult::NotSent)
+                }
+                Action::Release(r) => {
+                    scenario
+                        .ownership
+                        .on_release_result(scenario.now, &r, ReleaseResult::Failed)
+                }
             }
         }
     }
-    p.change(ChangeKind::Workers(WorkersChange {
+    scenario.change(ChangeKind::Workers(WorkersChange {
         removed: vec!["w0".into()],
         ..Default::default()
     }));
-    while p.held_by("w0") > 0 {
-        p.run(100, "");
-        assert!(p.now < lease_end + 2 * c::KEY_LEASE_MS, "freed in the end");
+    while scenario.held_by("w0") > 0 {
+        scenario.run(100, "");
+        assert!(
+            scenario.now < lease_end + 2 * c::KEY_LEASE_MS,
+            "the keys must be freed eventually"
+        );
     }
-    assert!(p.now >= lease_end, "{} before {lease_end}", p.now);
+    assert!(scenario.now >= lease_end, "{} before {lease_end}", scenario.now);
 }
 
 #[test]
-fn restored_zone_gets_no_keys_before_the_list_was_read_again() {
-    let mut p = Scenario::new(3);
+fn restored_zone_gets_no_keys_until_the_worker_list_is_read_again() {
+    let mut scenario = Scenario::new(3);
     let put = vec![Worker {
         zone: "back".into(),
         ..worker("w0")
     }];
-    let read = |p: &mut Scenario, put: &Vec<Worker>| {
+    let read_list = |scenario: &mut Scenario, put: &Vec<Worker>| {
         let change = WorkersChange {
             put: put.clone(),
-            as_of: p.state.index,
+            as_of: scenario.state.index,
             ..Default::default()
         };
-        p.change(ChangeKind::Workers(change));
+        scenario.change(ChangeKind::Workers(change));
     };
-    read(&mut p, &put);
-    p.run(1000, "");
+    read_list(&mut scenario, &put);
+    scenario.run(1000, "");
     let evacuate = |begin| {
         ChangeKind::Evacuate(EvacuationChange {
             zone: "back".into(),
             begin,
         })
     };
-    p.change(evacuate(true));
-    p.run(9000, "");
-    assert_eq!(p.held_by("w0"), 0);
-    p.change(evacuate(false));
-    p.run(4000, "");
-    assert_eq!(p.held_by("w0"), 0, "nobody knows yet whether it is cold");
-    read(&mut p, &put);
-    p.run(4000, "");
-    assert!(p.held_by("w0") > 0);
+    scenario.change(evacuate(true));
+    scenario.run(9000, "");
+    assert_eq!(scenario.held_by("w0"), 0);
+    scenario.change(evacuate(false));
+    scenario.run(4000, "");
+    assert_eq!(
+        scenario.held_by("w0"),
+        0,
+        "whether the worker is warm is not known yet"
+    );
+    read_list(&mut scenario, &put);
+    scenario.run(4000, "");
+    assert!(scenario.held_by("w0") > 0);
 }
 
 #[test]
-fn keys_follow_the_stages_of_a_rollout_and_come_back() {
+fn keys_follow_rollout_stages_and_return_on_rollback() {
     use rollout::{Action, Create, RolloutChange};
-    let mut p = Scenario::new(8);
+    let mut scenario = Scenario::new(8);
     let old = (0..8).map(|i| Worker {
         version: "v1".into(),
         ..worker(&format!("w{i}"))
@@ -608,18 +666,18 @@
         version: "v2".into(),
         ..worker(&format!("x{i}"))
     });
-    p.change(ChangeKind::Workers(WorkersChange {
+    scenario.change(ChangeKind::Workers(WorkersChange {
         put: old.collect(),
         ..Default::default()
     }));
-    p.run(1000, "");
-    let step = |p: &mut Scenario, action: Action| {
-        let expected = p.state.rollouts.get("s").map_or(0, |r| r.version);
+    scenario.run(1000, "");
+    let step = |scenario: &mut Scenario, action: Action| {
+        let expected = scenario.state.rollouts.get("s").map_or(0, |r| r.version);
         let create = (action == Action::Create).then(|| Create {
             target: "v2".into(),
             duration_ms: 60_000,
         });
-        p.change(ChangeKind::Rollout(RolloutChange {
+        scenario.change(ChangeKind::Rollout(RolloutChange {
             service: "s".into(),
             action: action as i32,
             expected,
@@ -629,106 +687,130 @@
             ..Default::default()
         }));
     };
-    let with_new = |p: &Scenario| (0..8).map(|i| p.held_by(&format!("x{i}"))).sum::<u32>();
-    step(&mut p, Action::Create);
-    p.change(ChangeKind::Workers(WorkersChange {
+    let keys_of_new_version =
+        |scenario: &Scenario| (0..8).map(|i| scenario.held_by(&format!("x{i}"))).sum::<u32>();
+    step(&mut scenario, Action::Create);
+    scenario.change(ChangeKind::Workers(WorkersChange {
         put: new.collect(),
         ..Default::default()
     }));
-    p.run(5000, "");
-    assert_eq!(with_new(&p), 0, "ordered, not started");
-    step(&mut p, Action::Start);
-    p.run(9000, "");
-    let held: Vec<u32> = (0..8).map(|i| p.held_by(&format!("x{i}"))).collect();
+    scenario.run(5000, "");
+    assert_eq!(
+        keys_of_new_version(&scenario),
+        0,
+        "the rollout is created, not started"
+    );
+    step(&mut scenario, Action::Start);
+    scenario.run(9000, "");
+    let held: Vec<u32> = (0..8).map(|i| scenario.held_by(&format!("x{i}"))).collect();
     let holders = held.iter().filter(|h| **h > 0).count();
-    assert_eq!(holders, 1, "a small share goes to few workers: {held:?}");
-    assert!(with_new(&p) < KEY_SPACE / 5, "{held:?}");
-    p.check_cover();
-    step(&mut p, Action::Promote);
-    p.run(9000, "");
-    assert!(with_new(&p) > KEY_SPACE / 10 && with_new(&p) < KEY_SPACE / 2);
-    step(&mut p, Action::Promote);
-    p.run(12_000, "");
-    assert_eq!(with_new(&p), KEY_SPACE, "all of it");
-    p.check_cover();
-    step(&mut p, Action::Rollback);
-    p.run(12_000, "");
-    assert_eq!(with_new(&p), 0, "and back");
-    p.check_cover();
+    assert_eq!(holders, 1, "a small share must go to a single worker: {held:?}");
+    assert!(keys_of_new_version(&scenario) < KEY_SPACE / 5, "{held:?}");
+    scenario.check_cover();
+    step(&mut scenario, Action::Promote);
+    scenario.run(9000, "");
+    assert!(
+        keys_of_new_version(&scenario) > KEY_SPACE / 10 && keys_of_new_version(&scenario) < KEY_SPACE / 2
+    );
+    step(&mut scenario, Action::Promote);
+    scenario.run(12_000, "");
+    assert_eq!(
+        keys_of_new_version(&scenario),
+        KEY_SPACE,
+        "the new version must hold all keys"
+    );
+    scenario.check_cover();
+    step(&mut scenario, Action::Rollback);
+    scenario.run(12_000, "");
+    assert_eq!(
+        keys_of_new_version(&scenario),
+        0,
+        "the new version must hold no keys after a rollback"
+    );
+    scenario.check_cover();
 }
 
-/// The first act that `wanted` picks, within some seconds; grants and releases
-/// that come before it are answered well.
-fn until<T>(p: &mut Scenario, wanted: impl Fn(&Action) -> Option<T>) -> T {
+/// Returns the first action that `select` picks, within 10 s. Grants and releases that come before
+/// it succeed.
+fn first_action<T>(scenario: &mut Scenario, select: impl Fn(&Action) -> Option<T>) -> T {
     for _ in 0..100 {
-        p.now += 100;
+        scenario.now += 100;
         let mut found = None;
-        for act in p.ownership.tick(p.now, &p.state) {
-            if let (None, Some(got)) = (&found, wanted(&act)) {
-                found = Some(got);
+        for action in scenario.ownership.tick(scenario.now, &scenario.state) {
+            if let (None, Some(selected)) = (&found, select(&action)) {
+                found = Some(selected);
                 continue;
             }
-            match act {
-                Action::Log(put) => p.log(put),
-                Action::Grant(g) => p.ownership.on_grant_result(p.now, &g, GrantResult::Accepted),
-                Action::Release(r) => {
-                    p.ownership
-                        .on_release_result(p.now, &r, ReleaseResult::Released("t".into()))
+            match action {
+                Action::Log(put) => scenario.log(put),
+                Action::Grant(g) => {
+                    scenario
+                        .ownership
+                        .on_grant_result(scenario.now, &g, GrantResult::Accepted)
                 }
+                Action::Release(r) => scenario.ownership.on_release_result(
+                    scenario.now,
+                    &r,
+                    ReleaseResult::Released("t".into()),
+                ),
             }
         }
         if let Some(found) = found {
             return found;
         }
     }
-    panic!("it was not done");
+    panic!("the expected action did not come within 10 s");
 }
 
-fn drain(p: &mut Scenario, id: &str) {
-    let gone = Worker {
+fn drain(scenario: &mut Scenario, id: &str) {
+    let draining_worker = Worker {
         draining: true,
         ..worker(id)
     };
-    p.change(ChangeKind::Workers(WorkersChange {
-        put: vec![gone],
+    scenario.change(ChangeKind::Workers(WorkersChange {
+        put: vec![draining_worker],
         ..Default::default()
     }));
 }
 
 #[test]
-fn late_grant_answer_of_an_earlier_leadership_ends_no_lease() {
-    for late in [
+fn late_grant_result_of_an_earlier_leadership_shortens_no_lease() {
+    for result in [
         GrantResult::Unknown,
         GrantResult::Accepted,
         GrantResult::NotSent,
         GrantResult::Fenced,
     ] {
-        let mut p = Scenario::new(2);
-        p.run(500, "");
-        let call = until(&mut p, |act| match act {
+        let mut scenario = Scenario::new(2);
+        scenario.run(500, "");
+        let call = first_action(&mut scenario, |action| match action {
             Action::Grant(g) if g.lease.worker == "w0" => Some(g.clone()),
             _ => None,
         });
-        // The duty is lost and found again before the answer comes. Meanwhile
-        // another leader may have granted the same, and that may still arrive.
-        p.now += 300;
-        p.ownership.begin(p.now, &p.state);
-        let least = p.ownership.expires_by(call.lease.fencing_token);
-        drain(&mut p, "w0");
-        p.now += 50;
-        p.ownership.on_grant_result(p.now, &call, late);
+        // The leadership is lost and regained before the result arrives. Meanwhile another leader
+        // may have granted the same range, and that grant may still arrive.
+        scenario.now += 300;
+        scenario.ownership.begin(scenario.now, &scenario.state);
+        let earliest_expiry = scenario.ownership.expires_by(call.lease.fencing_token);
+        drain(&mut scenario, "w0");
+        scenario.now += 50;
+        scenario.ownership.on_grant_result(scenario.now, &call, result);
         assert!(
-            p.ownership.expires_by(call.lease.fencing_token) >= least,
-            "{late:?}"
+            scenario.ownership.expires_by(call.lease.fencing_token) >= earliest_expiry,
+            "{result:?}"
         );
-        assert_eq!(p.ownership.unmatched_answers(), 1);
+        assert_eq!(scenario.ownership.unmatched_answers(), 1);
         for _ in 0..20 {
-            p.now += 100;
-            for act in p.ownership.tick(p.now, &p.state) {
-                if let Action::Log(put) = act {
+            scenario.now += 100;
+            for action in scenario.ownership.tick(scenario.now, &scenario.state) {
+                if let Action::Log(put) = action {
                     let freed = put.iter().any(|h| h.worker != "w0" && h.from == call.lease.from);
-                    assert!(!freed || p.now >= least, "{late:?}: freed at {}", p.now);
-                    p.log(put);
+                    assert!(
+                        !freed || scenario.now >= earliest_expiry,
+                        "{result:?}: freed at {}",
+                        scenario.now
+                    );
+                    scenario.log(put);
                 }
             }
         }
@@ -736,56 +818,72 @@
 }
 
 #[test]
-fn late_release_answer_of_an_earlier_leadership_frees_nothing() {
-    let mut p = Scenario::new(2);
-    p.run(500, "");
-    drain(&mut p, "w0");
-    let call = until(&mut p, |act| match act {
+fn late_release_result_of_an_earlier_leadership_frees_no_range() {
+    let mut scenario = Scenario::new(2);
+    scenario.run(500, "");
+    drain(&mut scenario, "w0");
+    let call = first_action(&mut scenario, |action| match action {
         Action::Release(r) => Some(r.clone()),
         _ => None,
     });
-    // In its next duty it has granted the keys once more, as another leader may
-    // have, when the answer comes.
-    p.now += 100;
-    p.ownership.begin(p.now, &p.state);
-    let again = until(&mut p, |act| match act {
+    // In its next leadership it has granted the keys again, as another leader may have, when the
+    // result arrives.
+    scenario.now += 100;
+    scenario.ownership.begin(scenario.now, &scenario.state);
+    let repeated = first_action(&mut scenario, |action| match action {
         Action::Grant(g) if g.lease.fencing_token == call.lease.fencing_token => Some(g.clone()),
         _ => None,
     });
-    assert_eq!(again.lease, call.lease);
-    p.ownership
-        .on_release_result(p.now, &call, ReleaseResult::Released("late".into()));
+    assert_eq!(repeated.lease, call.lease);
+    scenario
+        .ownership
+        .on_release_result(scenario.now, &call, ReleaseResult::Released("late".into()));
     for _ in 0..10 {
-        p.now += 100;
-        for act in p.ownership.tick(p.now, &p.state) {
-            assert!(!matches!(act, Action::Log(_)), "freed at {}: {act:?}", p.now);
+        scenario.now += 100;
+        for action in scenario.ownership.tick(scenario.now, &scenario.state) {
+            assert!(
+                !matches!(action, Action::Log(_)),
+                "freed at {}: {action:?}",
+                scenario.now
+            );
         }
     }
 }
 
 #[test]
-fn answer_says_nothing_of_another_call_under_the_same_token() {
-    // A call of unclear end may arrive after the next one was answered.
-    let mut p = Scenario::new(1);
-    p.run(500, "");
-    let grant = |p: &mut Scenario| {
-        until(p, |act| match act {
+fn grant_result_applies_only_to_its_own_call() {
+    // A call with an unknown result may arrive after the next call was answered.
+    let mut scenario = Scenario::new(1);
+    scenario.run(500, "");
+    let grant = |scenario: &mut Scenario| {
+        first_action(scenario, |action| match action {
             Action::Grant(g) => Some(g.clone()),
             _ => None,
         })
     };
-    let first = grant(&mut p);
-    p.ownership.on_grant_result(p.now, &first, GrantResult::Unknown);
-    let least = p.ownership.expires_by(first.lease.fencing_token);
-    let second = grant(&mut p);
-    p.ownership.on_grant_result(p.now, &second, GrantResult::Accepted);
-    assert!(p.ownership.expires_by(first.lease.fencing_token) >= least);
-    // A second answer to it changes nothing.
-    let third = grant(&mut p);
-    let least = p.ownership.expires_by(first.lease.fencing_token);
-    p.ownership.on_grant_result(p.now, &second, GrantResult::Accepted);
-    assert_eq!(p.ownership.expires_by(first.lease.fencing_token), least);
-    assert_eq!(p.ownership.unmatched_answers(), 1);
-    p.ownership.on_grant_result(p.now, &third, GrantResult::NotSent);
-    assert!(p.ownership.expires_by(first.lease.fencing_token) < least);
+    let first = grant(&mut scenario);
+    scenario
+        .ownership
+        .on_grant_result(scenario.now, &first, GrantResult::Unknown);
+    let earliest_expiry = scenario.ownership.expires_by(first.lease.fencing_token);
+    let second = grant(&mut scenario);
+    scenario
+        .ownership
+        .on_grant_result(scenario.now, &second, GrantResult::Accepted);
+    assert!(scenario.ownership.expires_by(first.lease.fencing_token) >= earliest_expiry);
+    // A duplicate result changes nothing.
+    let third = grant(&mut scenario);
+    let earliest_expiry = scenario.ownership.expires_by(first.lease.fencing_token);
+    scenario
+        .ownership
+        .on_grant_result(scenario.now, &second, GrantResult::Accepted);
+    assert_eq!(
+        scenario.ownership.expires_by(first.lease.fencing_token),
+        earliest_expiry
+    );
+    assert_eq!(scenario.ownership.unmatched_answers(), 1);
+    scenario
+        .ownership
+        .on_grant_result(scenario.now, &third, GrantResult::NotSent);
+    assert!(scenario.ownership.expires_by(first.lease.fencing_token) < earliest_expiry);
 }
