--- a/crates/placement/src/assignment.rs
+++ b/crates/placement/src/assignment.rs
@@ -1,21 +1,23 @@
-//! The decision on the placement: client groups that rank the sites alike are merged, a min-cost
-//! flow under the watermark divides their demand, and tiny flows are consolidated.
+//! Computation of the placement: client groups that rank the sites alike are merged, a min-cost
+//! flow within the watermark distributes their demand over the sites, and tiny flows are
+//! consolidated.
 
 use crate::consolidation::consolidate;
 use crate::min_cost_flow::Network;
 use config::constants as c;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Parameters of a decision.
+/// Parameters of the placement computation.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Part of a capacity that the flow may use, 0 to 1.
+    /// Fraction of a capacity that the flow may use, 0 to 1.
     pub watermark: f64,
-    /// Groups merge if this many of the sites nearest to them are the same.
+    /// Number of nearest sites that must be the same, in the same order, for two groups to be
+    /// merged.
     pub ranking_prefix: usize,
-    /// A service's flow at a site below this is tiny, requests/s.
+    /// Rate below which a service's flow at a site is tiny, in requests/s.
     pub deletion_threshold: f64,
-    /// A site in use is tiny only below the threshold divided by this.
+    /// Divisor of the threshold for a site that is already in use.
     pub hysteresis: f64,
 }
 
@@ -46,23 +48,23 @@
     pub site: String,
 }
 
-/// What a decision rests on.
+/// Input of the placement computation.
 #[derive(Clone, Debug, Default)]
 pub struct PlacementInput {
-    /// Names of all sites, in order.
+    /// Names of all sites, in ascending order.
     pub sites: Vec<String>,
-    /// Demand, requests/s.
+    /// Demand by service and client group, in requests/s.
     pub demand: BTreeMap<ServiceGroup, f64>,
     /// Capacity of a service's workers at a site, requests/s.
     pub worker_capacity: BTreeMap<ServiceSite, f64>,
-    /// What the proxies of a site can forward, requests/s.
+    /// Forwarding capacity of the proxies of a site, requests/s.
     pub forwarding_capacity: BTreeMap<String, f64>,
-    /// Round trip from a group to a site, ms.
+    /// Round-trip time from a client group to a site, in milliseconds.
     pub distance: BTreeMap<GroupSite, f64>,
 }
 
 impl PlacementInput {
-    /// Capacity of a service's workers at a site, requests/s.
+    /// Returns the capacity of a service's workers at a site, in requests/s.
     pub(crate) fn worker_capacity_at(&self, service: &str, site: &str) -> f64 {
         let key = ServiceSite {
             service: service.to_string(),
@@ -71,12 +73,13 @@
         self.worker_capacity.get(&key).copied().unwrap_or(0.0)
     }
 
-    /// What the proxies of a site can forward, requests/s.
+    /// Returns the forwarding capacity of the proxies of a site, in requests/s.
     pub(crate) fn forwarding_capacity_at(&self, site: &str) -> f64 {
         self.forwarding_capacity.get(site).copied().unwrap_or(0.0)
     }
 
-    /// Round trip from a group to each site, ms, in the order of the sites.
+    /// Returns the round-trip time from a client group to each site, in milliseconds, in the order
+    /// of `sites`.
     fn distances_of(&self, group: &str) -> Vec<f64> {
         let distance_to = |site: &String| {
             let key = GroupSite {
@@ -89,57 +92,57 @@
     }
 }
 
-/// For each service and group, the part of the answers that points at each site.
+/// For each service and client group, the fraction of directory responses that name each site.
 pub type Placement = BTreeMap<ServiceGroup, BTreeMap<String, f64>>;
 
-/// Flow is counted in thousandths of a request a second.
+/// Units of flow per request/s: flow is counted in thousandths of a request per second.
 const FLOW_UNITS_PER_REQUEST: f64 = 1000.0;
-/// Cost is counted in hundredths of a millisecond.
+/// Units of cost per millisecond.
 const COST_UNITS_PER_MS: f64 = 100.0;
-/// Capacity of an edge that bounds nothing.
+/// Capacity of an edge without a limit.
 pub(crate) const UNBOUNDED: i64 = i64::MAX / 8;
-/// Distance taken for a site whose distance is not known, ms.
+/// Distance assumed for a site whose distance is not known, in milliseconds.
 const MAX_DISTANCE_MS: f64 = 1e6;
 
-/// A rate in requests/s as units of flow.
+/// Converts a rate in requests/s to units of flow.
 pub(crate) fn to_units(rate: f64) -> i64 {
     (rate * FLOW_UNITS_PER_REQUEST).round() as i64
 }
 
-/// Units of flow as a rate in requests/s.
+/// Converts units of flow to a rate in requests/s.
 pub(crate) fn to_rate(units: i64) -> f64 {
     units as f64 / FLOW_UNITS_PER_REQUEST
 }
 
-/// The least rate that is a unit of flow, requests/s.
-pub(crate) const LEAST_RATE: f64 = 1.0 / FLOW_UNITS_PER_REQUEST;
+/// Rate of one unit of flow, in requests/s.
+pub(crate) const MIN_RATE: f64 = 1.0 / FLOW_UNITS_PER_REQUEST;
 
-/// Client groups of one service that rank the sites alike.
+/// Client groups of one service that rank the nearest sites alike.
 pub(crate) struct DemandNode {
     pub(crate) service: String,
     groups: Vec<String>,
-    /// Requests/s.
+    /// Total demand of the groups, in requests/s.
     rate: f64,
-    /// Rate-weighted mean distance to each site, ms.
+    /// Rate-weighted mean distance to each site, in milliseconds.
     distance: Vec<f64>,
 }
 
-/// The flow of each demand node to each site, requests/s.
+/// Flow of each demand node to each site, in requests/s.
 pub(crate) type Flows = Vec<Vec<f64>>;
 
-/// Decides the placement. `before` is the last decision, for the hysteresis.
-pub fn compute_placement(input: &PlacementInput, before: &Placement, options: &Options) -> Placement {
+/// Computes the placement. `previous` is the last placement; it is used for the hysteresis.
+pub fn compute_placement(input: &PlacementInput, previous: &Placement, options: &Options) -> Placement {
     let nodes = merge_groups(input, options.ranking_prefix);
     let mut flows = capped_flow(input, &nodes, options.watermark);
     spread_excess(input, &nodes, &mut flows);
-    let flows = consolidate(input, &nodes, flows, before, options);
+    let flows = consolidate(input, &nodes, flows, previous, options);
     let mut placement = Placement::new();
     for (node, flow) in nodes.into_iter().zip(&flows) {
         let total: f64 = flow.iter().sum();
         if total <= 0.0 {
             continue;
         }
-        let parts: BTreeMap<String, f64> = input
+        let fractions: BTreeMap<String, f64> = input
             .sites
             .iter()
             .zip(flow)
@@ -148,13 +151,14 @@
             .collect();
         for group in node.groups {
             let service = node.service.clone();
-            placement.insert(ServiceGroup { service, group }, parts.clone());
+            placement.insert(ServiceGroup { service, group }, fractions.clone());
         }
     }
     placement
 }
 
-/// Merges the groups of a service whose rankings of the sites share a prefix.
+/// Merges the client groups of a service whose nearest `prefix` sites are the same, in the same
+/// order.
 fn merge_groups(input: &PlacementInput, prefix: usize) -> Vec<DemandNode> {
     let mut merged: BTreeMap<(String, Vec<usize>), DemandNode> = BTreeMap::new();
     for (ServiceGroup { service, group }, rate) in &input.demand {
@@ -162,7 +166,7 @@
         let mut ranking: Vec<usize> = (0..input.sites.len()).collect();
         ranking.sort_by(|a, b| distance[*a].total_cmp(&distance[*b]).then(a.cmp(b)));
         ranking.truncate(prefix);
-        let rate = rate.max(LEAST_RATE);
+        let rate = rate.max(MIN_RATE);
         let node = merged
             .entry((service.clone(), ranking))
             .or_insert_with(|| DemandNode {
@@ -180,8 +184,9 @@
     merged.into_values().collect()
 }
 
-/// The cheapest flow within the watermarks: source to demand nodes, those to the service's part
-/// of each site, that to the site, and the site to the sink.
+/// Computes the cheapest flow within the watermarks. Edges lead from the source to each demand
+/// node, from there to the service's node at each site, from there to the site, and from the site
+/// to the sink.
 fn capped_flow(input: &PlacementInput, nodes: &[DemandNode], watermark: f64) -> Flows {
     let mut network = Network::new(2);
     let (source, sink) = (0, 1);
@@ -221,15 +226,15 @@
     edges.iter().map(|row| row_rates(&network, row)).collect()
 }
 
-/// The flow on each edge of a row, requests/s.
+/// Returns the flow on each edge of a row, in requests/s; 0 where there is no edge.
 pub(crate) fn row_rates(network: &Network, row: &[Option<usize>]) -> Vec<f64> {
     row.iter()
         .map(|edge| edge.map_or(0.0, |edge| to_rate(network.flow(edge))))
         .collect()
 }
 
-/// Demand beyond all watermarks goes to the sites in proportion to their capacity, or to the
-/// nearest site with proxies if no worker of the service is left.
+/// Distributes demand beyond all watermarks over the sites in proportion to their capacity, or
+/// assigns it to the nearest site with proxies if no site has capacity for the service.
 fn spread_excess(input: &PlacementInput, nodes: &[DemandNode], flows: &mut Flows) {
     for (node, flow) in nodes.iter().zip(flows) {
         let excess = node.rate - flow.iter().sum::<f64>();
@@ -255,8 +260,8 @@
     }
 }
 
-/// The nearest site with proxies, or the nearest at all; a service without workers still has a
-/// site.
+/// Returns the nearest site with proxies, or the nearest site if none has proxies, so that a
+/// service without workers still has a site.
 fn nearest_site_with_proxies(input: &PlacementInput, node: &DemandNode) -> Option<usize> {
     let nearest = |candidates: Vec<usize>| {
         candidates
@@ -272,7 +277,7 @@
     nearest(with_proxies).or_else(|| nearest(all))
 }
 
-/// Whether two placements differ by enough to be worth sending.
+/// Returns whether two placements differ by enough to be worth sending.
 pub fn differs(a: &Placement, b: &Placement) -> bool {
     let keys: BTreeSet<_> = a.keys().chain(b.keys()).collect();
     keys.into_iter().any(|key| match (a.get(key), b.get(key)) {
@@ -284,8 +289,8 @@
 fn parts_differ(a: &BTreeMap<String, f64>, b: &BTreeMap<String, f64>) -> bool {
     let sites: BTreeSet<_> = a.keys().chain(b.keys()).collect();
     sites.into_iter().any(|site| {
-        let before = a.get(site).copied().unwrap_or(0.0);
-        let after = b.get(site).copied().unwrap_or(0.0);
-        (before - after).abs() >= c::FRACTION_STEP || (before == 0.0) != (after == 0.0)
+        let part_before = a.get(site).copied().unwrap_or(0.0);
+        let part_after = b.get(site).copied().unwrap_or(0.0);
+        (part_before - part_after).abs() >= c::FRACTION_STEP || (part_before == 0.0) != (part_after == 0.0)
     })
 }
--- a/crates/placement/src/consolidation.rs
+++ b/crates/placement/src/consolidation.rs
@@ -1,8 +1,9 @@
-//! The second flow of a decision: tiny flows of a service move to sites where the service has at
-//! least as much, if those have room; smaller ones first, and to normal sites before tiny ones.
+//! Second flow of the placement computation. Tiny flows of a service move to sites where the
+//! service has at least as much flow, if those sites have capacity. Smaller flows move first, and
+//! sites with normal flow are preferred to those with tiny flow.
 
 use crate::assignment::{
-    row_rates, to_units, DemandNode, Flows, Options, Placement, PlacementInput, LEAST_RATE, UNBOUNDED,
+    row_rates, to_units, DemandNode, Flows, Options, Placement, PlacementInput, MIN_RATE, UNBOUNDED,
 };
 use crate::min_cost_flow::Network;
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,22 +12,22 @@
 struct TinyFlow<'a> {
     service: &'a str,
     site: usize,
-    /// Requests/s.
+    /// Size of the flow, in requests/s.
     rate: f64,
 }
 
-/// The flows of all services, sorted into tiny and normal ones.
+/// The flows of all services, classified as tiny or normal.
 struct Classified<'a> {
     services: BTreeSet<&'a str>,
-    /// Flow of a service at a site, requests/s.
+    /// Flow of a service at a site, in requests/s.
     rates: BTreeMap<(&'a str, usize), f64>,
-    /// Smallest first.
+    /// Tiny flows, smallest first.
     tiny: Vec<TinyFlow<'a>>,
     normal: BTreeSet<(&'a str, usize)>,
 }
 
 impl Classified<'_> {
-    /// What stays at a site once all tiny flows are lifted out, requests/s.
+    /// Returns the flow that remains at a site when all tiny flows are removed, in requests/s.
     fn normal_rate(&self, service: &str, site: usize) -> f64 {
         if self.normal.contains(&(service, site)) {
             self.rates[&(service, site)]
@@ -36,15 +37,16 @@
     }
 }
 
-/// Moves tiny flows. `before` is the last decision, for the hysteresis.
+/// Moves tiny flows to other sites. `previous` is the last placement; it is used for the
+/// hysteresis.
 pub(crate) fn consolidate(
     input: &PlacementInput,
     nodes: &[DemandNode],
     mut flows: Flows,
-    before: &Placement,
+    previous: &Placement,
     options: &Options,
 ) -> Flows {
-    let classified = classify(input, nodes, &flows, before, options);
+    let classified = classify(input, nodes, &flows, previous, options);
     if classified.tiny.is_empty() {
         return flows;
     }
@@ -55,13 +57,13 @@
     flows
 }
 
-/// Sorts the flows of each service into tiny and normal ones. If all flows of a service are tiny,
-/// its largest counts as normal.
+/// Classifies the flows of each service as tiny or normal. If all flows of a service are tiny, its
+/// largest counts as normal.
 fn classify<'a>(
     input: &PlacementInput,
     nodes: &'a [DemandNode],
     flows: &Flows,
-    before: &Placement,
+    previous: &Placement,
     options: &Options,
 ) -> Classified<'a> {
     let mut rates: BTreeMap<(&str, usize), f64> = BTreeMap::new();
@@ -80,7 +82,7 @@
             .collect();
         used.sort_by(|a, b| b.1.total_cmp(&a.1));
         let is_tiny = |site: usize, rate: f64| {
-            let ratio = if was_used(before, service, &input.sites[site]) {
+            let ratio = if was_used(previous, service, &input.sites[site]) {
                 options.hysteresis
             } else {
                 1.0
@@ -105,14 +107,14 @@
     }
 }
 
-/// Whether the last decision pointed clients of the service at the site.
-fn was_used(before: &Placement, service: &str, site: &str) -> bool {
-    before
+/// Returns whether the last placement sent clients of the service to the site.
+fn was_used(previous: &Placement, service: &str, site: &str) -> bool {
+    previous
         .iter()
         .any(|(key, parts)| key.service == service && parts.get(site).is_some_and(|part| *part > 0.0))
 }
 
-/// For each tiny flow, how much of it goes to each site, requests/s.
+/// Returns, for each tiny flow, how much of it goes to each site, in requests/s.
 fn solve(input: &PlacementInput, classified: &Classified, options: &Options) -> Flows {
     let mut network = Network::new(2);
     let (source, sink) = (0, 1);
@@ -142,8 +144,8 @@
             let part = *service_parts.entry((tiny.service, site)).or_insert_with(|| {
                 let part = network.add_node();
                 let capacity = input.worker_capacity_at(tiny.service, &input.sites[site]) * options.watermark;
-                let room = capacity - classified.normal_rate(tiny.service, site);
-                network.add_edge(part, sites[site], to_units(room.max(0.0)), 0);
+                let spare_rate = capacity - classified.normal_rate(tiny.service, site);
+                network.add_edge(part, sites[site], to_units(spare_rate.max(0.0)), 0);
                 part
             });
             let cost = move_cost(classified, rank, site, options);
@@ -155,24 +157,26 @@
     edges.iter().map(|row| row_rates(&network, row)).collect()
 }
 
-/// Normal sites are free. Among tiny sites the larger is cheaper, and all tiny sites cost more the
-/// smaller the flow is that would move there.
+/// Returns the cost of moving a tiny flow to a site. Sites with normal flow cost nothing. Among
+/// sites with tiny flow, a larger one is cheaper, and all of them cost more the smaller the moved
+/// flow is.
 fn move_cost(classified: &Classified, rank: usize, site: usize, options: &Options) -> i64 {
-    /// Weight of one rank among the tiny flows, and the bound of what a site's size adds.
+    /// Cost of one rank among the tiny flows, and upper bound of the part of the cost that depends
+    /// on the site's flow.
     const RANK_WEIGHT: i64 = 1000;
     let service = classified.tiny[rank].service;
     if classified.normal.contains(&(service, site)) {
         return 0;
     }
-    // One step of such a cost outweighs every edge from a site to the sink.
+    // One step of this cost outweighs every edge from a site to the sink.
     let step = classified.services.len() as i64 + 2;
     let smaller_rank = (classified.tiny.len() - rank) as i64;
     let rate_there = classified.rates[&(service, site)];
-    let inverse = (options.deletion_threshold / rate_there.max(LEAST_RATE)).clamp(1.0, RANK_WEIGHT as f64);
+    let inverse = (options.deletion_threshold / rate_there.max(MIN_RATE)).clamp(1.0, RANK_WEIGHT as f64);
     step * (smaller_rank * RANK_WEIGHT + inverse as i64)
 }
 
-/// Moves a tiny flow of a service, in each of its demand nodes by the same parts.
+/// Moves a tiny flow of a service, by the same fractions in each of its demand nodes.
 fn move_flow(nodes: &[DemandNode], flows: &mut Flows, tiny: &TinyFlow, moved: &[f64]) {
     let total: f64 = moved.iter().sum();
     let stays = (tiny.rate - total).max(0.0);
@@ -180,10 +184,10 @@
         if node.service != tiny.service || flow[tiny.site] <= 0.0 {
             continue;
         }
-        let lifted = flow[tiny.site];
-        flow[tiny.site] = lifted * stays / tiny.rate;
+        let original_rate = flow[tiny.site];
+        flow[tiny.site] = original_rate * stays / tiny.rate;
         for (site, rate) in moved.iter().enumerate() {
-            flow[site] += lifted * rate / tiny.rate;
+            flow[site] += original_rate * rate / tiny.rate;
         }
     }
 }
--- a/crates/placement/src/demand.rs
+++ b/crates/placement/src/demand.rs
@@ -1,4 +1,4 @@
-//! What the reports of the nodes add up to: demand, capacities and distances.
+//! Aggregation of the nodes' reports into demand, capacities and distances.
 
 use crate::assignment::{GroupSite, PlacementInput, ServiceGroup, ServiceSite};
 use crate::outcomes::Outcomes;
@@ -7,59 +7,68 @@
 use protocol::{name_hash, Report};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a site forwards of which nobody says how much it can, requests/s.
-const UNBOUNDED_RATE: f64 = 1e6;
-/// Below this many answers a worker's response time is taken for the usual one.
+/// Forwarding capacity assumed for a site that reports none, in requests/s.
+const DEFAULT_FORWARDING_RATE: f64 = 1e6;
+/// Number of responses up to which the default response time is assumed for a worker.
 const MIN_SERVED: f64 = 0.5;
 
-/// The last report of a node.
+/// The latest report of a node, and when it was received, in milliseconds.
 struct LatestReport {
-    at: u64,
+    received_at: u64,
     report: Report,
 }
 
-/// The hash of a service's name, and a client group.
+/// The hash of a service's name, and the name of a client group.
 type DemandKey = (u32, String);
 
-/// Rates, capacities and distances as the leader knows them.
+/// Request rates, capacities and distances as known to the leader.
 #[derive(Default)]
 pub struct DemandTracker {
-    /// Requests counted since the last decision.
-    counted: BTreeMap<DemandKey, f64>,
-    /// When the period under way began, ms.
-    since: Option<u64>,
-    /// Smoothed rates, requests/s.
+    /// Requests counted in the current period.
+    request_counts: BTreeMap<DemandKey, f64>,
+    /// Start of the current period, in milliseconds.
+    period_started_at: Option<u64>,
+    /// Smoothed request rates, in requests/s.
     rates: BTreeMap<DemandKey, f64>,
-    /// Reports by node and site: a node passes on those of its followers.
+    /// Latest reports by node and site, since a node also forwards the reports of its learners.
     latest: BTreeMap<(u64, String), LatestReport>,
-    /// By the hash of the worker's name.
+    /// Outcomes by the hash of the worker's name.
     outcomes: BTreeMap<u32, Outcomes>,
 }
 
 impl DemandTracker {
-    /// Counts a node's report.
+    /// Adds a node's report.
     pub fn record(&mut self, now: u64, node: u64, report: Report) {
-        self.since.get_or_insert(now.saturating_sub(report.interval_ms));
+        self.period_started_at
+            .get_or_insert(now.saturating_sub(report.interval_ms));
         for demand in &report.demand {
             let group = if demand.group.is_empty() {
                 &report.zone
             } else {
                 &demand.group
             };
-            *self.counted.entry((demand.service, group.clone())).or_default() += demand.count as f64;
+            *self
+                .request_counts
+                .entry((demand.service, group.clone()))
+                .or_default() += demand.count as f64;
         }
         for worker in &report.workers {
             self.outcomes.entry(worker.worker).or_default().add(worker);
         }
-        self.latest
-            .insert((node, report.site.clone()), LatestReport { at: now, report });
+        self.latest.insert(
+            (node, report.site.clone()),
+            LatestReport {
+                received_at: now,
+                report,
+            },
+        );
     }
 
-    /// Closes the period that ends now: smooths the rates and returns what a
-    /// decision rests on. A group that nobody reports of keeps a rate that
-    /// fades, and never falls below the threshold for deletion, so that
-    /// silence alone takes no site from it. `sites_up` are the sites whose
-    /// proxies are up; without it, no proxies stand before a site's workers.
+    /// Closes the current period: smooths the rates and returns the input of the placement
+    /// computation. The rate of a group that no node reports decays but never falls below the
+    /// deletion threshold, so that missing reports alone do not remove a site from the group.
+    /// `sites_up` names the sites whose proxies are up; if it is `None`, there are no proxies in
+    /// front of the workers, and forwarding is not limited.
     pub fn close_period(
         &mut self,
         now: u64,
@@ -69,7 +78,7 @@
     ) -> PlacementInput {
         self.smooth(now);
         self.latest
-            .retain(|_, latest| now.saturating_sub(latest.at) < c::REPORT_STALE_MS);
+            .retain(|_, latest| now.saturating_sub(latest.received_at) < c::REPORT_STALE_MS);
         let sites: BTreeSet<String> = zones.values().cloned().collect();
         let mut input = PlacementInput {
             sites: sites.into_iter().collect(),
@@ -104,50 +113,51 @@
         input
     }
 
-    /// The smoothed rate of a service's requests from a zone, requests/s.
+    /// Returns the smoothed rate of a service's requests from a zone, in requests/s.
     fn rate(&self, service: &str, zone: &str) -> f64 {
         let known = self.rates.get(&(name_hash(service), zone.to_string()));
         known.copied().unwrap_or(0.0).max(c::DELETION_THRESHOLD)
     }
 
-    /// What a site's proxies can forward, requests/s.
+    /// Returns the forwarding capacity of a site's proxies, in requests/s.
     fn forwarding_rate(&self, site: &str, sites_up: Option<&BTreeSet<String>>) -> f64 {
         let reports = self.latest.values().filter(|l| l.report.site == *site);
         let reported: f64 = reports.map(|l| l.report.forwarding_rate).sum();
         match sites_up.map(|up| up.contains(site)) {
             Some(false) => 0.0,
             Some(true) if reported > 0.0 => reported,
-            // A site that is up but whose reports are missing counts as able.
-            Some(true) | None => UNBOUNDED_RATE,
+            // A site that is up but has no reports counts as able to forward.
+            Some(true) | None => DEFAULT_FORWARDING_RATE,
         }
     }
 
     fn smooth(&mut self, now: u64) {
-        let Some(since) = self.since.replace(now) else {
+        let Some(period_started_at) = self.period_started_at.replace(now) else {
             return;
         };
-        let seconds = now.saturating_sub(since) as f64 / 1000.0;
+        let seconds = now.saturating_sub(period_started_at) as f64 / 1000.0;
         if seconds <= 0.0 {
             return;
         }
         self.outcomes
-            .retain(|_, outcomes| outcomes.fade(1.0 - c::RATE_SMOOTHING));
+            .retain(|_, outcomes| outcomes.decay(1.0 - c::RATE_SMOOTHING));
         for rate in self.rates.values_mut() {
             *rate *= 1.0 - c::RATE_SMOOTHING;
         }
-        for (key, count) in std::mem::take(&mut self.counted) {
-            let fresh = count / seconds;
+        for (key, count) in std::mem::take(&mut self.request_counts) {
+            let new_rate = count / seconds;
             match self.rates.get_mut(&key) {
-                Some(rate) => *rate += c::RATE_SMOOTHING * fresh,
+                Some(rate) => *rate += c::RATE_SMOOTHING * new_rate,
                 None => {
-                    self.rates.insert(key, fresh);
+                    self.rates.insert(key, new_rate);
                 }
             }
         }
     }
 
-    /// Slots over response time, for workers that are listed as ready, may be
-    /// used and do not mostly fail.
+    /// Adds the capacity of each usable worker, its slots divided by its response time. Workers are
+    /// skipped that are draining, ejected, in an evacuated zone, outside the service's home
+    /// regions, or fail more often than they succeed.
     fn add_worker_capacity(
         &self,
         state: &ControlState,
@@ -184,7 +194,7 @@
         }
     }
 
-    /// Mean round trip between two sites as nodes report it, ms.
+    /// Returns the mean round-trip time between two sites as reported by nodes, in milliseconds.
     fn round_trip_ms(&self, from: &str, to: &str) -> f64 {
         if from == to {
             return c::LOCAL_RTT_MS;
@@ -205,7 +215,8 @@
     }
 }
 
-/// How long a worker takes for a request, ms; the usual time if it has answered too few.
+/// Returns the mean response time of a worker, in milliseconds, or the default if it has answered
+/// too few requests.
 fn response_ms(outcomes: &Outcomes) -> f64 {
     if outcomes.served > MIN_SERVED {
         outcomes.mean_response_ms().max(1.0)
@@ -214,7 +225,8 @@
     }
 }
 
-/// The regions that the routes to a service are bound to; `None` if one of them is free.
+/// Returns, for each service, the home regions of its routes; `None` if one of its routes has no
+/// home regions.
 fn home_regions(state: &ControlState) -> BTreeMap<&str, Option<BTreeSet<&str>>> {
     let mut homes: BTreeMap<&str, Option<BTreeSet<&str>>> = BTreeMap::new();
     let Some(config) = &state.configuration else {
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,12 +1,12 @@
-//! Placement: which sites the directory points the clients of each group at,
-//! for each service; which workers are ejected; which nodes may call a warming worker.
+//! Placement: which sites the directory gives the clients of each group for each service, which
+//! workers are ejected, and which nodes may call a worker that is warming up.
 //!
-//! A site is a region, a client group is a client zone. The method is that of the project's
-//! design: a watermark-capped min-cost flow over merged groups, then a second flow that removes
-//! tiny flows, with hysteresis. All of it is pure computation, run by the leader under its lease.
+//! A site is a region; a client group is a client zone. The method is a watermark-capped min-cost
+//! flow over merged groups, then a second flow that removes tiny flows, with hysteresis. All of it
+//! is computation without I/O that the leader runs under its lease.
 //!
-//! - [`DemandTracker`] sums up the reports of the nodes to a [`PlacementInput`];
-//! - [`compute_placement`] turns that into a [`Placement`];
+//! - [`DemandTracker`] aggregates the reports of the nodes into a [`PlacementInput`];
+//! - [`compute_placement`] computes a [`Placement`] from that;
 //! - [`draw_site`] applies a placement to one client;
 //! - [`OutlierDetector`] decides which workers are ejected;
 //! - [`WarmupAdmission`] compares the platform's list of workers with the control state.
--- a/crates/placement/src/min_cost_flow.rs
+++ b/crates/placement/src/min_cost_flow.rs
@@ -1,39 +1,40 @@
-//! Min-cost flow by successive shortest paths. The networks here have a few
-//! dozen nodes, so a plain Bellman-Ford search is quick enough.
+//! Min-cost flow by successive shortest paths. The networks here have a few dozen nodes, so a plain
+//! Bellman-Ford search is fast enough.
 
 #[derive(Clone, Debug)]
 struct Edge {
     to: usize,
-    /// Flow that still fits.
+    /// Remaining capacity.
     residual: i64,
     cost: i64,
 }
 
-/// A network under construction, and then with its flow.
+/// A flow network, and the flow on it once it is solved.
 #[derive(Clone, Debug, Default)]
 pub struct Network {
     edges: Vec<Edge>,
-    /// Edges by node; the reverse of an edge is its number with the last bit flipped.
+    /// Indices of the outgoing edges by node. The index of an edge's reverse differs in the lowest
+    /// bit.
     outgoing: Vec<Vec<usize>>,
 }
 
 /// A flow from source to sink.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Solution {
-    /// Units that flow.
+    /// Units of flow.
     pub amount: i64,
-    /// Sum over the edges of units times cost.
+    /// Total cost: the sum over the edges of units times cost.
     pub cost: i64,
 }
 
-/// A path of edges and the sum of their costs.
+/// A path of edges, and the sum of their costs.
 struct Path {
     edges: Vec<usize>,
     cost: i64,
 }
 
 impl Network {
-    /// A network of so many nodes without edges.
+    /// Creates a network of `nodes` nodes without edges.
     pub fn new(nodes: usize) -> Network {
         Network {
             edges: Vec::new(),
@@ -62,12 +63,12 @@
         number
     }
 
-    /// The flow on an edge.
+    /// Returns the flow on an edge.
     pub fn flow(&self, edge: usize) -> i64 {
         self.edges[edge ^ 1].residual
     }
 
-    /// Sends as much as possible from the source to the sink at the least cost.
+    /// Sends as much flow as possible from the source to the sink at the lowest cost.
     pub fn solve(&mut self, source: usize, sink: usize) -> Solution {
         let mut solution = Solution { amount: 0, cost: 0 };
         while let Some(path) = self.shortest_path(source, sink) {
@@ -83,20 +84,20 @@
         solution
     }
 
-    /// The cheapest path on which something still fits.
+    /// Returns the cheapest path with remaining capacity.
     fn shortest_path(&self, source: usize, sink: usize) -> Option<Path> {
         let mut distance = vec![i64::MAX; self.outgoing.len()];
-        let mut reached_by = vec![usize::MAX; self.outgoing.len()];
+        let mut incoming_edge = vec![usize::MAX; self.outgoing.len()];
         distance[source] = 0;
-        while self.relax(&mut distance, &mut reached_by) {}
+        while self.relax(&mut distance, &mut incoming_edge) {}
         if distance[sink] == i64::MAX {
             return None;
         }
         let mut edges = Vec::new();
         let mut node = sink;
         while node != source {
-            edges.push(reached_by[node]);
-            node = self.edges[reached_by[node] ^ 1].to;
+            edges.push(incoming_edge[node]);
+            node = self.edges[incoming_edge[node] ^ 1].to;
         }
         edges.reverse();
         Some(Path {
@@ -105,8 +106,8 @@
         })
     }
 
-    /// One Bellman-Ford pass over all edges; whether any distance fell.
-    fn relax(&self, distance: &mut [i64], reached_by: &mut [usize]) -> bool {
+    /// Performs one Bellman-Ford pass over all edges. Returns whether any distance decreased.
+    fn relax(&self, distance: &mut [i64], incoming_edge: &mut [usize]) -> bool {
         let mut changed = false;
         for from in 0..self.outgoing.len() {
             if distance[from] == i64::MAX {
@@ -116,7 +117,7 @@
                 let edge = &self.edges[number];
                 if edge.residual > 0 && distance[from] + edge.cost < distance[edge.to] {
                     distance[edge.to] = distance[from] + edge.cost;
-                    reached_by[edge.to] = number;
+                    incoming_edge[edge.to] = number;
                     changed = true;
                 }
             }
--- a/crates/placement/src/outcomes.rs
+++ b/crates/placement/src/outcomes.rs
@@ -1,35 +1,35 @@
-//! Outcomes of requests to one worker, as all nodes report them; older ones fade.
+//! Outcomes of requests to one worker, summed over all nodes. Older outcomes decay.
 
 use protocol::WorkerStats;
 
-/// Below this many outcomes a worker is forgotten.
-const FORGET_BELOW: f64 = 0.1;
-/// Keeps divisions by a count defined.
-const EPSILON: f64 = 1e-9;
+/// Number of outcomes below which a worker's entry is dropped.
+const MIN_RETAINED_COUNT: f64 = 0.1;
+/// Lower bound of a divisor, which avoids division by zero.
+const MIN_DIVISOR: f64 = 1e-9;
 
-/// Outcomes of a worker.
+/// Decaying counts of a worker's outcomes.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Outcomes {
     pub(crate) served: f64,
     pub(crate) failed: f64,
-    /// Sum of the response times of those served, ms.
+    /// Sum of the response times of served requests, in milliseconds.
     response_ms: f64,
 }
 
 impl Outcomes {
-    /// Adds what a node reports.
+    /// Adds a node's counts.
     pub(crate) fn add(&mut self, stats: &WorkerStats) {
         self.served += stats.served as f64;
         self.failed += stats.failed as f64;
         self.response_ms += f64::from(stats.response_ms) * stats.served as f64;
     }
 
-    /// Keeps a part of all; whether enough is left to be remembered.
-    pub(crate) fn fade(&mut self, retention: f64) -> bool {
+    /// Multiplies all counts by `retention`. Returns whether the entry is worth keeping.
+    pub(crate) fn decay(&mut self, retention: f64) -> bool {
         self.served *= retention;
         self.failed *= retention;
         self.response_ms *= retention;
-        self.count() > FORGET_BELOW
+        self.count() > MIN_RETAINED_COUNT
     }
 
     pub(crate) fn count(&self) -> f64 {
@@ -37,11 +37,11 @@
     }
 
     pub(crate) fn failure_rate(&self) -> f64 {
-        self.failed / self.count().max(EPSILON)
+        self.failed / self.count().max(MIN_DIVISOR)
     }
 
-    /// Mean response time, ms; 0 if none was served.
+    /// Returns the mean response time in milliseconds, or 0 if no request was served.
     pub(crate) fn mean_response_ms(&self) -> f64 {
-        self.response_ms / self.served.max(EPSILON)
+        self.response_ms / self.served.max(MIN_DIVISOR)
     }
 }
--- a/crates/placement/src/outlier.rs
+++ b/crates/placement/src/outlier.rs
@@ -1,6 +1,6 @@
-//! Outlier detection: which workers are ejected for a while because they fail, or lag far behind
-//! the others of their service. One node sees few requests of each worker; the leader sees them
-//! all. Health answers do not count: what requests show outweighs them.
+//! Outlier detection: ejects workers for a time if they fail, or are much slower than the other
+//! workers of their service. The leader decides, since one node sees few requests of each worker
+//! and the leader sees all. Health checks are ignored: the outcomes of requests outweigh them.
 
 use crate::outcomes::Outcomes;
 use config::constants as c;
@@ -11,19 +11,19 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Ejection {
-    /// When it ends, ms.
+    /// Time at which the ejection ends, in milliseconds.
     until: u64,
     duration_ms: u64,
 }
 
-/// Outcomes by worker, and the ejections that they have led to.
+/// Outcomes by worker, and the resulting ejections.
 #[derive(Default)]
 pub struct OutlierDetector {
-    /// By the hash of the worker's name; they fade at each evaluation.
+    /// Outcomes by the hash of the worker's name. They decay at each evaluation.
     outcomes: BTreeMap<u32, Outcomes>,
     ejections: BTreeMap<String, Ejection>,
-    /// Nobody is ejected anew before then, ms.
-    settled_at: u64,
+    /// Time before which no worker is newly ejected, in milliseconds.
+    ejections_allowed_at: u64,
 }
 
 fn median(mut values: Vec<f64>) -> f64 {
@@ -32,27 +32,27 @@
 }
 
 impl OutlierDetector {
-    /// Begins the duty of a new leader: for [`c::OUTLIER_SETTLE_MS`] nobody is ejected anew.
+    /// Resets the state for a new leader. For [`c::OUTLIER_SETTLE_MS`] no worker is newly ejected.
     pub fn reset(&mut self, now: u64) {
         *self = OutlierDetector {
-            settled_at: now + c::OUTLIER_SETTLE_MS,
+            ejections_allowed_at: now + c::OUTLIER_SETTLE_MS,
             ..Default::default()
         };
     }
 
-    /// Counts what a node reports of its workers.
+    /// Adds a node's counts of its workers' outcomes.
     pub fn record(&mut self, stats: &[WorkerStats]) {
         for worker in stats {
             self.outcomes.entry(worker.worker).or_default().add(worker);
         }
     }
 
-    /// The workers that are ejected from now on.
+    /// Evaluates all services and returns the workers that are ejected from now on.
     pub fn evaluate(&mut self, now: u64, state: &ControlState) -> BTreeSet<String> {
         self.adopt_ejections(now, state);
         for (id, ejection) in &self.ejections {
             if now < ejection.until {
-                // What it did before does not count when it comes back.
+                // Outcomes from before and during the ejection do not count afterwards.
                 self.outcomes.remove(&name_hash(id));
             }
         }
@@ -61,14 +61,14 @@
             ejected.extend(self.evaluate_service(now, state, service, &workers));
         }
         self.outcomes
-            .retain(|_, outcomes| outcomes.fade(c::OUTLIER_RETENTION));
+            .retain(|_, outcomes| outcomes.decay(c::OUTLIER_RETENTION));
         self.ejections.retain(|id, ejection| {
             state.workers.contains_key(id) && now < ejection.until + 2 * c::EJECTION_MAX_MS
         });
         ejected
     }
 
-    /// Takes over the ejections of an earlier leader.
+    /// Adopts the ejections of an earlier leader.
     fn adopt_ejections(&mut self, now: u64, state: &ControlState) {
         for id in state.ejected.iter() {
             self.ejections.entry(id.clone()).or_insert(Ejection {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Compares the workers of a service with each other; those that are ejected.
+    /// Compares the workers of a service with each other and returns those that are ejected.
     fn evaluate_service(
         &mut self,
         now: u64,
@@ -87,22 +87,28 @@
         workers: &[&str],
     ) -> Vec<String> {
         let is_ejected = |id: &str| self.ejections.get(id).is_some_and(|e| now < e.until);
-        let already: Vec<&str> = workers.iter().copied().filter(|id| is_ejected(id)).collect();
-        let outliers = if now < self.settled_at {
+        let still_ejected: Vec<&str> = workers.iter().copied().filter(|id| is_ejected(id)).collect();
+        let outliers = if now < self.ejections_allowed_at {
             Vec::new()
         } else {
             self.outliers(state, service, workers)
         };
         let limit = (workers.len() as f64 * c::MAX_EJECTED_PART) as usize;
-        let fresh = outliers.into_iter().filter(|id| !already.contains(id));
-        let fresh: Vec<&str> = fresh.take(limit.saturating_sub(already.len())).collect();
-        for id in &fresh {
+        let newly_ejected = outliers.into_iter().filter(|id| !still_ejected.contains(id));
+        let newly_ejected: Vec<&str> = newly_ejected
+            .take(limit.saturating_sub(still_ejected.len()))
+            .collect();
+        for id in &newly_ejected {
             self.eject(now, id);
         }
-        fresh.into_iter().chain(already).map(str::to_string).collect()
+        newly_ejected
+            .into_iter()
+            .chain(still_ejected)
+            .map(str::to_string)
+            .collect()
     }
 
-    /// Ejects a worker, each time for twice as long as the last.
+    /// Ejects a worker. Each ejection lasts twice as long as the one before, up to a maximum.
     fn eject(&mut self, now: u64, id: &str) {
         let last = self.ejections.get(id);
         let duration_ms = last.map_or(c::EJECTION_MS, |ejection| ejection.duration_ms * 2);
@@ -112,34 +118,35 @@
             .insert(id.to_string(), Ejection { until, duration_ms });
     }
 
-    /// The workers of a service that fail or lag far more than its median worker, worst first.
+    /// Returns the workers whose failure rate or response time is far above the service's median,
+    /// worst first.
     fn outliers<'a>(&self, state: &ControlState, service: &str, workers: &[&'a str]) -> Vec<&'a str> {
-        let known: Vec<(&str, Outcomes)> = workers
+        let measured: Vec<(&str, Outcomes)> = workers
             .iter()
             .filter_map(|id| Some((*id, *self.outcomes.get(&name_hash(id))?)))
             .filter(|(_, outcomes)| outcomes.count() >= c::OUTLIER_MIN_OUTCOMES)
             .collect();
-        let failure_rates = known.iter().map(|(_, outcomes)| outcomes.failure_rate());
-        let usual_failure_rate = median(failure_rates.collect());
+        let failure_rates = measured.iter().map(|(_, outcomes)| outcomes.failure_rate());
+        let median_failure_rate = median(failure_rates.collect());
         let has_served = |outcomes: &Outcomes| outcomes.served >= c::OUTLIER_MIN_OUTCOMES;
-        let answered = known.iter().filter(|(_, outcomes)| has_served(outcomes));
-        let usual_ms = median(
+        let answered = measured.iter().filter(|(_, outcomes)| has_served(outcomes));
+        let median_ms = median(
             answered
                 .map(|(_, outcomes)| outcomes.mean_response_ms())
                 .collect(),
         );
-        // A worker of a partitioned service that lags may only have busy keys.
+        // A slow worker of a partitioned service may only hold busy keys.
         let is_partitioned = state.service(service).is_some_and(|s| s.partitioned);
         let excess = |outcomes: &Outcomes| {
-            let failures = (outcomes.failure_rate() - usual_failure_rate) / c::OUTLIER_EXCESS_FAILURES;
+            let failures = (outcomes.failure_rate() - median_failure_rate) / c::OUTLIER_EXCESS_FAILURES;
             let slowness = if is_partitioned || !has_served(outcomes) {
                 0.0
             } else {
-                outcomes.mean_response_ms() / (usual_ms.max(1.0) * c::OUTLIER_SLOWNESS)
+                outcomes.mean_response_ms() / (median_ms.max(1.0) * c::OUTLIER_SLOWNESS)
             };
             failures.max(slowness)
         };
-        let mut outliers: Vec<(f64, &str)> = known
+        let mut outliers: Vec<(f64, &str)> = measured
             .iter()
             .map(|(id, outcomes)| (excess(outcomes), *id))
             .filter(|(excess, _)| *excess > 1.0)
@@ -149,8 +156,8 @@
     }
 }
 
-/// The workers that may be ejected, by service. Those of a version on trial are left to the
-/// rollout, which judges the version as a whole.
+/// Returns the workers that may be ejected, by service. Workers of a version under rollout are left
+/// to the rollout, which evaluates the version as a whole.
 fn candidates(state: &ControlState) -> BTreeMap<&str, Vec<&str>> {
     let mut services: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     let may_be_ejected = |worker: &&Worker| !worker.draining && state.cohort(worker) == Cohort::Old;
--- a/crates/placement/src/warmup_admission.rs
+++ b/crates/placement/src/warmup_admission.rs
@@ -1,66 +1,68 @@
-//! Which nodes may call a warming worker, and what of the platform's list of workers the log is
-//! told. A pure state machine of the leader's.
+//! Which nodes may call a worker that is warming up, and which differences between the platform's
+//! list of workers and the control state are logged. A state machine without I/O that runs on the
+//! leader.
 //!
-//! All nodes together may give a warming worker so many requests in any second. That many shares
-//! exist and no more: a warm-up group names the nodes that hold them, in the log, and a node that
-//! is not named has none.
+//! All nodes together may send a warming worker a limited number of requests in any second. There
+//! are that many shares and no more. A warm-up group in the log names the nodes that hold the
+//! shares; a node that is not named has none.
 
 use config::{constants as c, settings::Bounds, warmup_limit};
 use control_state::ControlState;
 use protocol::{name_hash, WarmupGroup, Worker, WorkersChange};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A node that takes clients.
+/// A node that serves clients.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxyNode {
-    /// Number of the node in the control state.
+    /// Identifier of the node in the control state.
     pub id: u64,
-    /// Zone that it is in.
+    /// Zone of the node.
     pub zone: String,
 }
 
-/// What was announced of a worker's warming.
+/// The last logged announcement of a worker's warm-up.
 #[derive(Clone, Copy, Debug)]
 struct Announcement {
-    /// When, ms.
+    /// Time of the announcement, in milliseconds.
     at: u64,
-    /// How long it was said to warm, ms.
+    /// Announced end of the warm-up, in milliseconds.
     until: u64,
 }
 
-/// What the list is compared with.
+/// Input of a comparison with the platform's list of workers.
 pub struct DiscoveryInput<'a> {
     /// The control state.
     pub state: &'a ControlState,
-    /// The index that the log stood at before the list was read.
+    /// Log index before the list was read.
     pub as_of: u64,
-    /// The nodes that take clients.
+    /// Nodes that serve clients.
     pub nodes: &'a [ProxyNode],
-    /// Bounds that the operator set.
+    /// Bounds set by the operator.
     pub bounds: &'a Bounds,
-    /// How far the list is behind, ms.
+    /// Lag of the list, in milliseconds.
     pub lag_ms: u64,
-    /// The pages that the list was read in, one after the other.
+    /// Number of pages in which the list was read, one after the other.
     pub pages: u64,
 }
 
-/// The comparison of the platform's list with the control state, and what it has announced.
+/// Compares the platform's list of workers with the control state, and keeps track of what was
+/// announced.
 #[derive(Debug, Default)]
 pub struct WarmupAdmission {
     announced: HashMap<String, Announcement>,
-    /// Readings in a row that left a worker out, by its identifier.
+    /// Number of consecutive readings that omitted a worker, by its identifier.
     absences: BTreeMap<String, u32>,
 }
 
 impl WarmupAdmission {
-    /// Begins the duty of a new leader: what was announced earlier is not known.
+    /// Resets the state for a new leader, which does not know earlier announcements.
     pub fn reset(&mut self) {
         self.announced.clear();
         self.absences.clear();
     }
 
-    /// What the list says that the control state does not. In the list, `warmup_ms` is how much
-    /// longer a worker warms.
+    /// Returns the differences of the list from the control state. In the list, `warmup_ms` is the
+    /// remaining warm-up time.
     pub fn compare(
         &mut self,
         now: u64,
@@ -101,16 +103,16 @@
         change
     }
 
-    /// The workers that have ended, as far as the list can say. The pages of a list are made at
-    /// different moments: as entries go, one that stays can move from a page that was not read
-    /// yet to one that was, and stand on neither.
+    /// Returns the workers that have ended, as far as the list shows. The pages of a list are made
+    /// at different moments: when entries are removed, an entry that stays can move from a page not
+    /// read yet to one already read, and appear on neither.
     fn removed(&mut self, listed: &BTreeMap<String, Worker>, input: &DiscoveryInput) -> Vec<String> {
         let absent = input.state.workers.keys().filter(|id| !listed.contains_key(*id));
-        let counted = absent.map(|id| (id.clone(), self.absences.get(id).unwrap_or(&0) + 1));
-        self.absences = counted.collect();
+        let absences = absent.map(|id| (id.clone(), self.absences.get(id).unwrap_or(&0) + 1));
+        self.absences = absences.collect();
         let needed = if input.pages > 1 { c::ABSENT_READINGS } else { 1 };
-        let gone = self.absences.iter().filter(|(_, readings)| **readings >= needed);
-        gone.map(|(id, _)| id.clone()).collect()
+        let ended = self.absences.iter().filter(|(_, readings)| **readings >= needed);
+        ended.map(|(id, _)| id.clone()).collect()
     }
 
     fn compare_worker(&mut self, now: u64, listed: &Worker, input: &DiscoveryInput) -> Difference {
@@ -118,7 +120,7 @@
         let known = state.workers.get(&listed.id).map(|worker| &**worker);
         let is_unknown = known.is_some_and(|worker| state.is_warmup_unknown(worker));
         let announced = self.announced.get(&listed.id).copied();
-        // The list may not show yet what was the reason to call it warming.
+        // The list may not yet show the reason for the announced warm-up.
         let settling = announced.filter(|a| now < a.at + input.lag_ms + c::WARMUP_MARGIN_MS);
         let warms_longer = listed.warmup_ms > 0
             && announced.is_none_or(|a| now + listed.warmup_ms > a.until + c::WARMUP_MARGIN_MS);
@@ -136,7 +138,7 @@
             return Difference::None;
         }
         if announced.is_none() {
-            // A new leader waits as if it had announced it itself.
+            // A new leader waits as if it had made the announcement itself.
             let (at, until) = (now, now);
             self.announced
                 .insert(listed.id.clone(), Announcement { at, until });
@@ -149,17 +151,17 @@
     }
 }
 
-/// How a worker's row in the list differs from the control state.
+/// Difference between a worker's entry in the list and the control state.
 enum Difference {
-    /// Nothing that the log must be told.
+    /// Nothing needs to be logged.
     None,
-    /// It has become warm.
+    /// The worker has become warm.
     Warm,
-    /// It is new or changed, and warms so much longer.
+    /// The worker is new or changed, and warms up for another `warmup_ms` milliseconds.
     Changed { warmup_ms: u64 },
 }
 
-/// Whether there is nothing to be told.
+/// Returns whether a change contains nothing to log.
 pub fn is_empty_change(change: &WorkersChange) -> bool {
     change.put.is_empty() && change.removed.is_empty() && change.warm.is_empty()
 }
@@ -173,22 +175,23 @@
         && known.slots == listed.slots
 }
 
-/// The warm-up groups that workers are given in one comparison.
+/// Assigns warm-up groups to workers during one comparison.
 struct GroupAssignment<'a> {
     input: &'a DiscoveryInput<'a>,
-    /// Numbers of the groups of a service and a zone (empty for holders of keys, whom all call).
+    /// Numbers of the groups by service and zone. The zone is empty for workers of partitioned
+    /// services, which nodes of all zones call.
     assigned: HashMap<(String, String), Vec<u32>>,
-    /// Groups that the log does not have yet.
+    /// Groups that are not in the log yet.
     new: Vec<WarmupGroup>,
 }
 
 impl GroupAssignment<'_> {
-    /// The group of a worker that warms so much longer.
+    /// Returns the group of a worker that warms up for another `warmup_ms` milliseconds.
     fn group_of(&mut self, listed: &Worker, warmup_ms: u64) -> u32 {
         let state = self.input.state;
         match state.workers.get(&listed.id) {
             Some(worker) if warmup_ms == 0 => worker.warmup_group,
-            // Two groups in one warm-up would have shares twice.
+            // A second group within one warm-up would hand out the shares twice.
             Some(worker)
                 if worker.warmup_ms > 0 && state.warmup_groups.contains_key(&worker.warmup_group) =>
             {
@@ -200,8 +203,9 @@
         }
     }
 
-    /// Whether half of a group is up: it stays with its worker as long, so that what a node that
-    /// lags behind still goes by is the same. While the worker warms it stays whoever is up.
+    /// Returns whether at least half of a group's nodes are up. As long as they are, the worker
+    /// keeps the group, so that a node that lags behind still uses the same one. While the worker
+    /// warms up it keeps the group in any case.
     fn is_half_up(&self, group: u32) -> bool {
         let Some(members) = self.input.state.warmup_groups.get(&group) else {
             return false;
@@ -224,7 +228,8 @@
         numbers[name_hash(&listed.id) as usize % numbers.len()]
     }
 
-    /// Divides nodes into groups of at most `limit`; the numbers of the groups.
+    /// Divides the calling nodes into groups of at most `limit` nodes, and returns the numbers of
+    /// the groups.
     fn divide_nodes(&mut self, limit: usize, is_caller: impl Fn(&ProxyNode) -> bool) -> Vec<u32> {
         let callers = self.input.nodes.iter().filter(|node| is_caller(node));
         let nodes: BTreeSet<u64> = callers.map(|node| node.id).collect();
@@ -237,7 +242,7 @@
             .collect()
     }
 
-    /// The number that a group has, or is given now.
+    /// Returns the number of the group with these members. A new group is given the next number.
     fn number_of(&mut self, members: BTreeSet<u64>) -> u32 {
         let known = &self.input.state.warmup_groups;
         if let Some((number, _)) = known.iter().find(|(_, nodes)| ***nodes == members) {
--- a/crates/placement/src/weighted_choice.rs
+++ b/crates/placement/src/weighted_choice.rs
@@ -1,10 +1,10 @@
-//! Application of a placement to one client.
+//! Weighted choice of a site for one client.
 
 use protocol::SiteFraction;
 
-/// Draws a site for a service and client group with the probabilities of the
-/// fractions. `usable` says which sites can be answered with now; `chance` is
-/// a number from 0 up to 1. `None` without any fraction for a usable site.
+/// Draws a site for a service and client group with the probabilities given by the fractions.
+/// `usable` returns whether a site may be returned now; `chance` is a number in [0, 1). Returns
+/// `None` if no usable site has a fraction.
 pub fn draw_site<'a>(
     fractions: &'a [SiteFraction],
     service: &str,
@@ -17,10 +17,10 @@
         .filter(|f| f.service == service && f.group == group && f.part > 0.0 && usable(&f.site))
         .collect();
     let total: f64 = candidates.iter().map(|f| f.part).sum();
-    let mut left = chance * total;
+    let mut remaining = chance * total;
     for candidate in &candidates {
-        left -= candidate.part;
-        if left < 0.0 {
+        remaining -= candidate.part;
+        if remaining < 0.0 {
             return Some(&candidate.site);
         }
     }
--- a/crates/placement/tests/min_cost_flow.rs
+++ b/crates/placement/tests/min_cost_flow.rs
@@ -1,23 +1,23 @@
-//! Min-cost flow against a search of all flows.
+//! Min-cost flow compared with an exhaustive search.
 
 use placement::{Network, Solution};
 
-/// The least cost over all ways to send `want` units, found by trying all.
-fn brute_force(supply: &[i64], room: &[i64], cost: &[[i64; 2]]) -> Solution {
+/// Returns the largest flow and its lowest cost, found by an exhaustive search.
+fn brute_force(supply: &[i64], site_capacity: &[i64], cost: &[[i64; 2]]) -> Solution {
     let mut best = (0, 0);
-    let mut tries = vec![(0usize, [0i64; 2], 0i64, 0i64)];
-    while let Some((at, used, sent, paid)) = tries.pop() {
-        if at == supply.len() {
-            if sent > best.0 || sent == best.0 && paid < best.1 {
-                best = (sent, paid);
+    let mut partial_flows = vec![(0usize, [0i64; 2], 0i64, 0i64)];
+    while let Some((group, used, sent, total_cost)) = partial_flows.pop() {
+        if group == supply.len() {
+            if sent > best.0 || sent == best.0 && total_cost < best.1 {
+                best = (sent, total_cost);
             }
             continue;
         }
-        for a in 0..=supply[at] {
-            for b in 0..=supply[at] - a {
-                if used[0] + a <= room[0] && used[1] + b <= room[1] {
-                    let paid = paid + a * cost[at][0] + b * cost[at][1];
-                    tries.push((at + 1, [used[0] + a, used[1] + b], sent + a + b, paid));
+        for a in 0..=supply[group] {
+            for b in 0..=supply[group] - a {
+                if used[0] + a <= site_capacity[0] && used[1] + b <= site_capacity[1] {
+                    let total_cost = total_cost + a * cost[group][0] + b * cost[group][1];
+                    partial_flows.push((group + 1, [used[0] + a, used[1] + b], sent + a + b, total_cost));
                 }
             }
         }
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn agrees_with_trying_everything() {
+fn min_cost_flow_agrees_with_exhaustive_search() {
     let mut state = 7u64;
     let mut next = |n: u64| {
         state = state
@@ -39,7 +39,7 @@
     };
     for _ in 0..60 {
         let supply = [next(5), next(5), next(4)];
-        let room = [next(7), next(7)];
+        let site_capacity = [next(7), next(7)];
         let cost = [[next(9), next(9)], [next(9), next(9)], [next(9), next(9)]];
         let mut network = Network::new(7);
         for g in 0..3 {
@@ -48,9 +48,9 @@
                 network.add_edge(1 + g, 4 + s, i64::MAX / 4, *cost);
             }
         }
-        for (s, room) in room.iter().enumerate() {
-            network.add_edge(4 + s, 6, *room, 0);
+        for (s, site_capacity) in site_capacity.iter().enumerate() {
+            network.add_edge(4 + s, 6, *site_capacity, 0);
         }
-        assert_eq!(network.solve(0, 6), brute_force(&supply, &room, &cost));
+        assert_eq!(network.solve(0, 6), brute_force(&supply, &site_capacity, &cost));
     }
 }
--- a/crates/placement/tests/outlier.rs
+++ b/crates/placement/tests/outlier.rs
@@ -1,4 +1,4 @@
-//! Outlier detection by the outcomes of attempts.
+//! Outlier detection based on the outcomes of attempts.
 
 use config::constants as c;
 use control_state::ControlState;
@@ -25,11 +25,11 @@
     state
 }
 
-/// What a second of traffic shows when these workers fail two in five, and
-/// those record eight times as long.
-fn record_second(detector: &mut OutlierDetector, count: usize, grey: &[usize], slow: &[usize]) {
+/// Records a second of traffic in which the `failing` workers fail two of five requests, and the
+/// `slow` workers take eight to ten times as long.
+fn record_second(detector: &mut OutlierDetector, count: usize, failing: &[usize], slow: &[usize]) {
     for i in 0..count {
-        let failed = if grey.contains(&i) { 4 } else { 0 };
+        let failed = if failing.contains(&i) { 4 } else { 0 };
         detector.record(&[WorkerStats {
             worker: name_hash(&format!("w{i}")),
             response_ms: if slow.contains(&i) { 800.0 } else { 80.0 + i as f32 },
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn workers_that_fail_or_lag_are_ejected_and_longer_the_next_time() {
+fn failing_and_slow_workers_are_ejected_again_while_they_stay_bad() {
     let mut state = state(20);
     let mut detector = OutlierDetector::default();
     let names = |set: &BTreeSet<String>| set.iter().cloned().collect::<Vec<_>>().join(" ");
@@ -61,8 +61,11 @@
         }
         state.ejected = Arc::new(ejected);
     }
-    assert!(last_seen > 15_000, "what stays ill is ejected again: {last_seen}");
-    // Well again: taken back for good.
+    assert!(
+        last_seen > 15_000,
+        "a worker that stays bad must be ejected again: {last_seen}"
+    );
+    // The workers have recovered and must stay in use.
     for t in (20_000..40_000).step_by(500) {
         record_second(&mut detector, 20, &[], &[]);
         state.ejected = Arc::new(detector.evaluate(t, &state));
@@ -71,7 +74,7 @@
 }
 
 #[test]
-fn a_new_leader_ejects_nobody_at_first_but_keeps_the_ejected() {
+fn new_leader_ejects_no_worker_at_first_but_keeps_current_ejections() {
     let mut state = state(20);
     state.ejected = Arc::new(BTreeSet::from(["w9".to_string()]));
     let mut detector = OutlierDetector::default();
@@ -88,12 +91,15 @@
 }
 
 #[test]
-fn what_strikes_all_ejects_nobody_and_never_more_than_the_cap() {
+fn common_failures_eject_no_worker_and_ejections_are_capped() {
     let state = state(20);
     let mut detector = OutlierDetector::default();
     for t in (0..5000).step_by(500) {
         record_second(&mut detector, 20, &(0..20).collect::<Vec<_>>(), &[]);
-        assert!(detector.evaluate(t, &state).is_empty(), "all fail alike");
+        assert!(
+            detector.evaluate(t, &state).is_empty(),
+            "all workers fail at the same rate"
+        );
     }
     let mut detector = OutlierDetector::default();
     for t in (0..5000).step_by(500) {
--- a/crates/placement/tests/warmup_admission.rs
+++ b/crates/placement/tests/warmup_admission.rs
@@ -1,4 +1,4 @@
-//! What the log is told of the platform's list of workers, and the warm-up groups.
+//! Changes logged from the platform's list of workers, and warm-up groups.
 
 use config::settings::Bounds;
 use control_state::ControlState;
@@ -15,7 +15,7 @@
     list: BTreeMap<String, Worker>,
     nodes: Vec<ProxyNode>,
     now: u64,
-    /// Pages that the list is read in.
+    /// Number of pages in which the list is read.
     pages: u64,
 }
 
@@ -46,7 +46,7 @@
         self.state.apply(index, &Change::encode(kind));
     }
 
-    fn list(&mut self, id: &str, service: &str, warmup_ms: u64) {
+    fn list_worker(&mut self, id: &str, service: &str, warmup_ms: u64) {
         let row = Worker {
             id: id.into(),
             service: service.into(),
@@ -57,8 +57,8 @@
         self.list.insert(id.into(), row);
     }
 
-    /// One look at the list after so many ms; what it changed.
-    fn look(&mut self, ms: u64) -> WorkersChange {
+    /// Reads the list `ms` milliseconds later and returns the resulting change.
+    fn read_list(&mut self, ms: u64) -> WorkersChange {
         self.now += ms;
         let bounds = Bounds {
             cold_excess: 1.5,
@@ -87,176 +87,196 @@
 }
 
 #[test]
-fn a_warming_worker_has_no_more_callers_than_shares_and_every_node_calls_some() {
-    let mut p = Leader::new(60);
+fn warming_worker_has_no_more_callers_than_shares_and_every_node_calls_some() {
+    let mut leader = Leader::new(60);
     for i in 0..40 {
-        p.list(&format!("w{i}"), "s", 3000);
-        p.list(&format!("k{i}"), "k", 3000);
+        leader.list_worker(&format!("w{i}"), "s", 3000);
+        leader.list_worker(&format!("k{i}"), "k", 3000);
     }
-    p.look(0);
+    leader.read_list(0);
     let mut called: BTreeSet<u64> = BTreeSet::new();
     for i in 0..40 {
-        let own = p.group(&format!("w{i}"));
-        assert!(own.len() <= 7 && !own.is_empty(), "{own:?}");
-        assert!(own.iter().all(|n| n % 2 == 1), "of its zone: {own:?}");
-        called.extend(own);
-        let keyed = p.group(&format!("k{i}"));
-        assert!(keyed.len() <= 7 && keyed.iter().any(|n| n % 2 == 0), "{keyed:?}");
+        let callers = leader.group(&format!("w{i}"));
+        assert!(callers.len() <= 7 && !callers.is_empty(), "{callers:?}");
+        assert!(
+            callers.iter().all(|n| n % 2 == 1),
+            "callers must be in the worker's zone: {callers:?}"
+        );
+        called.extend(callers);
+        let callers_of_partitioned = leader.group(&format!("k{i}"));
+        assert!(
+            callers_of_partitioned.len() <= 7 && callers_of_partitioned.iter().any(|n| n % 2 == 0),
+            "{callers_of_partitioned:?}"
+        );
     }
-    assert_eq!(called.len(), 30, "no node of the zone is left out");
+    assert_eq!(called.len(), 30, "every node of the zone must call some worker");
     assert!(
-        is_empty_change(&p.look(200)),
-        "what was announced is not announced again"
+        is_empty_change(&leader.read_list(200)),
+        "an announced warm-up must not be announced again"
     );
 }
 
 #[test]
-fn warm_is_announced_once_the_list_must_show_it() {
-    let mut p = Leader::new(4);
-    p.list("w", "s", 3000);
-    p.look(0);
-    p.list("w", "s", 2200);
-    assert!(is_empty_change(&p.look(800)));
-    p.list("w", "s", 0);
-    assert_eq!(p.look(2300).warm, ["w"]);
-    assert_eq!(p.state.workers["w"].warmup_ms, 0);
-    assert!(is_empty_change(&p.look(500)));
-    p.list("w", "s", 3000);
-    let group = p.group("w");
-    assert_eq!(p.look(500).put.len(), 1, "warming again, the same incarnation");
-    assert_eq!((p.group("w"), p.state.warmup_groups.len()), (group, 1));
+fn worker_is_announced_warm_once_the_list_must_show_it() {
+    let mut leader = Leader::new(4);
+    leader.list_worker("w", "s", 3000);
+    leader.read_list(0);
+    leader.list_worker("w", "s", 2200);
+    assert!(is_empty_change(&leader.read_list(800)));
+    leader.list_worker("w", "s", 0);
+    assert_eq!(leader.read_list(2300).warm, ["w"]);
+    assert_eq!(leader.state.workers["w"].warmup_ms, 0);
+    assert!(is_empty_change(&leader.read_list(500)));
+    leader.list_worker("w", "s", 3000);
+    let group = leader.group("w");
+    assert_eq!(
+        leader.read_list(500).put.len(),
+        1,
+        "warming again, the same incarnation"
+    );
+    assert_eq!((leader.group("w"), leader.state.warmup_groups.len()), (group, 1));
 }
 
 #[test]
-fn a_warming_worker_keeps_its_group_whoever_ends() {
-    let mut p = Leader::new(8);
-    p.list("w", "s", 3000);
-    p.look(0);
-    let group = p.group("w");
-    // Many nodes end and are back with new numbers; a new leader announces again.
-    for n in &mut p.nodes {
+fn warming_worker_keeps_its_group_when_nodes_restart() {
+    let mut leader = Leader::new(8);
+    leader.list_worker("w", "s", 3000);
+    leader.read_list(0);
+    let group = leader.group("w");
+    // All nodes restart with new numbers, and a new leader announces again.
+    for n in &mut leader.nodes {
         n.id += 100;
     }
-    p.admission.reset();
-    p.list("w", "s", 2800);
-    assert_eq!(p.look(200).put.len(), 1);
-    assert_eq!(p.group("w"), group, "no second shares within one warm-up");
-    p.list("w", "s", 0);
-    p.look(3000);
-    assert_eq!(p.look(1200).warm.len(), 0);
-    p.list("w", "s", 3000);
-    p.look(500);
+    leader.admission.reset();
+    leader.list_worker("w", "s", 2800);
+    assert_eq!(leader.read_list(200).put.len(), 1);
+    assert_eq!(
+        leader.group("w"),
+        group,
+        "shares must not be handed out twice within one warm-up"
+    );
+    leader.list_worker("w", "s", 0);
+    leader.read_list(3000);
+    assert_eq!(leader.read_list(1200).warm.len(), 0);
+    leader.list_worker("w", "s", 3000);
+    leader.read_list(500);
     assert!(
-        p.group("w").iter().all(|n| *n > 100),
-        "the next time others have them"
+        leader.group("w").iter().all(|n| *n > 100),
+        "the next warm-up must use the current nodes"
     );
 }
 
 #[test]
-fn a_new_leader_announces_a_worker_that_warms_again() {
-    let mut p = Leader::new(4);
-    p.list("w", "s", 3000);
-    p.look(0);
-    p.admission.reset();
-    p.list("w", "s", 2900);
-    assert_eq!(p.look(9000).put.len(), 1);
-    p.admission.reset();
-    p.list("w", "s", 0);
-    assert!(is_empty_change(&p.look(9000)), "the list may be behind");
-    assert_eq!(p.look(1200).warm, ["w"]);
+fn new_leader_announces_a_worker_that_warms_up_again() {
+    let mut leader = Leader::new(4);
+    leader.list_worker("w", "s", 3000);
+    leader.read_list(0);
+    leader.admission.reset();
+    leader.list_worker("w", "s", 2900);
+    assert_eq!(leader.read_list(9000).put.len(), 1);
+    leader.admission.reset();
+    leader.list_worker("w", "s", 0);
+    assert!(is_empty_change(&leader.read_list(9000)), "the list may lag");
+    assert_eq!(leader.read_list(1200).warm, ["w"]);
 }
 
 #[test]
-fn a_restored_zone_warms_until_the_list_could_show_otherwise() {
-    let mut p = Leader::new(4);
-    p.list("w", "s", 0);
-    p.look(0);
+fn worker_of_a_restored_zone_is_warming_until_the_list_can_show_otherwise() {
+    let mut leader = Leader::new(4);
+    leader.list_worker("w", "s", 0);
+    leader.read_list(0);
     for begin in [true, false] {
         let zone = "z1".into();
-        p.log(ChangeKind::Evacuate(EvacuationChange { zone, begin }));
+        leader.log(ChangeKind::Evacuate(EvacuationChange { zone, begin }));
     }
-    assert!(p.state.is_warmup_unknown(&p.state.workers["w"]));
-    assert!(p.group("w").is_empty(), "nobody, until a group is told");
-    assert_eq!(p.look(100).put[0].warmup_ms, 3000);
-    assert_eq!(p.group("w").len(), 2);
-    // Another change in the meantime does not make it warm.
-    p.list("w", "s", 0);
-    if let Some(row) = p.list.get_mut("w") {
+    assert!(leader.state.is_warmup_unknown(&leader.state.workers["w"]));
+    assert!(
+        leader.group("w").is_empty(),
+        "no node may call before a group is logged"
+    );
+    assert_eq!(leader.read_list(100).put[0].warmup_ms, 3000);
+    assert_eq!(leader.group("w").len(), 2);
+    // Another change of the worker in the meantime does not make it warm.
+    leader.list_worker("w", "s", 0);
+    if let Some(row) = leader.list.get_mut("w") {
         row.draining = true;
     }
-    assert!(p.look(500).put[0].warmup_ms >= 2500);
-    assert!(is_empty_change(&p.look(300)));
-    assert_eq!(p.look(1000).warm, ["w"]);
+    assert!(leader.read_list(500).put[0].warmup_ms >= 2500);
+    assert!(is_empty_change(&leader.read_list(300)));
+    assert_eq!(leader.read_list(1000).warm, ["w"]);
 }
 
 #[test]
-fn a_list_read_before_the_zone_came_back_tells_nothing_of_it() {
-    let mut p = Leader::new(4);
-    p.list("w", "s", 0);
-    p.look(0);
-    let read_at = p.state.index;
+fn list_read_before_the_zone_was_restored_does_not_end_its_warmup() {
+    let mut leader = Leader::new(4);
+    leader.list_worker("w", "s", 0);
+    leader.read_list(0);
+    let read_at = leader.state.index;
     for begin in [true, false] {
         let zone = "z1".into();
-        p.log(ChangeKind::Evacuate(EvacuationChange { zone, begin }));
+        leader.log(ChangeKind::Evacuate(EvacuationChange { zone, begin }));
     }
-    let late = WorkersChange {
-        put: p.list.values().cloned().collect(),
+    let late_change = WorkersChange {
+        put: leader.list.values().cloned().collect(),
         as_of: read_at,
         ..Default::default()
     };
-    p.log(ChangeKind::Workers(late));
-    assert!(p.state.is_warmup_unknown(&p.state.workers["w"]));
+    leader.log(ChangeKind::Workers(late_change));
+    assert!(leader.state.is_warmup_unknown(&leader.state.workers["w"]));
 }
 
-/// Guards against a worker that runs being taken for ended since it stood on no page of one
-/// reading (OWNER; review case 2).
+/// Guards against a running worker being taken for ended because one reading of a paged list
+/// contained it on no page (OWNER; review case 2).
 #[test]
-fn a_worker_that_one_reading_of_several_pages_leaves_out_has_not_ended() {
-    let mut p = Leader::new(4);
+fn worker_missing_from_one_reading_of_a_paged_list_is_not_removed() {
+    let mut leader = Leader::new(4);
     for i in 0..60 {
-        p.list(&format!("w{i:02}"), "k", 0);
+        leader.list_worker(&format!("w{i:02}"), "k", 0);
     }
-    p.pages = 2;
-    p.look(500);
-    let between = p.list.remove("w30");
-    assert!(is_empty_change(&p.look(500)), "left out once");
-    assert!(is_empty_change(&p.look(500)), "left out twice");
-    p.list.extend(between.map(|w| (w.id.clone(), w)));
-    assert!(is_empty_change(&p.look(500)), "listed again");
-    p.list.remove("w30");
-    assert!(is_empty_change(&p.look(500)), "absences are counted in a row");
-    assert!(is_empty_change(&p.look(500)));
-    assert_eq!(p.look(500).removed, ["w30"]);
-    assert!(is_empty_change(&p.look(500)));
-    // A list of one page is of one moment.
-    p.pages = 1;
-    p.list.remove("w31");
-    assert_eq!(p.look(500).removed, ["w31"]);
+    leader.pages = 2;
+    leader.read_list(500);
+    let omitted = leader.list.remove("w30");
+    assert!(is_empty_change(&leader.read_list(500)), "omitted once");
+    assert!(is_empty_change(&leader.read_list(500)), "omitted twice");
+    leader.list.extend(omitted.map(|w| (w.id.clone(), w)));
+    assert!(is_empty_change(&leader.read_list(500)), "listed again");
+    leader.list.remove("w30");
+    assert!(
+        is_empty_change(&leader.read_list(500)),
+        "only consecutive absences count"
+    );
+    assert!(is_empty_change(&leader.read_list(500)));
+    assert_eq!(leader.read_list(500).removed, ["w30"]);
+    assert!(is_empty_change(&leader.read_list(500)));
+    // A list of one page shows a single moment.
+    leader.pages = 1;
+    leader.list.remove("w31");
+    assert_eq!(leader.read_list(500).removed, ["w31"]);
 }
 
-/// The same under a new leader: what an earlier one saw does not count.
+/// Guards against a new leader counting the absences that an earlier leader saw.
 #[test]
-fn a_new_leader_counts_the_absences_of_a_worker_anew() {
-    let mut p = Leader::new(4);
-    p.list("w", "k", 0);
-    p.pages = 2;
-    p.look(500);
-    p.list.clear();
-    p.look(500);
-    p.look(500);
-    p.admission.reset();
-    assert!(is_empty_change(&p.look(500)));
+fn new_leader_restarts_the_count_of_absences() {
+    let mut leader = Leader::new(4);
+    leader.list_worker("w", "k", 0);
+    leader.pages = 2;
+    leader.read_list(500);
+    leader.list.clear();
+    leader.read_list(500);
+    leader.read_list(500);
+    leader.admission.reset();
+    assert!(is_empty_change(&leader.read_list(500)));
 }
 
-/// The same for one that warms up: it is not announced once more, to other callers.
+/// Guards against a warming worker that one reading omits being announced again with other callers.
 #[test]
-fn a_warming_worker_that_one_reading_leaves_out_goes_on_warming() {
-    let mut p = Leader::new(4);
-    p.pages = 2;
-    p.list("warming", "k", 9000);
-    p.look(500);
-    p.list.clear();
-    assert!(is_empty_change(&p.look(500)));
-    p.list("warming", "k", 8000);
-    assert!(is_empty_change(&p.look(500)));
+fn warming_worker_missing_from_one_reading_is_not_announced_again() {
+    let mut leader = Leader::new(4);
+    leader.pages = 2;
+    leader.list_worker("warming", "k", 9000);
+    leader.read_list(500);
+    leader.list.clear();
+    assert!(is_empty_change(&leader.read_list(500)));
+    leader.list_worker("warming", "k", 8000);
+    assert!(is_empty_change(&leader.read_list(500)));
 }
--- a/crates/placement/tests/weighted_choice.rs
+++ b/crates/placement/tests/weighted_choice.rs
@@ -1,10 +1,10 @@
-//! Drawing of a site by the fractions of a placement.
+//! Weighted choice of a site by the fractions of a placement.
 
 use placement::draw_site;
 use protocol::SiteFraction;
 
 #[test]
-fn draws_by_fraction_among_usable_sites() {
+fn site_is_drawn_by_fraction_among_usable_sites() {
     let row = |site: &str, part| SiteFraction {
         service: "s".into(),
         group: "g".into(),
