--- a/crates/rollout/src/change.rs
+++ b/crates/rollout/src/change.rs
@@ -1,34 +1,36 @@
-//! Application of a change to the newest rollouts.
+//! Application of a change to the newest rollout of each service.
 
 use crate::constants::AUDIT_RECORDS;
 use crate::rollout::{Action, Audit, Rollout, RolloutChange, State};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Why a change of a rollout does not take place.
+/// Reason why a change of a rollout is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// Another rollout of the service is active.
     Active {
         /// The service.
         service: String,
-        /// The version that it moves to.
+        /// The target version of that rollout.
         target: String,
     },
-    /// It has changed since: its version now.
+    /// The rollout has changed since the version that the change is based on; the value is its
+    /// current version.
     Conflict(u64),
-    /// The state does not allow it.
+    /// The rollout's state does not allow the action.
     WrongState(State),
-    /// There is no such rollout.
+    /// The service has no rollout.
     Unknown,
-    /// The change cannot be read.
+    /// The change lacks a required field.
     Malformed,
 }
 
 /// The newest rollout of each service.
 pub type Table = BTreeMap<String, Arc<Rollout>>;
 
-/// Applies the change at `index`; `Ok(false)` if the very same command has been applied already.
+/// Applies the change with log index `index`. Returns `Ok(false)` if the active rollout of the
+/// service was created by an equal command.
 pub fn apply(table: &mut Table, index: u64, change: &RolloutChange) -> Result<bool, Refusal> {
     if change.action == Action::Create as i32 {
         create(table, index, change)
@@ -41,8 +43,8 @@
     let Some(create) = &change.create else {
         return Err(Refusal::Malformed);
     };
-    let known = table.get(&change.service);
-    if let Some(active) = known.filter(|rollout| rollout.is_active()) {
+    let current = table.get(&change.service);
+    if let Some(active) = current.filter(|rollout| rollout.is_active()) {
         if active.target == create.target && active.duration_ms == create.duration_ms {
             return Ok(false);
         }
@@ -54,8 +56,8 @@
     if change.stages.is_empty() || create.target.is_empty() {
         return Err(Refusal::Malformed);
     }
-    let mut records = known.map(|rollout| rollout.records.clone()).unwrap_or_default();
-    push(&mut records, audit(change, index, &create.target));
+    let mut records = current.map(|rollout| rollout.records.clone()).unwrap_or_default();
+    push_record(&mut records, audit(change, index, &create.target));
     let rollout = Rollout {
         service: change.service.clone(),
         target: create.target.clone(),
@@ -73,7 +75,7 @@
     Ok(true)
 }
 
-/// Takes a rollout to its next state.
+/// Moves a rollout to its next state.
 fn advance(table: &mut Table, index: u64, change: &RolloutChange) -> Result<bool, Refusal> {
     let rollout = table.get(&change.service).ok_or(Refusal::Unknown)?;
     if rollout.version != change.expected {
@@ -100,7 +102,7 @@
     next.version = index;
     next.elapsed_ms = change.elapsed_ms.max(rollout.elapsed_ms);
     let record = audit(change, index, &next.target);
-    push(&mut next.records, record);
+    push_record(&mut next.records, record);
     table.insert(change.service.clone(), Arc::new(next));
     Ok(true)
 }
@@ -117,8 +119,8 @@
     }
 }
 
-/// Adds a record; the oldest ones are dropped.
-fn push(records: &mut Vec<Audit>, record: Audit) {
+/// Adds a record, and drops the oldest ones beyond the limit.
+fn push_record(records: &mut Vec<Audit>, record: Audit) {
     records.push(record);
     let surplus = records.len().saturating_sub(AUDIT_RECORDS);
     records.drain(..surplus);
--- a/crates/rollout/src/constants.rs
+++ b/crates/rollout/src/constants.rs
@@ -1,114 +1,120 @@
-//! Every constant of the rollouts, with its unit and its reason. The source's
-//! 5 minutes, 100 requests, 5%, 1 point, +50 ms and +20% are starting values;
-//! here a whole rollout lasts some seconds, and its bounds are the rules'.
+//! Constants of rollouts. The source's 5 minutes, 100 requests, 5%, 1 point, +50 ms and +20% are
+//! starting values; here a whole rollout lasts some seconds, and its bounds are those of the rules.
 
 use crate::rollout::{AnalysisCriteria, RolloutStage};
 
-/// Share of the traffic in the first stage as a part of what the rule allows a
-/// bad version: the draw of each request is luck.
-pub const EXPOSURE_PART: f64 = 0.8;
-/// Least and most share of the first stage: a part of the whole that gives
-/// evidence within seconds, and is borne if it fails.
+/// Share of the first stage, as a fraction of the traffic that a bad version may receive. It is
+/// below 1 because requests are drawn at random.
+pub const EXPOSURE_FRACTION: f64 = 0.8;
+/// Minimum and maximum share of the first stage: enough traffic to give evidence within seconds,
+/// and little enough to tolerate if the version fails.
 pub const FIRST_SHARE_RANGE: (f64, f64) = (0.005, 0.08);
-/// Share of the second stage: a step between the first and all.
+/// Share of the second stage, a step between the first stage and all traffic.
 pub const SECOND_SHARE: f64 = 0.3;
-/// Observation of the three stages as parts of the rollout's duration: what turns
-/// bad late should do so while it has little; the rest
-/// is for workers to start and to get warm.
-pub const OBSERVE_PARTS: [f64; 3] = [0.32, 0.07, 0.15];
-/// Least observation of each stage, ms: reports come twice a second, and what
-/// runs on the old workers takes seconds to end.
+/// Observation times of the three stages, as fractions of the rollout's duration. The first is the
+/// longest, so that a version that turns bad late does so while its share is small. The remaining
+/// time is for workers to start and warm up.
+pub const OBSERVE_FRACTIONS: [f64; 3] = [0.32, 0.07, 0.15];
+/// Minimum observation time of each stage, in milliseconds. Reports arrive twice per second, and
+/// requests on the old workers take seconds to complete.
 pub const OBSERVE_MIN_MS: [u64; 3] = [2000, 800, 2000];
-/// Most observation of a stage, ms (the source's default of 5 minutes).
+/// Maximum observation time of a stage, in milliseconds (the source's default of 5 minutes).
 pub const OBSERVE_MAX_MS: u64 = 300_000;
-/// Workers that a share is put on, as a part of what the old version would use:
-/// they are loaded as by the whole, so that what is bad under load shows.
+/// Number of workers that receive a share, as a fraction of the number that the old version would
+/// use for it. They are loaded as they would be with all traffic, so that faults under load show.
 pub const USED_WORKERS_PART: f64 = 0.9;
-/// Audit records kept of a service, records.
+/// Maximum number of audit records kept per service.
 pub const AUDIT_RECORDS: usize = 24;
-/// A node that has not heard the core for this long restores the snapshot by
-/// itself, ms: longer than a change of leader takes.
+/// Time without contact to the core after which a node returns to the previous versions by itself,
+/// in milliseconds. It is longer than a change of leader takes.
 pub const FALLBACK_MS: u64 = 1500;
 
-/// Outcomes before the new version may be promoted: the source asks for 100 in five
-/// minutes; a stage here lasts seconds, and this many tell a bad part of a fifth.
-pub const REQUESTS_MIN: u64 = 40;
-/// The same for each route that carries more than [`ROUTE_PART`] of the traffic.
-pub const ROUTE_REQUESTS_MIN: u64 = 15;
-/// Part of a service's requests from which a route is judged by itself.
-pub const ROUTE_PART: f64 = 0.02;
-/// Error rate of the new version above the old one's that blocks promotion
-/// (the source's 1 point).
-pub const ERRORS_ABOVE: f64 = 0.01;
-/// Error rate of the new version that is bad (the source's 5%).
-pub const ERRORS_MOST: f64 = 0.05;
-/// Errors before a version is called bad.
-pub const BAD_MIN: f64 = 6.0;
-/// Outcomes before a version is called bad.
-pub const BAD_OUTCOMES_MIN: f64 = 12.0;
-/// Standard deviations of luck above that.
-pub const DEVIATIONS: f64 = 2.0;
-/// Part of tries without any answer, above the old version's, that is bad: cuts
-/// and lost machines strike both versions, but not evenly.
-pub const LOST_ABOVE: f64 = 0.25;
-/// Tries without an answer before that counts.
-pub const LOST_MIN: f64 = 10.0;
-/// Mean response time, times the old version's, that is bad: workers of
-/// one version differ by half among themselves.
-pub const SLOW_MEAN: f64 = 2.0;
-/// 95th percentile of response times, times the old version's, that is bad.
-pub const SLOW_P95: f64 = 2.5;
-/// The same against figures of the old version from before.
-pub const SLOW_STALE: f64 = 1.5;
-/// Milliseconds on top of both (the source's 50).
-pub const SLOW_MS: f64 = 50.0;
-/// Answers before means are compared.
-pub const SLOW_ANSWERS: f64 = 25.0;
-/// Answers before percentiles are compared.
-pub const P95_ANSWERS: f64 = 60.0;
-/// What is kept of the recent outcomes from one look to the next.
+/// Number of outcomes required before the new version may be promoted. The source asks for 100 in
+/// five minutes; a stage here lasts seconds, and this number reveals a fault in a fifth of the
+/// outcomes.
+pub const MIN_REQUESTS: u64 = 40;
+/// Number of outcomes required on each route that carries more than [`MIN_ROUTE_FRACTION`] of the
+/// traffic.
+pub const MIN_ROUTE_REQUESTS: u64 = 15;
+/// Fraction of a service's requests above which a route must have enough outcomes of its own.
+pub const MIN_ROUTE_FRACTION: f64 = 0.02;
+/// Excess of the new version's error rate over the old version's that blocks promotion (the
+/// source's 1 point).
+pub const PROMOTION_MAX_EXCESS_ERRORS: f64 = 0.01;
+/// Excess of the new version's error rate over the old version's above which the new version is bad
+/// (the source's 5%).
+pub const MAX_EXCESS_ERRORS: f64 = 0.05;
+/// Number of errors required before a version is considered bad.
+pub const MIN_ERRORS: f64 = 6.0;
+/// Number of outcomes required before a version is considered bad.
+pub const MIN_OUTCOMES: f64 = 12.0;
+/// Number of standard deviations that are added to the limit of the error rate.
+pub const ERROR_RATE_DEVIATIONS: f64 = 2.0;
+/// Excess of the new version's fraction of attempts without a response over the old version's that
+/// is bad. It is high because network partitions and lost machines affect both versions, but not
+/// evenly.
+pub const MAX_EXCESS_LOST: f64 = 0.25;
+/// Number of attempts without a response required before that limit applies.
+pub const MIN_LOST: f64 = 10.0;
+/// Ratio of the mean response times, new to old version, that is bad. Workers of one version differ
+/// by half among themselves.
+pub const MAX_MEAN_RATIO: f64 = 2.0;
+/// Ratio of the 95th percentiles of response times, new to old version, that is bad.
+pub const MAX_P95_RATIO: f64 = 2.5;
+/// Factor on the allowed ratio of mean response times if the old version's figures are from an
+/// earlier time.
+pub const STALE_BASELINE_FACTOR: f64 = 1.5;
+/// Margin added to both limits on response times, in milliseconds (the source's 50).
+pub const RESPONSE_MARGIN_MS: f64 = 50.0;
+/// Number of responses required before means are compared.
+pub const MIN_RESPONSES_FOR_MEAN: f64 = 25.0;
+/// Number of responses required before percentiles are compared.
+pub const MIN_RESPONSES_FOR_P95: f64 = 60.0;
+/// Fraction of the recent outcomes that is kept from one check to the next.
 pub const RECENT_RETENTION: f64 = 0.85;
 
-/// Part of the old version's workers that the new one must have warm before it
-/// gets a share, as a multiple of that share, and the most that is asked.
-pub const READY_PART: f64 = 0.8;
-/// Nodes that have not applied a stage are waited for this long, ms.
+/// Number of warm workers that the new version needs before it gets a share, as a fraction of the
+/// old version's workers times the share.
+pub const READY_FRACTION: f64 = 0.8;
+/// Maximum time to wait for nodes that have not applied a stage, in milliseconds.
 pub const APPLIED_WAIT_MS: u64 = 1500;
-/// A stage is tried again by the watchdog after this pause, ms.
+/// Minimum time between two actions of the watchdog on a rollout, in milliseconds.
 pub const ACTION_PAUSE_MS: u64 = 400;
-/// Quiet on the old workers before the rollout is completed, ms: their outcomes
-/// come with the reports, through one relay.
-pub const OLD_QUIET_MS: u64 = 1300;
-/// Before the term, the rest that is enough to complete all the same, ms: the
-/// operator counts from before the order was taken, and reads now and then.
+/// Time without outcomes from the old workers after which the rollout may be completed, in
+/// milliseconds. Outcomes arrive with the reports, which pass through one relay.
+pub const OLD_IDLE_MS: u64 = 1300;
+/// Remaining time before the deadline in which a rollout is completed even if old workers still
+/// report outcomes, in milliseconds. The operator counts from before the command was accepted, and
+/// reads the state only now and then.
 pub const COMPLETION_MARGIN_MS: u64 = 1500;
-/// Figures older than this cannot be read, ms: the gate is closed.
+/// Age of the last report above which the gate is closed, in milliseconds.
 pub const MAX_REPORT_AGE_MS: u64 = 2000;
-/// Part of all tries that fail at which emergency levels 1, 2 and 3 begin.
+/// Fractions of failed attempts at which emergency levels 1, 2 and 3 begin.
 pub const EMERGENCY_LEVELS: [f64; 3] = [0.05, 0.3, 0.6];
-/// Tries before a level is derived.
+/// Number of attempts required before a level is derived.
 pub const EMERGENCY_MIN_ATTEMPTS: f64 = 100.0;
-/// Looks in a row before level 2 or 3 is taken for real: one report may hold
-/// the end of a machine.
+/// Number of consecutive checks required before level 2 or 3 takes effect. One report may contain
+/// the failure of a machine.
 pub const EMERGENCY_CHECKS: u32 = 3;
 
-/// The stages of a rollout that lasts so long, when a bad version may get at
-/// most `exposure` of the requests.
+/// Returns the stages of a rollout that lasts `duration_ms` milliseconds, if a bad version may
+/// receive at most the fraction `exposure` of the requests.
 pub fn stages(duration_ms: u64, exposure: f64) -> Vec<RolloutStage> {
     let exposure = if exposure > 0.0 { exposure } else { 0.1 };
-    let (least, most) = FIRST_SHARE_RANGE;
-    let first = (exposure * EXPOSURE_PART).clamp(least, most);
+    let (min_share, max_share) = FIRST_SHARE_RANGE;
+    let first = (exposure * EXPOSURE_FRACTION).clamp(min_share, max_share);
     let shares = [first, SECOND_SHARE.max(first), 1.0];
     let stage = |i: usize| RolloutStage {
         share: shares[i],
-        observe_ms: ((duration_ms as f64 * OBSERVE_PARTS[i]) as u64).clamp(OBSERVE_MIN_MS[i], OBSERVE_MAX_MS),
+        observe_ms: ((duration_ms as f64 * OBSERVE_FRACTIONS[i]) as u64)
+            .clamp(OBSERVE_MIN_MS[i], OBSERVE_MAX_MS),
         auto_promote: true,
         criteria: Some(AnalysisCriteria {
-            max_errors: ERRORS_MOST,
-            max_errors_above: ERRORS_ABOVE,
-            max_mean_ratio: SLOW_MEAN,
-            max_p95_ratio: SLOW_P95,
-            min_requests: REQUESTS_MIN,
+            max_errors: MAX_EXCESS_ERRORS,
+            max_errors_above: PROMOTION_MAX_EXCESS_ERRORS,
+            max_mean_ratio: MAX_MEAN_RATIO,
+            max_p95_ratio: MAX_P95_RATIO,
+            min_requests: MIN_REQUESTS,
         }),
     };
     (0..3).map(stage).collect()
--- a/crates/rollout/src/gate.rs
+++ b/crates/rollout/src/gate.rs
@@ -1,21 +1,21 @@
-//! The gate in front of an operator's change of a rollout.
+//! Reasons for which an operator's change of a rollout is refused.
 
-/// Why a change of a rollout is not allowed now.
+/// Reason why a change of a rollout is not allowed now.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum GateClosed {
     /// No rollout starts or is promoted while the kill switch is on.
     #[error("the kill switch is on")]
     KillSwitch,
-    /// The system's state is too bad; its emergency level.
+    /// The emergency level is too high; the value is the level.
     #[error("the emergency level is {0}")]
     Emergency(u8),
     /// The last report is too old.
     #[error("the figures cannot be read")]
     StaleFigures,
-    /// This node has no figures of the rollout.
+    /// This node has no metrics of the rollout.
     #[error("there are no figures")]
     NoFigures,
-    /// The figures do not suffice to judge the version.
+    /// The metrics do not suffice to evaluate the version.
     #[error("not proven: {0}")]
     Unproven(String),
     /// The version is bad.
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,10 +1,9 @@
-//! Rollouts: a service's traffic moves to the workers of a new version in stages, is watched,
-//! and goes back to the split that was in force before if the version is bad or the rollout
-//! stalls.
+//! Rollouts: a service's traffic moves to the workers of a new version in stages. It is observed,
+//! and returns to the previous split if the version is bad or the rollout stalls.
 //!
-//! Pure state machines. Where a [`Rollout`] stands changes only by [`RolloutChange`]s that the
-//! log orders; the leader's [`Watchdog`] proposes them from what nodes have counted
-//! ([`CohortMetrics`]).
+//! This crate contains state machines without I/O. The state of a [`Rollout`] changes only by
+//! [`RolloutChange`]s in the order of the log; the leader's [`Watchdog`] proposes them based on the
+//! outcomes that nodes have counted ([`CohortMetrics`]).
 
 mod change;
 mod constants;
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -2,28 +2,28 @@
 
 use prost::{Enumeration, Message};
 
-/// Where a rollout stands.
+/// State of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
 pub enum State {
-    /// Not a state of this version.
+    /// A state that this software version does not know.
     Unknown = 0,
-    /// Ordered, not started.
+    /// Created, not started.
     Created = 1,
     /// A part of the requests goes to the new version.
     Canary = 2,
-    /// The same, and nothing is promoted.
+    /// A part of the requests goes to the new version, and the rollout is not promoted.
     Paused = 3,
     /// All requests go to the new version.
     Completed = 4,
     /// All requests go to the old versions again.
     RolledBack = 5,
-    /// Ended before it started.
+    /// The rollout ended before it started.
     Cancelled = 6,
 }
 
 impl State {
-    /// Whether the rollout goes on.
+    /// Returns whether the rollout has not ended.
     pub fn is_active(self) -> bool {
         matches!(self, State::Created | State::Canary | State::Paused)
     }
@@ -41,7 +41,7 @@
         }
     }
 
-    /// What the operator's protocol calls it.
+    /// Returns the name of the state in the operator's protocol.
     pub fn protocol_name(self) -> &'static str {
         match self {
             State::Completed => "completed",
@@ -51,25 +51,25 @@
     }
 }
 
-/// What can be done to a rollout.
+/// Action on a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Enumeration)]
 #[repr(i32)]
 pub enum Action {
-    /// Not an action of this version.
+    /// An action that this software version does not know.
     None = 0,
-    /// Orders it.
+    /// Creates the rollout.
     Create = 1,
-    /// Puts the first stage in force.
+    /// Starts the first stage.
     Start = 2,
-    /// Puts the next stage in force, or completes it.
+    /// Starts the next stage, or completes the rollout after the last one.
     Promote = 3,
-    /// Keeps the stage in force.
+    /// Pauses the rollout in the current stage.
     Pause = 4,
-    /// Goes on after a pause.
+    /// Resumes the rollout after a pause.
     Resume = 5,
-    /// Goes back to the old versions.
+    /// Returns all requests to the old versions.
     Rollback = 6,
-    /// Ends it before it starts.
+    /// Ends the rollout before it starts.
     Cancel = 7,
 }
 
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The action that an operator names.
+    /// Returns the action with this name, if operators may request it.
     pub fn from_name(name: &str) -> Option<Action> {
         let all = [
             Action::Start,
@@ -102,59 +102,59 @@
     }
 }
 
-/// The pass criteria of a stage.
+/// Pass criteria of a stage.
 #[derive(Clone, PartialEq, Message)]
 pub struct AnalysisCriteria {
-    /// Error rate above the old version's that is bad, 0 to 1.
+    /// Excess of the error rate over the old version's that is bad, 0 to 1.
     #[prost(double, tag = "1")]
     pub max_errors: f64,
-    /// Error rate above the old version's that blocks promotion, 0 to 1.
+    /// Excess of the error rate over the old version's that blocks promotion, 0 to 1.
     #[prost(double, tag = "2")]
     pub max_errors_above: f64,
-    /// Mean response time that is bad, times the old version's.
+    /// Ratio of the mean response time to the old version's that is bad.
     #[prost(double, tag = "3")]
     pub max_mean_ratio: f64,
-    /// 95th percentile that is bad, times the old version's.
+    /// Ratio of the 95th percentile of response times to the old version's that is bad.
     #[prost(double, tag = "4")]
     pub max_p95_ratio: f64,
-    /// Outcomes before the stage may be promoted.
+    /// Number of responses required before the stage may be promoted.
     #[prost(uint64, tag = "5")]
     pub min_requests: u64,
 }
 
-/// A stage.
+/// A stage of a rollout.
 #[derive(Clone, PartialEq, Message)]
 pub struct RolloutStage {
-    /// Part of the service's requests that go to the new version.
+    /// Fraction of the service's requests that go to the new version.
     #[prost(double, tag = "1")]
     pub share: f64,
-    /// How long it is observed at least, ms.
+    /// Minimum observation time of the stage, in milliseconds.
     #[prost(uint64, tag = "2")]
     pub observe_ms: u64,
-    /// The watchdog promotes it.
+    /// Whether the watchdog promotes the stage.
     #[prost(bool, tag = "3")]
     pub auto_promote: bool,
-    /// What the new version must meet.
+    /// Criteria that the new version must meet.
     #[prost(message, optional, tag = "4")]
     pub criteria: Option<AnalysisCriteria>,
 }
 
-/// Who did what, and why.
+/// Audit record of a change of a rollout.
 #[derive(Clone, PartialEq, Message)]
 pub struct Audit {
-    /// The version of the rollout that it led to.
+    /// The version of the rollout after the change.
     #[prost(uint64, tag = "1")]
     pub version: u64,
     /// See [`Action`].
     #[prost(enumeration = "Action", tag = "2")]
     pub action: i32,
-    /// Who did it.
+    /// Who made the change.
     #[prost(string, tag = "3")]
     pub who: String,
     /// Why.
     #[prost(string, tag = "4")]
     pub why: String,
-    /// A gate was bypassed.
+    /// Whether a gate was bypassed.
     #[prost(bool, tag = "5")]
     pub bypass: bool,
     /// Time since the rollout was created, ms.
@@ -174,58 +174,58 @@
     /// The new version.
     #[prost(string, tag = "2")]
     pub target: String,
-    /// Its stages, in order.
+    /// The stages, in order.
     #[prost(message, repeated, tag = "3")]
     pub stages: Vec<RolloutStage>,
-    /// The stage in force.
+    /// Index of the current stage.
     #[prost(uint32, tag = "4")]
     pub stage_index: u32,
     /// See [`State`].
     #[prost(enumeration = "State", tag = "5")]
     pub state: i32,
-    /// The split that is being replaced: the versions that had the traffic.
+    /// The versions that had the traffic before the rollout.
     #[prost(string, repeated, tag = "6")]
     pub previous_versions: Vec<String>,
-    /// The index of the change that made it what it is, for compare-and-set.
+    /// Log index of the newest change, used for compare-and-set.
     #[prost(uint64, tag = "7")]
     pub version: u64,
-    /// The time that it may take, ms.
+    /// Maximum duration of the rollout, in milliseconds.
     #[prost(uint64, tag = "8")]
     pub duration_ms: u64,
-    /// Time since the order, as of the newest change, ms.
+    /// Time since the creation as of the newest change, in milliseconds.
     #[prost(uint64, tag = "9")]
     pub elapsed_ms: u64,
-    /// Who did what, oldest first.
+    /// Audit records, oldest first.
     #[prost(message, repeated, tag = "10")]
     pub records: Vec<Audit>,
-    /// The index of the order.
+    /// Log index at which the rollout was created.
     #[prost(uint64, tag = "11")]
     pub created_index: u64,
 }
 
-/// Which part of the split a worker belongs to.
+/// The part of the traffic split to which a worker belongs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Cohort {
-    /// The versions that had the traffic.
+    /// The versions that had the traffic before the rollout.
     Old,
     /// The new version.
     New,
-    /// It gets nothing.
+    /// A version that receives no requests.
     Excluded,
 }
 
 impl Rollout {
-    /// Where it stands.
+    /// Returns the state.
     pub fn state_now(&self) -> State {
         State::try_from(self.state).unwrap_or(State::Unknown)
     }
 
-    /// Whether it goes on.
+    /// Returns whether the rollout has not ended.
     pub fn is_active(&self) -> bool {
         self.state_now().is_active()
     }
 
-    /// Part of the requests that go to the new version.
+    /// Returns the fraction of the requests that go to the new version.
     pub fn share(&self) -> f64 {
         match self.state_now() {
             State::Canary | State::Paused => self
@@ -237,13 +237,13 @@
         }
     }
 
-    /// Whether the last stage is in force.
+    /// Returns whether the current stage is the last one.
     pub fn is_last(&self) -> bool {
         self.stage_index as usize + 1 >= self.stages.len()
     }
 
-    /// The cohort of the workers of a version. Once the rollout has ended there is one only, and
-    /// the version that lost gets nothing.
+    /// Returns the cohort of the workers of a version. Once the rollout has ended there is only one
+    /// cohort, and the losing version receives no requests.
     pub fn cohort(&self, version: &str) -> Cohort {
         let new = version == self.target;
         match self.state_now() {
@@ -257,18 +257,18 @@
     }
 }
 
-/// An order to begin a rollout.
+/// Command to create a rollout.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Create {
     /// The new version.
     #[prost(string, tag = "1")]
     pub target: String,
-    /// The time that the rollout may take, ms.
+    /// Maximum duration of the rollout, in milliseconds.
     #[prost(uint64, tag = "2")]
     pub duration_ms: u64,
 }
 
-/// One change of a rollout, as the log orders it.
+/// A change of a rollout in the log.
 #[derive(Clone, PartialEq, Message)]
 pub struct RolloutChange {
     /// The service.
@@ -277,28 +277,28 @@
     /// See [`Action`].
     #[prost(enumeration = "Action", tag = "2")]
     pub action: i32,
-    /// The version of the rollout that the change rests on.
+    /// The version of the rollout on which the change is based.
     #[prost(uint64, tag = "3")]
     pub expected: u64,
-    /// Who wants it.
+    /// Who requested the change.
     #[prost(string, tag = "4")]
     pub who: String,
     /// Why.
     #[prost(string, tag = "5")]
     pub why: String,
-    /// A gate is bypassed.
+    /// Whether a gate is bypassed.
     #[prost(bool, tag = "6")]
     pub bypass: bool,
-    /// Time since the rollout was created, as the leader tells it, ms.
+    /// Time since the rollout was created, according to the leader, in milliseconds.
     #[prost(uint64, tag = "7")]
     pub elapsed_ms: u64,
-    /// Of a creation: what to create.
+    /// For a creation: what to create.
     #[prost(message, optional, tag = "8")]
     pub create: Option<Create>,
-    /// Of a creation: the stages.
+    /// For a creation: the stages.
     #[prost(message, repeated, tag = "9")]
     pub stages: Vec<RolloutStage>,
-    /// The versions that have the traffic as the rollout is created.
+    /// The versions that have the traffic when the rollout is created.
     #[prost(string, repeated, tag = "10")]
     pub previous_versions: Vec<String>,
 }
--- a/crates/rollout/src/watchdog.rs
+++ b/crates/rollout/src/watchdog.rs
@@ -1,9 +1,9 @@
-//! The watchdog: starts, promotes, pauses and rolls back by the figures, under
-//! the gate. It runs on the leader; what it decides takes place in the log.
+//! The watchdog starts, promotes, pauses, completes and rolls back rollouts based on the metrics
+//! and subject to the gate. It runs on the leader; its decisions take effect through the log.
 
 use crate::change::Table;
 use crate::constants::{
-    ACTION_PAUSE_MS, APPLIED_WAIT_MS, COMPLETION_MARGIN_MS, MAX_REPORT_AGE_MS, OLD_QUIET_MS, READY_PART,
+    ACTION_PAUSE_MS, APPLIED_WAIT_MS, COMPLETION_MARGIN_MS, MAX_REPORT_AGE_MS, OLD_IDLE_MS, READY_FRACTION,
 };
 use crate::emergency::EmergencyLevel;
 use crate::gate::GateClosed;
@@ -11,53 +11,54 @@
 use crate::rollout::{Action, Rollout, RolloutChange, State};
 use std::collections::BTreeMap;
 
-/// What the watchdog goes by besides the figures.
+/// Input of the watchdog's decisions in addition to the metrics.
 #[derive(Clone, Debug, Default)]
 pub struct Conditions {
-    /// Warm workers of the new version that may be used.
+    /// Number of usable warm workers of the new version.
     pub ready: usize,
-    /// Workers of the old versions.
+    /// Number of workers of the old versions.
     pub old: usize,
-    /// Nodes in contact have not applied the rollout's newest change.
+    /// Whether nodes in contact have not applied the rollout's newest change.
     pub is_behind: bool,
-    /// Keys are still held by workers of the old versions.
+    /// Whether keys are still held by workers of the old versions.
     pub keys_remain: bool,
-    /// When the last report came.
+    /// Time of the last report, in milliseconds; 0 if there was none.
     pub reported_at: u64,
-    /// How severe the state of the system is.
+    /// Emergency level of the system.
     pub level: EmergencyLevel,
-    /// No rollout starts or is promoted.
+    /// Whether the kill switch is on, so that no rollout starts or is promoted.
     pub kill_switch: bool,
 }
 
 #[derive(Debug, Default)]
 struct WatchedRollout {
     created_index: u64,
-    /// The version last seen.
+    /// The rollout's version last seen.
     version: u64,
-    /// When it was first seen, ms.
+    /// Time at which that version was first seen, in milliseconds.
     seen_at: u64,
-    /// When the rollout was created, as far as this node can tell, ms.
-    began_at: i64,
-    /// Since when all nodes in contact have it in force.
-    in_force: Option<u64>,
-    /// When the old workers last ended something.
-    busy_at: u64,
-    acted_at: u64,
+    /// Time at which the rollout was created, as far as this node can tell, in milliseconds.
+    created_at: i64,
+    /// Time since which the version counts as applied by all nodes in contact, in milliseconds.
+    in_force_since: Option<u64>,
+    /// Time of the last outcomes of old workers, in milliseconds.
+    last_old_outcome_at: u64,
+    last_action_at: u64,
     metrics: CohortMetrics,
 }
 
-/// The watchdog of all rollouts.
+/// The watchdog of all active rollouts.
 #[derive(Debug, Default)]
 pub struct Watchdog {
     watched: BTreeMap<String, WatchedRollout>,
 }
 
-/// Author of its changes.
+/// Author of the watchdog's changes.
 const WHO: &str = "watchdog";
 
 impl Watchdog {
-    /// Looks at what the log says; to be called on every node that may lead.
+    /// Updates the watched rollouts from the control state. Must be called on every node that may
+    /// lead.
     pub fn follow(&mut self, now: u64, table: &Table) {
         self.watched
             .retain(|s, _| table.get(s).is_some_and(|rollout| rollout.is_active()));
@@ -66,53 +67,54 @@
             if watch.created_index != rollout.created_index {
                 *watch = WatchedRollout {
                     created_index: rollout.created_index,
-                    began_at: now as i64,
+                    created_at: now as i64,
                     ..WatchedRollout::default()
                 };
             }
-            watch.began_at = watch.began_at.min(now as i64 - rollout.elapsed_ms as i64);
+            watch.created_at = watch.created_at.min(now as i64 - rollout.elapsed_ms as i64);
             if watch.version != rollout.version {
                 watch.version = rollout.version;
                 watch.seen_at = now;
-                watch.in_force = None;
-                watch.busy_at = now;
+                watch.in_force_since = None;
+                watch.last_old_outcome_at = now;
             }
         }
     }
 
-    /// Takes in what nodes have counted; `hash` gives the hash of a service's name.
+    /// Adds the nodes' samples. `hash` returns the hash of a service's name.
     pub fn add(&mut self, samples: &[CohortSample], hash: impl Fn(&str) -> u32) {
         for (service, watch) in &mut self.watched {
-            let name = hash(service);
-            for t in samples {
-                if t.service == name && t.created_index == watch.created_index {
-                    watch.metrics.add(t);
+            let service_hash = hash(service);
+            for sample in samples {
+                if sample.service == service_hash && sample.created_index == watch.created_index {
+                    watch.metrics.add(sample);
                 }
             }
         }
     }
 
-    /// Time since it was created, as far as this node can tell, ms.
+    /// Returns the time since the rollout was created, as far as this node can tell, in
+    /// milliseconds.
     pub fn elapsed(&self, now: u64, rollout: &Rollout) -> u64 {
-        let began = self.watched.get(&rollout.service).map(|w| w.began_at);
-        began.map_or(rollout.elapsed_ms, |began_at| {
-            (now as i64 - began_at).max(0) as u64
+        let created_at = self.watched.get(&rollout.service).map(|w| w.created_at);
+        created_at.map_or(rollout.elapsed_ms, |created_at| {
+            (now as i64 - created_at).max(0) as u64
         })
     }
 
-    /// What the figures of the stage in force come to.
+    /// Evaluates the metrics of the current stage. Returns `None` if the rollout is not watched.
     pub fn verdict(&self, rollout: &Rollout) -> Option<Verdict> {
         self.watched
             .get(&rollout.service)
             .map(|w| verdict(&w.metrics, rollout))
     }
 
-    /// The figures of a rollout.
+    /// Returns the metrics of a service's rollout.
     pub fn metrics(&self, service: &str) -> Option<&CohortMetrics> {
         self.watched.get(service).map(|w| &w.metrics)
     }
 
-    /// The gate in front of resume.
+    /// Checks the gate for resuming a rollout.
     pub fn check_emergency(conditions: &Conditions) -> Result<(), GateClosed> {
         if conditions.level >= EmergencyLevel::Two {
             return Err(GateClosed::Emergency(conditions.level as u8));
@@ -120,8 +122,8 @@
         Ok(())
     }
 
-    /// The gate in front of start and promote: closed unless everything that it
-    /// goes by can be read and is in order.
+    /// Checks the gate for starting and promoting a rollout. It is closed unless all of its
+    /// conditions can be read and are met.
     pub fn check_gate(now: u64, conditions: &Conditions) -> Result<(), GateClosed> {
         if conditions.kill_switch {
             return Err(GateClosed::KillSwitch);
@@ -133,26 +135,26 @@
         Ok(())
     }
 
-    /// What is to be done to a rollout now.
+    /// Returns the change to be made to a rollout now, if any.
     pub fn decide(&mut self, now: u64, rollout: &Rollout, conditions: &Conditions) -> Option<RolloutChange> {
         let elapsed = self.elapsed(now, rollout);
         let watch = self.watched.get_mut(&rollout.service)?;
-        if watch.version != rollout.version || now < watch.acted_at + ACTION_PAUSE_MS {
+        if watch.version != rollout.version || now < watch.last_action_at + ACTION_PAUSE_MS {
             return None;
         }
         if std::mem::take(&mut watch.metrics.old_outcomes) > 0.0 {
-            watch.busy_at = now;
+            watch.last_old_outcome_at = now;
         }
-        let waited = watch.seen_at + APPLIED_WAIT_MS;
-        if watch.in_force.is_none() && (!conditions.is_behind || now > waited) {
-            // A leader that has taken over has seen it come into force.
-            watch.in_force = Some(now.min(waited));
+        let wait_ends_at = watch.seen_at + APPLIED_WAIT_MS;
+        if watch.in_force_since.is_none() && (!conditions.is_behind || now > wait_ends_at) {
+            // A new leader assumes that the stage took effect by the end of the wait at the latest.
+            watch.in_force_since = Some(now.min(wait_ends_at));
             watch.metrics.next_stage();
         }
         let verdict = verdict(&watch.metrics, rollout);
-        watch.metrics.fade();
+        watch.metrics.decay();
         let decision = decide(now, elapsed, rollout, conditions, watch, &verdict)?;
-        watch.acted_at = now;
+        watch.last_action_at = now;
         Some(RolloutChange {
             service: rollout.service.clone(),
             action: decision.action as i32,
@@ -169,20 +171,20 @@
 fn verdict(metrics: &CohortMetrics, rollout: &Rollout) -> Verdict {
     let stage = rollout.stages.get(rollout.stage_index as usize);
     let criteria = stage.and_then(|s| s.criteria.clone()).unwrap_or_default();
-    metrics.judge(&criteria, rollout.share() < 1.0)
+    metrics.evaluate(&criteria, rollout.share() < 1.0)
 }
 
-/// Whether the new version has the warm workers that a share asks for.
+/// Returns whether the new version has the warm workers that a share requires.
 fn has_enough_workers(conditions: &Conditions, share: f64) -> bool {
-    let wanted = (conditions.old as f64 * share * READY_PART).ceil().max(1.0);
-    conditions.ready as f64 >= wanted
+    let required = (conditions.old as f64 * share * READY_FRACTION).ceil().max(1.0);
+    conditions.ready as f64 >= required
 }
 
-/// What the watchdog does to a rollout.
+/// A decision of the watchdog on a rollout.
 struct Decision {
     action: Action,
     why: String,
-    /// The gate is bypassed.
+    /// Whether the gate is bypassed.
     bypass: bool,
 }
 
@@ -198,16 +200,16 @@
 
 fn decide(
     now: u64,
-    elapsed: u64,
+    elapsed_ms: u64,
     rollout: &Rollout,
     conditions: &Conditions,
     watch: &WatchedRollout,
     verdict: &Verdict,
 ) -> Option<Decision> {
     let state = rollout.state_now();
-    let over = elapsed >= rollout.duration_ms;
+    let is_expired = elapsed_ms >= rollout.duration_ms;
     if state == State::Created {
-        if over {
+        if is_expired {
             let why = "the term is over and nothing has started";
             return Some(Decision::new(Action::Cancel, why));
         }
@@ -219,7 +221,7 @@
     if let Verdict::Bad(why) = verdict {
         return Some(Decision::new(Action::Rollback, why.clone()));
     }
-    if over {
+    if is_expired {
         return Some(Decision::new(Action::Rollback, "stalled: the term is over"));
     }
     if conditions.level >= EmergencyLevel::Three {
@@ -235,21 +237,21 @@
         return Some(Decision::new(Action::Pause, "emergency level 2"));
     }
     let stage = rollout.stages.get(rollout.stage_index as usize)?;
-    let since = watch.in_force?;
+    let since = watch.in_force_since?;
     if !stage.auto_promote || now < since + stage.observe_ms || Watchdog::check_gate(now, conditions).is_err()
     {
         return None;
     }
     if rollout.is_last() {
-        let quiet =
-            now >= watch.busy_at + OLD_QUIET_MS || elapsed + COMPLETION_MARGIN_MS >= rollout.duration_ms;
-        let proven = matches!(verdict, Verdict::Good);
-        let done = quiet && proven && !conditions.keys_remain;
-        return done.then(|| Decision::new(Action::Promote, "all of it has moved"));
+        let is_idle_or_near_deadline = now >= watch.last_old_outcome_at + OLD_IDLE_MS
+            || elapsed_ms + COMPLETION_MARGIN_MS >= rollout.duration_ms;
+        let is_proven = matches!(verdict, Verdict::Good);
+        let can_complete = is_idle_or_near_deadline && is_proven && !conditions.keys_remain;
+        return can_complete.then(|| Decision::new(Action::Promote, "all of it has moved"));
     }
     let next = rollout.stages.get(rollout.stage_index as usize + 1)?;
-    let good = *verdict == Verdict::Good && has_enough_workers(conditions, next.share);
-    good.then(|| {
+    let can_promote = *verdict == Verdict::Good && has_enough_workers(conditions, next.share);
+    can_promote.then(|| {
         let why = format!("good over {:.0} requests", watch.metrics.new_answers());
         Decision::new(Action::Promote, why)
     })
