--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -1,104 +1,108 @@
-//! What nodes say to each other about who is there. Protocol buffers: tags and types are fixed.
+//! Messages of the membership protocol. They are protocol buffers, so tags and types must not
+//! change.
 
 use prost::Enumeration;
 
-/// What is known of a node. A later state outranks an earlier one of the same incarnation.
+/// State of a node. A later state outranks an earlier one of the same incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
 pub enum MemberState {
-    /// It answers probes.
+    /// The node answers probes.
     Alive = 0,
-    /// It has answered none lately, and may refute.
+    /// The node has recently not answered a probe, and may refute.
     Suspect = 1,
-    /// It is removed.
+    /// The node is removed.
     Dead = 2,
 }
 
-/// A node as others know it; the key is its internal address.
+/// A node as known to others, identified by its internal address.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Member {
-    /// Its internal address.
+    /// Internal address of the node.
     #[prost(string, tag = "1")]
     pub address: String,
-    /// The node's identity in Raft; new with every empty disk.
+    /// Identifier of the node in Raft. A node with an empty disk gets a new one.
     #[prost(uint64, tag = "2")]
     pub id: u64,
-    /// Higher for every run of the process, and raised by the node itself to refute.
+    /// Incarnation: higher for every run of the process, and raised by the node itself to refute.
     #[prost(uint64, tag = "3")]
     pub incarnation: u64,
     /// See [`MemberState`].
     #[prost(enumeration = "MemberState", tag = "4")]
     pub state: i32,
-    /// Its name in the settings.
+    /// Name of the node in the settings.
     #[prost(string, tag = "5")]
     pub name: String,
-    /// The zone that it is in.
+    /// Zone of the node.
     #[prost(string, tag = "6")]
     pub zone: String,
-    /// The region that it is in.
+    /// Region of the node.
     #[prost(string, tag = "7")]
     pub region: String,
-    /// Where clients reach it; empty if it takes none.
+    /// Address for clients; empty if the node does not serve clients.
     #[prost(string, tag = "8")]
     pub client_address: String,
-    /// It has a disk and so may vote.
+    /// Whether the node has a disk and so may vote.
     #[prost(bool, tag = "9")]
     pub has_disk: bool,
-    /// It is current and takes clients.
+    /// Whether the node is up to date and serves clients.
     #[prost(bool, tag = "10")]
     pub is_ready: bool,
-    /// The cluster that it belongs to; 0 for none.
+    /// Identifier of the node's cluster, or 0 if it has none.
     #[prost(uint64, tag = "11")]
     pub cluster: u64,
-    /// The identity that the first seed chose to bootstrap a new cluster; 0 for none.
+    /// Identifier that the first seed chose to bootstrap a new cluster, or 0 if it chose none.
     #[prost(uint64, tag = "12")]
     pub appointed: u64,
-    /// Its share of processors.
+    /// Number of processors available to the node, which may be a fraction.
     #[prost(double, tag = "13")]
     pub cpu_fraction: f64,
-    /// Its disk was empty at the first start of the whole system.
+    /// Whether the node's disk was empty at the first start of the whole system.
     #[prost(bool, tag = "14")]
     pub is_new_system: bool,
 }
 
 impl Member {
-    /// A number that tells what is known of a node from anything else (FNV-1a).
+    /// Returns a hash (FNV-1a) of the node's address, incarnation and state, which identifies what
+    /// is known of the node.
     pub fn fingerprint(&self) -> u64 {
         let hash = |hash: u64, b: u8| (hash ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3);
         let bytes = self.address.bytes().chain([self.state as u8]);
         bytes.fold(0xcbf2_9ce4_8422_2325u64 ^ self.incarnation, hash)
     }
 
-    /// Whether this says that the incarnation which the other tells of has ended.
+    /// Returns whether this entry says that the incarnation in the other entry, or a later one, has
+    /// ended.
     pub fn ends(&self, other: &Member) -> bool {
         self.state() == MemberState::Dead
             && other.state() != MemberState::Dead
             && self.incarnation >= other.incarnation
     }
 
-    /// Whether it is not even suspected.
+    /// Returns whether the node is neither suspected nor removed.
     pub fn is_alive(&self) -> bool {
         self.state() == MemberState::Alive
     }
 }
 
-/// What a datagram is for.
+/// Type of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Enumeration)]
 #[repr(i32)]
 pub enum MessageType {
-    /// Are you there?
+    /// Probes the receiver.
     Ping = 0,
-    /// The answer to it.
+    /// Acknowledges a ping.
     Ack = 1,
-    /// Ping somebody for me.
+    /// Asks the receiver to ping another node on behalf of the sender.
     PingRequest = 2,
-    /// Tell me about everybody of whom I know nothing, or something else.
+    /// Asks the receiver for all entries that the sender does not know.
     Join = 3,
-    /// What the sender knows of some nodes.
+    /// Carries membership updates about some nodes.
     Update = 4,
-    /// Who are you?
+    /// Asks the receiver for its own entry.
     Introduce = 5,
-    /// The same as `Join`, from a node that has answered one.
+    /// Like `Join`, but sent by a node that has answered a `Join`; it is not answered with another
+    /// `Exchange`.
     Exchange = 6,
 }
 
@@ -108,19 +112,20 @@
     /// See [`MessageType`].
     #[prost(enumeration = "MessageType", tag = "1")]
     pub message_type: i32,
-    /// The number of the probe; an ack echoes it.
+    /// Sequence number of the probe, echoed by its ack.
     #[prost(uint64, tag = "2")]
     pub sequence: u64,
-    /// PingRequest: the node to ping.
+    /// For `PingRequest`: the node to ping.
     #[prost(string, tag = "3")]
     pub target: String,
-    /// The sender, and what it knows of others.
+    /// Membership updates: entries of the sender and of other nodes.
     #[prost(message, repeated, tag = "4")]
     pub members: Vec<Member>,
-    /// Ack: what the sender knows of all nodes, as one number.
+    /// For `Ack`: digest of everything the sender knows.
     #[prost(fixed64, tag = "5")]
     pub digest: u64,
-    /// Join and Exchange: what the sender knows of each, by [`Member::fingerprint`].
+    /// For `Join` and `Exchange`: the fingerprints of all entries known to the sender, see
+    /// [`Member::fingerprint`].
     #[prost(fixed64, repeated, tag = "6")]
     pub known: Vec<u64>,
 }
--- a/crates/gossip/src/protocol.rs
+++ b/crates/gossip/src/protocol.rs
@@ -1,4 +1,4 @@
-//! The membership as one node sees it.
+//! The membership from the point of view of one node.
 
 mod dissemination;
 mod probing;
@@ -10,79 +10,82 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// The times and sizes of the protocol. All times are ms on the node's monotonic clock.
+/// Times and sizes of the protocol. Times are in milliseconds on the node's monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Pause between two probes, ms.
+    /// Interval between two probes, in milliseconds.
     pub probe_interval_ms: u64,
-    /// Wait for an ack before others are asked to probe, ms.
+    /// Time without an ack after which other nodes are asked for indirect probes, in milliseconds.
     pub probe_timeout_ms: u64,
-    /// Wait from the first ping until the target is suspected, ms.
+    /// Time from the first ping without an ack after which the target is suspected, in
+    /// milliseconds.
     pub suspect_after_ms: u64,
-    /// Nodes that are asked for an indirect probe.
+    /// Number of nodes that are asked for an indirect probe.
     pub indirect_probes: usize,
-    /// A suspect that has not refuted for so long is removed, ms.
+    /// Time after which a suspect that has not refuted is removed, in milliseconds.
     pub suspicion_timeout_ms: u64,
-    /// A removed node is forgotten after this time, ms.
+    /// Time after which the entry of a removed node is dropped, in milliseconds.
     pub dead_retention_ms: u64,
-    /// How often each node passes an update on, at least.
+    /// Minimum number of times that each node sends an update.
     pub retransmits: u32,
-    /// Most members in one message.
+    /// Maximum number of entries in one message.
     pub message_members: usize,
-    /// Pause between calls to the seeds while no other node is known, ms.
+    /// Interval between messages to the seeds while no other node is known, in milliseconds.
     pub join_interval_ms: u64,
-    /// Pause between calls to a seed or a removed node later on, ms.
+    /// Interval between messages to a seed or removed node once other nodes are known, in
+    /// milliseconds.
     pub rejoin_interval_ms: u64,
-    /// Least pause between two exchanges of everything that is known, ms.
+    /// Minimum time between two exchanges of the full table, in milliseconds.
     pub exchange_interval_ms: u64,
 }
 
-/// A message and the address of its receiver.
+/// A message with its receiver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Envelope {
-    /// Where it goes.
+    /// Address of the receiver.
     pub to: String,
-    /// What is said.
+    /// The message.
     pub message: Message,
 }
 
 struct Entry {
     member: Member,
     since: u64,
-    /// How often the update of this entry may still be passed on.
+    /// Number of times that this entry may still be sent as an update.
     retransmits: u32,
 }
 
-/// Who is there, as one node sees it.
+/// The membership from the point of view of one node.
 pub struct MembershipProtocol {
     own: Member,
     seeds: Vec<String>,
     config: Config,
     rng: SmallRng,
     others: BTreeMap<String, Entry>,
-    /// Who is probed next, from the end; drawn anew when all have been.
+    /// Addresses to probe, in order from the end. Refilled in random order when it is empty.
     probe_order: Vec<String>,
     probes: Vec<Probe>,
-    /// Probes made for other nodes, by our sequence number.
+    /// Probes made on behalf of other nodes, by this node's sequence number.
     relayed_probes: BTreeMap<u64, RelayedProbe>,
-    /// The number of the newest probe. Each process counts from a number drawn at random, so
-    /// that an ack to the one before is none to this one.
+    /// Sequence number of the newest probe. Each process starts at a random number, so that an ack
+    /// for a probe of an earlier process does not match a probe of this one.
     sequence: u64,
     unmatched_acks: u64,
     next_probe: u64,
     next_join: u64,
     own_retransmits: u32,
-    /// Acks in a row from nodes that know something else.
+    /// Number of consecutive acks from nodes that know something different.
     differing_acks: u32,
     next_exchange: u64,
     changed: bool,
     outgoing: Vec<Envelope>,
-    /// Round trips of direct probes by address, smoothed, ms.
+    /// Smoothed round-trip times of direct probes by address, in milliseconds.
     round_trips: BTreeMap<String, f64>,
 }
 
 impl MembershipProtocol {
-    /// A node that has just started, at `now` ms, and knows the addresses of some seeds.
+    /// Creates the state of a node that has just started. `now` is the time in milliseconds, and
+    /// `seeds` are the addresses of the seed nodes.
     pub fn new(
         own: Member,
         seeds: Vec<String>,
@@ -114,53 +117,55 @@
         }
     }
 
-    /// This node as it is known to others.
+    /// Returns this node's entry as known to others.
     pub fn own(&self) -> &Member {
         &self.own
     }
 
-    /// All other nodes that are not removed.
+    /// Returns all other nodes that are not removed.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         let others = self.others.values().map(|e| &e.member);
         others.filter(|m| m.state() != MemberState::Dead)
     }
 
-    /// All other nodes that are not even suspected.
+    /// Returns all other nodes that are neither suspected nor removed.
     pub fn alive(&self) -> impl Iterator<Item = &Member> {
         self.others.values().map(|e| &e.member).filter(|m| m.is_alive())
     }
 
-    /// What is known of a node, by its address.
+    /// Returns the entry of a node by its address.
     pub fn get(&self, address: &str) -> Option<&Member> {
         self.others.get(address).map(|e| &e.member)
     }
 
-    /// Smoothed round trip to a node, if it was ever measured, ms.
+    /// Returns the smoothed round-trip time to a node in milliseconds, if it was measured.
     pub fn round_trip(&self, address: &str) -> Option<f64> {
         self.round_trips.get(address).copied()
     }
 
-    /// Acks that belonged to no pending probe of this process and of that node.
+    /// Returns the number of acks that matched no pending probe of this process and of the sending
+    /// node.
     pub fn unmatched_acks(&self) -> u64 {
         self.unmatched_acks
     }
 
-    /// Whether anything was learned since the last [`MembershipProtocol::take_changed`].
+    /// Returns whether the membership has changed since the last
+    /// [`MembershipProtocol::take_changed`].
     pub fn has_changed(&self) -> bool {
         self.changed
     }
 
-    /// Whether anything was learned since the last call.
+    /// Returns whether the membership has changed since the last call.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// The messages to send.
+    /// Returns and removes the messages to send.
     pub fn take_outgoing(&mut self) -> Vec<Envelope> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Changes what this node says of itself; others are told.
+    /// Changes this node's own entry and tells some other nodes at once.
     pub fn update_own(&mut self, change: impl FnOnce(&mut Member)) {
         let before = self.own.clone();
         change(&mut self.own);
@@ -170,8 +175,8 @@
         self.own.incarnation += 1;
         self.own_retransmits = self.retransmits();
         self.changed = true;
-        // This matters at once: a node that shuts down is to be left out of answers before it
-        // ends.
+        // The update is sent at once, since a node that shuts down must be left out of responses
+        // before it ends.
         let targets: Vec<String> = self.alive().map(|m| m.address.clone()).collect();
         let chosen = targets.choose_multiple(&mut self.rng, self.config.indirect_probes);
         let chosen: Vec<String> = chosen.cloned().collect();
@@ -180,28 +185,28 @@
         }
     }
 
-    /// The time has come to `now` ms.
+    /// Advances the time to `now`, in milliseconds.
     pub fn tick(&mut self, now: u64) {
-        self.watch_probes(now);
+        self.check_probes(now);
         self.expire(now);
         if now >= self.next_join {
             self.join(now);
         }
         if now >= self.next_probe {
             self.next_probe = now + self.config.probe_interval_ms;
-            self.probe_next(now);
+            self.probe_next_member(now);
         }
     }
 
-    /// When the next tick is due, ms: among hundreds of nodes each needless waking of one is
-    /// hundreds.
+    /// Returns the time of the next tick, in milliseconds. With hundreds of nodes, each needless
+    /// wake-up of one node means hundreds of them.
     pub fn next_tick_at(&self) -> u64 {
         let deadlines = self.probes.iter().map(|p| p.next_deadline(&self.config));
         let next_deadline = deadlines.min().unwrap_or(u64::MAX);
         self.next_probe.min(self.next_join).min(next_deadline)
     }
 
-    /// Takes a message from an address in.
+    /// Handles a message from the node with the address `from`.
     pub fn receive(&mut self, now: u64, from: &str, message: Message) {
         let Ok(message_type) = MessageType::try_from(message.message_type) else {
             return;
@@ -226,8 +231,9 @@
         }
         let asks = matches!(message_type, MessageType::Join | MessageType::Introduce);
         if !self.is_alive(from) && !asks {
-            // It knows us and we do not know it, or take it for gone: after a restart of the
-            // seeds nobody else would introduce it.
+            // The sender knows this node, but this node does not know the sender or takes it for
+            // suspected or removed. After a restart of the seeds no other node would introduce the
+            // sender.
             self.send(from, MessageType::Introduce, 0, String::new());
         }
     }
@@ -236,8 +242,8 @@
         self.others.get(address).is_some_and(|e| e.member.is_alive())
     }
 
-    /// Calls seeds and removed nodes: all seeds while alone, later one that is not alive for
-    /// us, so that a membership that was split grows together again.
+    /// Contacts seeds and nodes that are not alive: all seeds while no other node is alive,
+    /// otherwise one of them, so that a split membership merges again.
     fn join(&mut self, now: u64) {
         let is_alone = self.alive().next().is_none();
         let pause = if is_alone {
@@ -253,8 +259,8 @@
         targets.shuffle(&mut self.rng);
         targets.truncate(if is_alone { targets.len() } else { 1 });
         for (i, to) in targets.into_iter().enumerate() {
-            // A table from one is enough: there may be hundreds that start together, over
-            // narrow links.
+            // One full table is enough: hundreds of nodes may start at the same time over slow
+            // links.
             let message_type = if i == 0 || self.own.has_disk {
                 MessageType::Join
             } else {
--- a/crates/gossip/src/protocol/dissemination.rs
+++ b/crates/gossip/src/protocol/dissemination.rs
@@ -1,5 +1,5 @@
-//! Dissemination: updates that travel on other messages, and exchanges of whole tables where
-//! that was not enough.
+//! Dissemination: updates piggybacked on other messages, and exchanges of full tables where updates
+//! were not enough.
 
 use super::{Entry, Envelope, MembershipProtocol};
 use crate::message::{Member, MemberState, Message, MessageType};
@@ -8,32 +8,33 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-/// Acks in a row that differ before tables are exchanged.
+/// Number of consecutive acks with a different digest after which tables are exchanged.
 const DIFFERING_ACKS: u32 = 2;
 
 impl MembershipProtocol {
-    /// How often an update is passed on: the more nodes, the oftener, or it dies out before it
-    /// has reached them all.
+    /// Returns how many times an update is sent. The number grows with the number of nodes, since
+    /// otherwise an update would stop spreading before it has reached all of them.
     pub(super) fn retransmits(&self) -> u32 {
         let nodes = self.others.len() as u32 + 2;
         self.config.retransmits.max(2 * nodes.ilog2())
     }
 
-    /// What this node knows of each node, itself included, as numbers.
+    /// Returns the fingerprints of all known nodes that are not removed, including this one.
     fn fingerprints(&self) -> impl Iterator<Item = u64> + '_ {
         std::iter::once(&self.own)
             .chain(self.members())
             .map(Member::fingerprint)
     }
 
-    /// A number that two nodes which know the same share.
+    /// Returns a number that is equal on nodes that know the same.
     fn digest(&self) -> u64 {
         self.fingerprints().fold(0, u64::wrapping_add)
     }
 
-    /// A node that twice in a row met others which know different things exchanges tables with
-    /// one of its region: updates that died out on their way, or are too many for the probes,
-    /// arrive all the same, at no price between regions.
+    /// Compares the sender's digest with this node's. After two differing acks in a row, this node
+    /// exchanges tables with a node of its own region, or with the sender if it knows none. Updates
+    /// that stopped spreading, or are too many for the probes, arrive in this way, without traffic
+    /// between regions.
     pub(super) fn compare_digest(&mut self, now: u64, from: &str, theirs: u64) {
         if theirs == self.digest() {
             self.differing_acks = 0;
@@ -52,20 +53,22 @@
         self.send(&partner, MessageType::Join, 0, String::new());
     }
 
-    /// Whoever takes a removed node for alive is told: it is in no table that the two compare.
+    /// Tells a node about removed nodes that it takes for not removed, since removed nodes are in
+    /// none of the compared tables.
     pub(super) fn report_dead(&mut self, to: &str, members: &[Member]) {
         let known_dead = |m: &Member| self.get(&m.address).filter(|known| known.ends(m));
         let dead: Vec<Member> = members.iter().filter_map(known_dead).cloned().collect();
         self.send_updates(to, &dead);
     }
 
-    /// Tells a node of this one.
+    /// Sends this node's own entry to a node.
     pub(super) fn introduce(&mut self, to: &str) {
         let own = self.own.clone();
         self.send_updates(to, std::slice::from_ref(&own));
     }
 
-    /// Tells a node what it does not know; and asks back, once, if it may know more.
+    /// Sends a node the entries that it does not know. If the node asked with `Join` and may know
+    /// more, asks back once.
     pub(super) fn send_missing(&mut self, to: &str, known: &[u64], asked_by: MessageType) {
         let known: BTreeSet<u64> = known.iter().copied().collect();
         let own: BTreeSet<u64> = self.fingerprints().collect();
@@ -92,7 +95,7 @@
         }
     }
 
-    /// Takes what is said of a node in, if it is newer than what is known.
+    /// Takes in an update about a node, if it is newer than what is known.
     pub(super) fn learn(&mut self, now: u64, update: Member) {
         if update.address.is_empty() {
             return;
@@ -121,7 +124,7 @@
         self.others.insert(entry.member.address.clone(), entry);
     }
 
-    /// Raises this node's incarnation over what is wrongly said of it.
+    /// Refutes a wrong update about this node by raising the incarnation above it.
     fn refute(&mut self, update: &Member) {
         let is_wrong = update.state() != MemberState::Alive || update.id != self.own.id;
         let is_later = update.incarnation > self.own.incarnation;
@@ -131,7 +134,7 @@
         }
     }
 
-    /// Queues a message that also carries updates.
+    /// Queues a message with piggybacked updates.
     pub(super) fn send(&mut self, to: &str, message_type: MessageType, sequence: u64, target: String) {
         let members = self.updates_for(to);
         let digest = match message_type {
@@ -156,10 +159,11 @@
         });
     }
 
-    /// The updates that travel on a message: those told least often, as many as fit.
+    /// Returns the updates to piggyback on a message: those sent least often, as many as fit.
     fn updates_for(&mut self, to: &str) -> Vec<Member> {
         let mut members = Vec::new();
-        // Whoever does not know us yet, or has us wrong, hears of us first.
+        // A node that does not know this node, or has a wrong entry of it, gets this node's entry
+        // first.
         if self.own_retransmits > 0 || !self.is_alive(to) {
             self.own_retransmits = self.own_retransmits.saturating_sub(1);
             members.push(self.own.clone());
@@ -169,7 +173,7 @@
         ranked.sort_by_key(|(_, retransmits)| Reverse(*retransmits));
         let first = ranked.into_iter().take(self.config.message_members - 1);
         let mut addresses: BTreeSet<String> = first.map(|(a, _)| a.clone()).collect();
-        // Whoever is suspected or removed is told, so that it can refute.
+        // A suspected or removed node is sent its own entry, so that it can refute.
         if self.others.contains_key(to) && !self.is_alive(to) {
             addresses.insert(to.to_string());
         }
--- a/crates/gossip/src/protocol/probing.rs
+++ b/crates/gossip/src/protocol/probing.rs
@@ -1,15 +1,15 @@
-//! Failure detection: pings, indirect pings, suspicion, removal.
+//! Failure detection: pings, indirect pings, suspicion and removal.
 
 use super::{Config, MembershipProtocol};
 use crate::message::{Member, MemberState, MessageType};
 use rand::seq::SliceRandom;
 
-/// Pending probes at the same time: a lost region must not be found out one node after the
-/// other.
+/// Maximum number of pending probes, so that the nodes of a lost region need not be detected one
+/// after the other.
 const MAX_PROBES: usize = 4;
-/// A probe made for another node is forgotten after this time, ms.
+/// Time after which a probe made on behalf of another node is dropped, in milliseconds.
 const RELAYED_PROBE_MS: u64 = 2000;
-/// Weight of the newest round trip in the smoothed one.
+/// Weight of the newest round-trip time in the smoothed one.
 const ROUND_TRIP_SMOOTHING: f64 = 0.3;
 
 /// A pending probe.
@@ -18,7 +18,7 @@
     sequence: u64,
     sent_at: u64,
     is_indirect: bool,
-    /// Those that were asked to ping it as well.
+    /// Nodes that were asked for an indirect ping.
     helpers: Vec<String>,
 }
 
@@ -33,18 +33,18 @@
     }
 }
 
-/// A probe made for another node.
+/// A probe made on behalf of another node.
 pub(super) struct RelayedProbe {
     requester: String,
-    /// The number that the requester knows it by.
+    /// The requester's sequence number of the probe.
     sequence: u64,
     target: String,
     sent_at: u64,
 }
 
 impl MembershipProtocol {
-    /// Pings the next node in the random order.
-    pub(super) fn probe_next(&mut self, now: u64) {
+    /// Pings the next node in random order.
+    pub(super) fn probe_next_member(&mut self, now: u64) {
         if self.probes.len() >= MAX_PROBES {
             return;
         }
@@ -67,26 +67,27 @@
         self.probe_order.shuffle(&mut self.rng);
     }
 
-    /// Asks others where an ack is late, and suspects where none has come.
-    pub(super) fn watch_probes(&mut self, now: u64) {
+    /// Asks other nodes for indirect pings where an ack is late, and suspects nodes whose ack has
+    /// not arrived in time.
+    pub(super) fn check_probes(&mut self, now: u64) {
         let config = self.config;
         let mut failed = Vec::new();
-        let mut late = Vec::new();
+        let mut unacknowledged = Vec::new();
         self.probes.retain_mut(|probe| {
-            let waited = now.saturating_sub(probe.sent_at);
-            if waited >= config.suspect_after_ms {
+            let elapsed_ms = now.saturating_sub(probe.sent_at);
+            if elapsed_ms >= config.suspect_after_ms {
                 failed.push(probe.target.clone());
-            } else if waited >= config.probe_timeout_ms && !probe.is_indirect {
+            } else if elapsed_ms >= config.probe_timeout_ms && !probe.is_indirect {
                 probe.is_indirect = true;
-                late.push((probe.target.clone(), probe.sequence));
+                unacknowledged.push((probe.target.clone(), probe.sequence));
             }
-            waited < config.suspect_after_ms
+            elapsed_ms < config.suspect_after_ms
         });
         for target in failed {
             self.suspect(now, &target);
         }
-        for (target, sequence) in late {
-            // Where one is silent others may be: the next is probed at once.
+        for (target, sequence) in unacknowledged {
+            // Other nodes may be unresponsive as well, so the next one is probed at once.
             self.next_probe = now;
             self.request_pings(&target, sequence);
         }
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Pings a node for another one.
+    /// Pings a node on behalf of another one.
     pub(super) fn relay_probe(&mut self, now: u64, requester: &str, sequence: u64, target: String) {
         self.sequence += 1;
         let probe = RelayedProbe {
@@ -128,8 +129,8 @@
         self.send(&target, MessageType::Ping, self.sequence, String::new());
     }
 
-    /// An ack has come: it ends the probe of this number if it comes from the node that was
-    /// probed, or from one that was asked to ping it as well.
+    /// Handles an ack. It completes the probe with its sequence number if it comes from the probed
+    /// node, or from a node that was asked for an indirect ping.
     pub(super) fn handle_ack(&mut self, now: u64, from: &str, sequence: u64) {
         if self
             .relayed_probes
@@ -141,8 +142,8 @@
             }
             return;
         }
-        let was_asked = |p: &Probe| p.target == from || p.helpers.iter().any(|h| h == from);
-        let matching = |p: &Probe| p.sequence == sequence && was_asked(p);
+        let is_expected_sender = |p: &Probe| p.target == from || p.helpers.iter().any(|h| h == from);
+        let matching = |p: &Probe| p.sequence == sequence && is_expected_sender(p);
         let Some(position) = self.probes.iter().position(matching) else {
             self.unmatched_acks += 1;
             return;
@@ -155,7 +156,8 @@
         }
     }
 
-    /// Removes suspects whose time is over, and forgets removed nodes.
+    /// Removes suspects whose suspicion timeout has passed, and drops removed nodes whose retention
+    /// time has passed.
     pub(super) fn expire(&mut self, now: u64) {
         let timeout = self.config.suspicion_timeout_ms;
         let suspects = self
--- a/crates/gossip/tests/membership.rs
+++ b/crates/gossip/tests/membership.rs
@@ -21,32 +21,32 @@
 };
 
 /// Nodes on a simulated network that loses datagrams.
-struct Net {
+struct Network {
     now: u64,
     nodes: BTreeMap<String, MembershipProtocol>,
-    flights: Vec<(u64, String, String, Message)>,
+    in_flight: Vec<(u64, String, String, Message)>,
     rng: SmallRng,
     loss: f64,
     incarnations: u64,
-    /// Bytes sent since this was last set to 0: in all, and between regions.
+    /// Bytes sent since this was last set to 0: in total, and between regions.
     sent: (usize, usize),
 }
 
-impl Net {
-    fn new(nodes: usize, loss: f64) -> Net {
-        let mut net = Net {
+impl Network {
+    fn new(nodes: usize, loss: f64) -> Network {
+        let mut network = Network {
             now: 0,
             nodes: BTreeMap::new(),
-            flights: vec![],
+            in_flight: vec![],
             rng: SmallRng::seed_from_u64(3),
             loss,
             incarnations: 0,
             sent: (0, 0),
         };
         for i in 0..nodes {
-            net.start(&format!("n{i}"));
+            network.start(&format!("n{i}"));
         }
-        net
+        network
     }
 
     fn start(&mut self, name: &str) {
@@ -72,10 +72,10 @@
         while self.now < end {
             self.now += 50;
             let now = self.now;
-            let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.flights)
+            let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
                 .into_iter()
                 .partition(|(at, ..)| *at <= now);
-            self.flights = rest;
+            self.in_flight = rest;
             for (_, from, to, message) in due {
                 if let Some(b) = self.nodes.get_mut(&to) {
                     b.receive(now, &from, message);
@@ -95,130 +95,147 @@
                         bytes
                     };
                     if !self.rng.gen_bool(self.loss) {
-                        self.flights.push((now + 40, name.clone(), to, message));
+                        self.in_flight.push((now + 40, name.clone(), to, message));
                     }
                 }
             }
         }
     }
 
-    fn sees(&self, who: &str, whom: &str) -> bool {
+    fn sees_alive(&self, who: &str, whom: &str) -> bool {
         self.nodes[who].get(whom).is_some_and(Member::is_alive)
     }
 
-    fn all_see_all(&self) -> bool {
+    fn all_see_all_alive(&self) -> bool {
         self.nodes
             .keys()
-            .all(|a| self.nodes.keys().all(|b| a == b || self.sees(a, b)))
+            .all(|a| self.nodes.keys().all(|b| a == b || self.sees_alive(a, b)))
     }
 }
 
 #[test]
-fn all_join_through_the_seeds_and_lost_datagrams_remove_nobody() {
-    let mut net = Net::new(12, 0.05);
-    net.run(3000);
-    assert!(net.all_see_all());
+fn all_nodes_join_through_the_seeds_and_lost_datagrams_remove_no_node() {
+    let mut network = Network::new(12, 0.05);
+    network.run(3000);
+    assert!(network.all_see_all_alive());
     for _ in 0..200 {
-        net.run(100);
-        for (a, node) in &net.nodes {
+        network.run(100);
+        for (a, node) in &network.nodes {
             assert!(
                 node.members().count() == 11,
-                "{a} has removed somebody at {}",
-                net.now
+                "{a} has removed a node at {}",
+                network.now
             );
         }
     }
 }
 
 #[test]
-fn dead_node_is_removed_and_a_restarted_one_is_known_at_once() {
-    let mut net = Net::new(10, 0.0);
-    net.run(3000);
-    net.nodes.remove("n7");
-    net.run(2500);
-    let still = net.nodes.keys().filter(|n| net.sees(n, "n7")).count();
-    assert_eq!(still, 0);
-    net.run(3000);
-    net.start("n7");
-    net.run(1500);
-    assert!(net.all_see_all());
+fn ended_node_is_removed_and_known_again_soon_after_a_restart() {
+    let mut network = Network::new(10, 0.0);
+    network.run(3000);
+    network.nodes.remove("n7");
+    network.run(2500);
+    let nodes_that_know_it = network
+        .nodes
+        .keys()
+        .filter(|n| network.sees_alive(n, "n7"))
+        .count();
+    assert_eq!(nodes_that_know_it, 0);
+    network.run(3000);
+    network.start("n7");
+    network.run(1500);
+    assert!(network.all_see_all_alive());
 }
 
 #[test]
-fn restarted_seeds_are_introduced_by_those_who_know_them() {
-    let mut net = Net::new(10, 0.0);
-    net.run(3000);
+fn restarted_seeds_are_introduced_to_the_other_nodes() {
+    let mut network = Network::new(10, 0.0);
+    network.run(3000);
     for seed in ["n0", "n1", "n2", "n3", "n4", "n5"] {
-        net.nodes.remove(seed);
+        network.nodes.remove(seed);
     }
-    net.run(700);
+    network.run(700);
     for seed in ["n0", "n1", "n2", "n3", "n4", "n5"] {
-        net.start(seed);
+        network.start(seed);
     }
-    net.run(4000);
-    assert!(net.all_see_all());
+    network.run(4000);
+    assert!(network.all_see_all_alive());
 }
 
 #[test]
 fn simultaneous_updates_of_eighty_nodes_reach_all() {
-    let mut net = Net::new(80, 0.02);
-    net.run(3000);
-    for node in net.nodes.values_mut() {
+    let mut network = Network::new(80, 0.02);
+    network.run(3000);
+    for node in network.nodes.values_mut() {
         node.update_own(|own| own.cluster = 7);
     }
-    net.run(5000);
-    let lacking = |net: &Net| -> usize {
-        let knows = |b: &MembershipProtocol| b.members().filter(|m| m.cluster == 7).count();
-        net.nodes.values().map(|b| 79 - knows(b)).sum()
+    network.run(5000);
+    let missing_updates = |network: &Network| -> usize {
+        let updated_members = |b: &MembershipProtocol| b.members().filter(|m| m.cluster == 7).count();
+        network.nodes.values().map(|b| 79 - updated_members(b)).sum()
     };
-    assert_eq!(lacking(&net), 0);
-    // And nobody talks more than it must once all is known; a lost datagram would
-    // be news of a suspicion.
-    net.loss = 0.0;
-    net.run(3000);
-    let before: usize = net.nodes.values_mut().map(|b| b.take_outgoing().len()).sum();
+    assert_eq!(missing_updates(&network), 0);
+    // Once all updates are known, messages carry no more entries than necessary. No datagram is
+    // lost here, since that would cause updates about a suspicion.
+    network.loss = 0.0;
+    network.run(3000);
+    let before: usize = network.nodes.values_mut().map(|b| b.take_outgoing().len()).sum();
     assert_eq!(before, 0);
-    net.run(1000);
-    let big = net.flights.iter().filter(|(.., n)| n.members.len() > 1).count();
-    assert_eq!(big, 0, "datagrams that still carry news");
+    network.run(1000);
+    let messages_with_updates = network
+        .in_flight
+        .iter()
+        .filter(|(.., n)| n.members.len() > 1)
+        .count();
+    assert_eq!(messages_with_updates, 0, "datagrams still carry updates");
 }
 
-/// With hundreds of nodes a start must not fill links of 2 Mbit/s, and what is
-/// said when nothing happens must not grow with the nodes.
+/// Guards against a start of hundreds of nodes that fills links of 2 Mbit/s, and against idle
+/// traffic per node that grows with the number of nodes.
 #[test]
 fn three_hundred_nodes_join_and_detect_a_lost_region_at_a_bounded_cost() {
     const NODES: usize = 300;
-    let mut net = Net::new(NODES, 0.01);
-    let price = |net: &mut Net, ms: u64| {
-        net.sent = (0, 0);
-        net.run(ms);
+    let mut network = Network::new(NODES, 0.01);
+    let bytes_per_node_and_second = |network: &mut Network, ms: u64| {
+        network.sent = (0, 0);
+        network.run(ms);
         let per_second = |bytes: usize| bytes / NODES * 1000 / ms as usize;
-        (per_second(net.sent.0), per_second(net.sent.1))
+        (per_second(network.sent.0), per_second(network.sent.1))
+    };
+    let all_know = |network: &Network, node_count: usize| {
+        network
+            .nodes
+            .values()
+            .all(|b| b.members().count() + 1 == node_count)
     };
-    let knows = |net: &Net, of: usize| net.nodes.values().all(|b| b.members().count() + 1 == of);
-    let start = price(&mut net, 7000);
-    assert!(knows(&net, NODES), "all have met");
+    let start = bytes_per_node_and_second(&mut network, 7000);
+    assert!(all_know(&network, NODES), "every node must know all others");
     assert!(
         start.0 < 30_000 && start.1 < 12_000,
-        "bytes a node and second: {start:?}"
+        "bytes per node and second: {start:?}"
     );
-    price(&mut net, 6000);
-    let calm = price(&mut net, 2000);
-    assert!(calm.0 < 4000, "bytes a node and second: {calm:?}");
-    net.nodes.retain(|_, b| b.own().region != "region-1");
-    let loss = price(&mut net, 5000);
-    let left = net
+    bytes_per_node_and_second(&mut network, 6000);
+    let idle = bytes_per_node_and_second(&mut network, 2000);
+    assert!(idle.0 < 4000, "bytes per node and second: {idle:?}");
+    network.nodes.retain(|_, b| b.own().region != "region-1");
+    let loss = bytes_per_node_and_second(&mut network, 5000);
+    let still_alive = network
         .nodes
         .values()
         .map(|b| b.alive().filter(|m| m.region == "region-1").count());
-    assert!(left.max() <= Some(15), "lost nodes that pass for alive");
-    assert!(loss.0 < 30_000, "bytes a node and second: {loss:?}");
-    net.run(6000);
-    assert!(knows(&net, NODES * 2 / 3), "the loss is known");
+    assert!(still_alive.max() <= Some(15), "lost nodes still count as alive");
+    assert!(loss.0 < 30_000, "bytes per node and second: {loss:?}");
+    network.run(6000);
+    assert!(
+        all_know(&network, NODES * 2 / 3),
+        "every node must know of the loss"
+    );
 }
 
-/// A node that knows some others, and its first probe: of whom, its number.
-fn probing(seed: u64, others: &[&str]) -> (MembershipProtocol, String, u64) {
+/// Returns a node that knows the nodes `others` and has sent its first probe, with the target and
+/// the sequence number of that probe.
+fn node_with_probe(seed: u64, others: &[&str]) -> (MembershipProtocol, String, u64) {
     let own = Member {
         address: "me".into(),
         id: 1,
@@ -246,7 +263,7 @@
             }
         }
     }
-    panic!("nobody was probed");
+    panic!("no node was probed");
 }
 
 fn ack(sequence: u64) -> Message {
@@ -257,8 +274,8 @@
     }
 }
 
-/// Whether a probed node is taken for alive once its time is over.
-fn passes(mut node: MembershipProtocol, target: &str) -> bool {
+/// Returns whether the target counts as alive after the time for its probe is over.
+fn stays_alive(mut node: MembershipProtocol, target: &str) -> bool {
     for now in 400..400 + 2 * CONFIG.probe_interval_ms {
         node.tick(now);
         node.take_outgoing();
@@ -267,47 +284,55 @@
 }
 
 #[test]
-fn ack_counts_only_for_the_process_that_probed_and_from_the_probed_node() {
-    let (_, before, late) = probing(1, &["x"]);
-    assert_eq!(before, "x");
-    // The node starts anew; the ack to the process before it comes now.
-    let (mut node, target, sequence) = probing(2, &["y"]);
-    node.receive(10, "x", ack(late));
-    node.receive(10, "y", ack(late));
-    assert!(!passes(node, &target), "an ack to the process before");
-    // An ack with the right number from somebody else.
-    let (mut node, target, _) = probing(2, &["y"]);
+fn ack_counts_only_for_a_probe_of_this_process_and_from_the_probed_node() {
+    let (_, old_target, old_sequence) = node_with_probe(1, &["x"]);
+    assert_eq!(old_target, "x");
+    // The node restarts, and the ack for the earlier process arrives now.
+    let (mut node, target, sequence) = node_with_probe(2, &["y"]);
+    node.receive(10, "x", ack(old_sequence));
+    node.receive(10, "y", ack(old_sequence));
+    assert!(
+        !stays_alive(node, &target),
+        "an ack for the earlier process was accepted"
+    );
+    // An ack with the right sequence number from another node.
+    let (mut node, target, _) = node_with_probe(2, &["y"]);
     node.receive(10, "x", ack(sequence));
     assert_eq!(node.unmatched_acks(), 1);
-    assert!(!passes(node, &target), "an ack of another node");
-    let (mut node, target, sequence) = probing(2, &["y"]);
+    assert!(
+        !stays_alive(node, &target),
+        "an ack from another node was accepted"
+    );
+    let (mut node, target, sequence) = node_with_probe(2, &["y"]);
     node.receive(10, "y", ack(sequence));
     assert_eq!(node.unmatched_acks(), 0);
-    assert!(passes(node, &target));
+    assert!(stays_alive(node, &target));
 }
 
 #[test]
 fn relayed_ack_must_come_from_the_target() {
-    let (mut node, ..) = probing(1, &["x", "y"]);
-    let ask = Message {
+    let (mut node, ..) = node_with_probe(1, &["x", "y"]);
+    let request = Message {
         message_type: MessageType::PingRequest as i32,
         sequence: 77,
         target: "y".into(),
         ..Default::default()
     };
-    node.receive(10, "x", ask);
-    let out = node.take_outgoing();
-    let probe = out
+    node.receive(10, "x", request);
+    let outgoing = node.take_outgoing();
+    let probe = outgoing
         .iter()
         .find(|e| e.to == "y" && e.message.message_type == MessageType::Ping as i32);
-    let sequence = probe.map(|e| e.message.sequence).expect("a probe for another");
-    let relayed = |node: &mut MembershipProtocol| {
+    let sequence = probe
+        .map(|e| e.message.sequence)
+        .expect("a probe on behalf of another node");
+    let ack_was_relayed = |node: &mut MembershipProtocol| {
         node.take_outgoing()
             .iter()
             .any(|e| e.to == "x" && e.message.sequence == 77)
     };
     node.receive(20, "z", ack(sequence));
-    assert!(!relayed(&mut node), "nobody asked z");
+    assert!(!ack_was_relayed(&mut node), "z was not the target");
     node.receive(20, "y", ack(sequence));
-    assert!(relayed(&mut node));
+    assert!(ack_was_relayed(&mut node));
 }
