--- a/crates/anti-entropy/src/lib.rs
+++ b/crates/anti-entropy/src/lib.rs
@@ -1,26 +1,26 @@
-//! Anti-entropy: a copy of the control state is compared with another by digests over ranges of
-//! its rows, and ranges that differ are repaired from the newer copy.
+//! Anti-entropy: two copies of the control state are compared by digests over ranges of their rows,
+//! and ranges that differ are repaired from the newer copy.
 //!
-//! A node sends [`digests`] of its copy; a peer whose copy is not older answers with
-//! [`repair_for`] them; the node applies the answer with [`repaired_since`].
+//! A node sends the [`digests`] of its copy. A peer whose copy is not older answers with
+//! [`repair_for`] these digests, and the node applies the answer with [`repaired_since`].
 
 use control_state::ControlState;
 use prost::Message;
 use protocol::{ControlStateImage, RangeDigests, Repair};
 
-/// Range of the configuration and the history of commands.
+/// Range of the configuration and the command history.
 const CONFIGURATION: usize = 0;
 /// Range of the evacuations.
 const EVACUATIONS: usize = 1;
 /// Range of the placement.
 const PLACEMENT: usize = 2;
-/// Range of the retry allowances and of all that is small.
+/// Range of the retry allowances and all other small tables.
 const SMALL_TABLES: usize = 3;
-/// Ranges that hold whole tables.
+/// Number of ranges that hold complete tables.
 const TABLE_RANGES: usize = 4;
-/// Ranges over which the workers are spread, and the same for the key leases.
+/// Number of ranges over which the workers are distributed, and number of those for the key leases.
 const SPREAD_RANGES: usize = 6;
-/// All ranges of a copy.
+/// Number of all ranges of a copy.
 pub const RANGES: usize = TABLE_RANGES + 2 * SPREAD_RANGES;
 
 /// Initial value of the hash (that of FNV-1a).
@@ -28,7 +28,7 @@
 /// Multiplier of the hash (that of FNV-1a).
 const HASH_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// FNV-1a with a last mixing. Nodes compare its values, so that it never changes.
+/// FNV-1a with a final mixing step. Nodes compare its values, so it must never change.
 fn hash(mut hash: u64, bytes: &[u8]) -> u64 {
     for byte in bytes {
         hash = (hash ^ u64::from(*byte)).wrapping_mul(HASH_PRIME);
@@ -45,21 +45,21 @@
     TABLE_RANGES + SPREAD_RANGES + (hash % SPREAD_RANGES as u64) as usize
 }
 
-/// Copies the tables whose ranges are wanted.
-fn copy_tables(from: &ControlStateImage, to: &mut ControlStateImage, wanted: &impl Fn(usize) -> bool) {
-    if wanted(CONFIGURATION) {
+/// Copies the tables of the selected ranges.
+fn copy_tables(from: &ControlStateImage, to: &mut ControlStateImage, is_selected: &impl Fn(usize) -> bool) {
+    if is_selected(CONFIGURATION) {
         to.version = from.version;
         to.command_history = from.command_history.clone();
         to.configuration = from.configuration.clone();
     }
-    if wanted(EVACUATIONS) {
+    if is_selected(EVACUATIONS) {
         to.evacuated = from.evacuated.clone();
         to.ended_evacuations = from.ended_evacuations.clone();
     }
-    if wanted(PLACEMENT) {
+    if is_selected(PLACEMENT) {
         to.fractions = from.fractions.clone();
     }
-    if wanted(SMALL_TABLES) {
+    if is_selected(SMALL_TABLES) {
         to.retry_allowances = from.retry_allowances.clone();
         to.retry_slack = from.retry_slack;
         to.ejected = from.ejected.clone();
@@ -70,23 +70,23 @@
     }
 }
 
-/// The rows of the given ranges of an image.
-fn select_ranges(image: &ControlStateImage, wanted: impl Fn(usize) -> bool) -> ControlStateImage {
+/// Returns the rows of the selected ranges of an image.
+fn select_ranges(image: &ControlStateImage, is_selected: impl Fn(usize) -> bool) -> ControlStateImage {
     let mut part = ControlStateImage {
         index: image.index,
         ..Default::default()
     };
-    copy_tables(image, &mut part, &wanted);
+    copy_tables(image, &mut part, &is_selected);
     let workers = image.workers.iter();
-    let workers = workers.filter(|worker| wanted(range_of_worker(&worker.id)));
+    let workers = workers.filter(|worker| is_selected(range_of_worker(&worker.id)));
     part.workers = workers.cloned().collect();
     let key_leases = image.key_leases.iter();
-    let key_leases = key_leases.filter(|lease| wanted(range_of_key_lease(&lease.service, lease.from)));
+    let key_leases = key_leases.filter(|lease| is_selected(range_of_key_lease(&lease.service, lease.from)));
     part.key_leases = key_leases.cloned().collect();
     part
 }
 
-/// The digests of a copy.
+/// Returns the digests of a copy.
 pub fn digests(state: &ControlState) -> RangeDigests {
     let image = state.image();
     let ranges = (0..RANGES)
@@ -103,18 +103,18 @@
     }
 }
 
-/// What a peer that sent its digests lacks of this copy; `None` if this copy is
-/// not the newer one or nothing differs.
-pub fn repair_for(state: &ControlState, theirs: &RangeDigests) -> Option<Repair> {
-    if state.index < theirs.index {
+/// Returns the repair for a peer that sent its digests. Returns `None` if this copy is older, or if
+/// it is of the same index and nothing differs.
+pub fn repair_for(state: &ControlState, peer_digests: &RangeDigests) -> Option<Repair> {
+    if state.index < peer_digests.index {
         return None;
     }
-    let ours = digests(state);
+    let own_digests = digests(state);
     let ranges: Vec<u32> = (0..RANGES)
-        .filter(|range| theirs.ranges.get(*range) != ours.ranges.get(*range))
+        .filter(|range| peer_digests.ranges.get(*range) != own_digests.ranges.get(*range))
         .map(|range| range as u32)
         .collect();
-    if ranges.is_empty() && state.index == theirs.index {
+    if ranges.is_empty() && state.index == peer_digests.index {
         return None;
     }
     let image = select_ranges(&state.image(), |range| ranges.contains(&(range as u32)));
@@ -122,33 +122,37 @@
         index: state.index,
         ranges,
         image: Some(image),
-        incarnation: theirs.incarnation,
-        number: theirs.number,
+        incarnation: peer_digests.incarnation,
+        number: peer_digests.number,
     })
 }
 
-/// The copy with the ranges of a repair put in place of its own; `None` if the
-/// repair is older or cannot be read.
+/// Returns the copy with the ranges of a repair put in place of its own, or `None` if the repair is
+/// older than the copy or cannot be read.
 pub fn repaired(state: &ControlState, repair: &Repair) -> Option<ControlState> {
-    let newer = repair.image.as_ref()?;
+    let newer_image = repair.image.as_ref()?;
     if repair.index < state.index {
         return None;
     }
     let is_repaired = |range: usize| repair.ranges.contains(&(range as u32));
     let mut image = select_ranges(&state.image(), |range| !is_repaired(range));
     image.index = repair.index;
-    copy_tables(newer, &mut image, &is_repaired);
-    // A peer of an earlier version does not tell it.
+    copy_tables(newer_image, &mut image, &is_repaired);
+    // A peer of an earlier software version does not send the token.
     image.highest_fencing_token = image.highest_fencing_token.max(state.highest_fencing_token());
-    image.workers.extend(newer.workers.iter().cloned());
-    image.key_leases.extend(newer.key_leases.iter().cloned());
+    image.workers.extend(newer_image.workers.iter().cloned());
+    image.key_leases.extend(newer_image.key_leases.iter().cloned());
     ControlState::from_image(image).ok()
 }
 
-/// The same, of a repair that answers digests which this node has sent: `None` also
-/// if the copy has changed since. What a repair leaves out is equal to the copy
-/// that was asked about, and to no other.
-pub fn repaired_since(state: &ControlState, asked: &RangeDigests, repair: &Repair) -> Option<ControlState> {
-    let is_unchanged = digests(state) == *asked;
+/// Returns the repaired copy, like [`repaired`], for a repair that answers the digests `asked` of
+/// this node. Also returns `None` if the copy has changed since they were sent: the ranges that a
+/// repair omits are equal to the copy that was asked about, and to no other.
+pub fn repaired_since(
+    state: &ControlState,
+    sent_digests: &RangeDigests,
+    repair: &Repair,
+) -> Option<ControlState> {
+    let is_unchanged = digests(state) == *sent_digests;
     is_unchanged.then(|| repaired(state, repair))?
 }
--- a/crates/anti-entropy/tests/asked.rs
+++ b/crates/anti-entropy/tests/asked.rs
@@ -1,38 +1,43 @@
-//! A mend says of the ranges that it leaves out only that they were equal to what
-//! was asked about. On a copy that has changed since it makes a state that never was.
+//! Guards against a repair being applied to a copy that has changed since the digests were sent.
+//! The ranges that a repair omits are known only to equal the copy that was asked about; on another
+//! copy the result is a state that never existed.
 
 use anti_entropy::{digests, repair_for, repaired, repaired_since};
 use control_state::ControlState;
 use protocol::{Change, ChangeKind, EvacuationChange};
 
-fn evacuate(stage: &ControlState, begin: bool) -> ControlState {
+fn evacuate(state: &ControlState, begin: bool) -> ControlState {
     let zone = "z".to_string();
-    let mut next = stage.clone();
+    let mut next = state.clone();
     let change = ChangeKind::Evacuate(EvacuationChange { zone, begin });
-    next.apply(stage.index + 1, &Change::encode(change));
+    next.apply(state.index + 1, &Change::encode(change));
     next
 }
 
 #[test]
-fn a_second_mend_to_one_question_is_taken_only_if_nothing_changed_meanwhile() {
-    // The zone is empty for a moment, as it was twice before: begun, taken back.
+fn second_repair_for_the_same_digests_is_applied_only_to_an_unchanged_copy() {
+    // The zone is evacuated for a moment, as it was twice before.
     let mut before = ControlState::default();
     for begin in [true, true, false] {
         before = evacuate(&before, begin);
     }
     let during = evacuate(&before, true);
     let after = evacuate(&during, false);
-    // Two peers are asked at once; one answers late, from a newer copy.
-    let asked = digests(&before);
-    let first = repair_for(&during, &asked).expect("it is newer");
-    let second = repair_for(&after, &asked).expect("it is newer");
-    let mine = repaired_since(&before, &asked, &first).expect("just as asked");
-    assert_eq!(mine.image(), during.image());
-    let wrong = repaired(&mine, &second).expect("it is taken");
-    assert_ne!(wrong.image(), after.image(), "a state that never was");
-    assert!(repaired_since(&mine, &asked, &second).is_none());
-    let asked = digests(&mine);
-    let third = repair_for(&after, &asked).expect("it is newer");
-    let mine = repaired_since(&mine, &asked, &third).expect("just as asked");
-    assert_eq!(mine.image(), after.image());
+    // Two peers are sent the digests at once; one answers late, from a newer copy.
+    let sent_digests = digests(&before);
+    let first = repair_for(&during, &sent_digests).expect("the copy is newer");
+    let second = repair_for(&after, &sent_digests).expect("the copy is newer");
+    let own_copy = repaired_since(&before, &sent_digests, &first).expect("the copy is unchanged");
+    assert_eq!(own_copy.image(), during.image());
+    let mixed = repaired(&own_copy, &second).expect("the repair is applied");
+    assert_ne!(
+        mixed.image(),
+        after.image(),
+        "the mixed state never existed on the peer"
+    );
+    assert!(repaired_since(&own_copy, &sent_digests, &second).is_none());
+    let sent_digests = digests(&own_copy);
+    let third = repair_for(&after, &sent_digests).expect("the copy is newer");
+    let own_copy = repaired_since(&own_copy, &sent_digests, &third).expect("the copy is unchanged");
+    assert_eq!(own_copy.image(), after.image());
 }
--- a/crates/anti-entropy/tests/repair.rs
+++ b/crates/anti-entropy/tests/repair.rs
@@ -1,15 +1,15 @@
-//! What differs between two copies is sent, and only the newer one gives.
+//! Only ranges that differ are sent, and only the newer copy repairs the older one.
 
 use anti_entropy::{digests, repair_for, repaired};
 use control_state::ControlState;
 use protocol::{Change, ChangeKind, EvacuationChange, Worker, WorkersChange};
 
-fn add(stage: &mut ControlState, index: u64, id: &str) {
+fn add(state: &mut ControlState, index: u64, id: &str) {
     let put = vec![Worker {
         id: id.into(),
         ..Default::default()
     }];
-    stage.apply(
+    state.apply(
         index,
         &Change::encode(ChangeKind::Workers(WorkersChange {
             put,
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn only_what_differs_is_sent_and_the_copies_end_equal() {
+fn only_differing_ranges_are_sent_and_the_copies_become_equal() {
     let mut newer = ControlState::default();
     for i in 1..=40 {
         add(&mut newer, i, &format!("w{i}"));
@@ -41,20 +41,20 @@
             begin: true,
         })),
     );
-    let mend = repair_for(&newer, &digests(&older)).expect("they differ");
-    assert!(mend.ranges.len() <= 3, "{:?}", mend.ranges);
-    older = repaired(&older, &mend).expect("readable");
+    let repair = repair_for(&newer, &digests(&older)).expect("the copies differ");
+    assert!(repair.ranges.len() <= 3, "{:?}", repair.ranges);
+    older = repaired(&older, &repair).expect("readable");
     assert_eq!(older.image(), newer.image());
     assert!(repair_for(&newer, &digests(&older)).is_none());
 }
 
 #[test]
-fn the_newer_copy_is_never_mended_from_the_older() {
-    let mut old = ControlState::default();
-    add(&mut old, 1, "a");
-    let mut new = old.clone();
-    add(&mut new, 2, "b");
-    assert!(repair_for(&old, &digests(&new)).is_none());
-    let stale = repair_for(&old, &digests(&ControlState::default())).expect("differs");
-    assert!(repaired(&new, &stale).is_none());
+fn newer_copy_is_never_repaired_from_an_older_one() {
+    let mut older = ControlState::default();
+    add(&mut older, 1, "a");
+    let mut newer = older.clone();
+    add(&mut newer, 2, "b");
+    assert!(repair_for(&older, &digests(&newer)).is_none());
+    let stale_repair = repair_for(&older, &digests(&ControlState::default())).expect("the copies differ");
+    assert!(repaired(&newer, &stale_repair).is_none());
 }
