--- a/crates/raft/src/config.rs
+++ b/crates/raft/src/config.rs
@@ -1,43 +1,45 @@
-//! The times and sizes that a node works with. All times are milliseconds on the node's own
-//! monotonic clock.
+//! Timeouts and size limits of a node. All times are milliseconds on the node's own monotonic
+//! clock.
 
-/// Times and sizes of the protocol; the same on all nodes.
+/// Timeouts and size limits of the protocol. All nodes of a cluster use the same values.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Pause between two heartbeats to voters, ms.
+    /// Interval between two heartbeats to voters, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Pause between two heartbeats to learners, ms.
+    /// Interval between two heartbeats to learners, in milliseconds.
     pub learner_heartbeat_ms: u64,
-    /// Shortest election timeout, ms: a node that has heard a leader within it neither stands
-    /// for election nor votes for another.
+    /// Shortest election timeout, in milliseconds. A node that has heard from a leader within
+    /// this time neither starts an election nor votes for another node.
     pub election_timeout_ms: u64,
-    /// Largest random addition to the election timeout, ms.
+    /// Largest random addition to the election timeout, in milliseconds.
     pub election_jitter_ms: u64,
-    /// How long a leader holds its lease after it sent a round of heartbeats that a majority
-    /// has answered, ms. Shorter than the election timeout by more than clocks drift.
+    /// Time for which a leader holds its lease after it sent a round of heartbeats that a
+    /// majority has answered, in milliseconds. Must be shorter than the election timeout by
+    /// more than the clock drift.
     pub lease_ms: u64,
-    /// Entries without an answer are sent again after this time, ms.
+    /// Time after which unanswered entries are sent again, in milliseconds.
     pub resend_ms: u64,
-    /// The same for snapshots, ms.
+    /// Time after which an unanswered snapshot is sent again, in milliseconds.
     pub snapshot_resend_ms: u64,
-    /// A learner, or the receiver of a fragmented message, that is silent for longer is given
-    /// up, ms.
+    /// Time after which an unresponsive learner, or the peer of an unfinished fragmented
+    /// transfer, is given up, in milliseconds.
     pub peer_timeout_ms: u64,
-    /// Largest sum of entries in one message, bytes; a single entry may be larger.
+    /// Maximum total size of the entries in one message, in bytes. A single entry may be
+    /// larger.
     pub append_bytes: usize,
-    /// Entries before the snapshot that are kept for followers that lag a little, bytes; at
-    /// least as many as the snapshot is large.
+    /// Amount of entry data before the snapshot that is kept for followers that lag slightly,
+    /// in bytes. The log keeps at least as much as the snapshot is large.
     pub retained_bytes: usize,
 }
 
-/// How long a leader bears the silence of a voter, ms.
+/// Times for which a leader tolerates an unresponsive voter, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct SilenceTimeouts {
-    /// A node that is silent for longer is not in contact.
+    /// Time after which an unresponsive node no longer counts as in contact, in milliseconds.
     pub contact_ms: u64,
-    /// A voter that is silent for longer may be removed.
+    /// Time after which an unresponsive voter may be removed, in milliseconds.
     pub removal_ms: u64,
-    /// The same for a voter that announced its shutdown, and where the others would tolerate
-    /// a loss that is not tolerated with it.
+    /// Time after which an unresponsive voter may be removed if it announced its shutdown, or
+    /// if a further failure is tolerated only without it, in milliseconds.
     pub urgent_removal_ms: u64,
 }
--- a/crates/raft/src/fault_tolerance.rs
+++ b/crates/raft/src/fault_tolerance.rs
@@ -1,23 +1,25 @@
-//! How many voters beyond a majority are left after a loss that must be tolerated.
+//! Computes how many voters beyond a majority remain after a loss that the cluster must
+//! tolerate.
 
 use crate::message::{Membership, Voter};
 use std::collections::{HashMap, HashSet};
 
-/// What may be lost at the same time: so many machines, or zones, or regions.
+/// Number of machines, zones or regions that may fail at the same time. The limits are
+/// alternatives: a tolerated loss stays within one of them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FaultTolerance {
-    /// Machines.
+    /// Number of machines.
     pub machines: u32,
-    /// Zones, with all their machines.
+    /// Number of zones, each with all of its machines.
     pub zones: u32,
-    /// Regions, with all their zones.
+    /// Number of regions, each with all of its zones.
     pub regions: u32,
 }
 
-/// The machine, zone or region that a voter fails with.
+/// Returns the machine, zone or region that a voter fails together with.
 type FailureDomain = fn(&Voter) -> &String;
 
-/// Each kind of failure domain, and how many of it may be lost together.
+/// Returns each kind of failure domain with the number of such domains that may fail together.
 fn failure_domains(tolerance: FaultTolerance) -> [(FailureDomain, usize); 3] {
     [
         (|v| &v.address, tolerance.machines as usize),
@@ -26,58 +28,67 @@
     ]
 }
 
-/// The most of these voters that one tolerated loss may take which takes all that is `lost`
-/// already. Where more is lost than is tolerated, only those are counted: nothing further is
-/// promised.
-fn most_lost(voters: &[&Voter], lost: &[&Voter], tolerance: FaultTolerance) -> usize {
+/// Returns the largest number of these voters that one tolerated loss can take if that loss
+/// includes everything in `lost`. If `lost` already exceeds what is tolerated, only the lost
+/// voters are counted, because no further loss is tolerated.
+fn max_lost_voters(voters: &[&Voter], lost: &[&Voter], tolerance: FaultTolerance) -> usize {
     let domains = failure_domains(tolerance).into_iter();
-    let worst = domains.filter_map(|(domain, count)| most_lost_in(voters, lost, domain, count));
+    let worst = domains.filter_map(|(domain, count)| max_lost_voters_in(voters, lost, domain, count));
     worst.max().unwrap_or_else(|| {
         let is_lost = |v: &&&Voter| contains(lost, v);
         voters.iter().filter(is_lost).count()
     })
 }
 
-/// The same for `count` failure domains of one kind; `None` if more of them are lost already.
-fn most_lost_in(voters: &[&Voter], lost: &[&Voter], domain: FailureDomain, count: usize) -> Option<usize> {
+/// Returns the largest number of these voters that a loss of `count` failure domains of one
+/// kind can take if that loss includes everything in `lost`; `None` if `lost` already spans
+/// more than `count` domains.
+fn max_lost_voters_in(
+    voters: &[&Voter],
+    lost: &[&Voter],
+    domain: FailureDomain,
+    count: usize,
+) -> Option<usize> {
     let mut sizes: HashMap<&String, usize> = HashMap::new();
     for voter in voters {
         *sizes.entry(domain(voter)).or_default() += 1;
     }
     let lost_domains: HashSet<&String> = lost.iter().map(|v| domain(v)).collect();
-    let further = count.checked_sub(lost_domains.len())?;
-    let already: usize = lost_domains.iter().filter_map(|d| sizes.remove(d)).sum();
+    let further_domains = count.checked_sub(lost_domains.len())?;
+    let already_lost: usize = lost_domains.iter().filter_map(|d| sizes.remove(d)).sum();
     let mut sizes: Vec<usize> = sizes.into_values().collect();
     sizes.sort_unstable_by(|a, b| b.cmp(a));
-    Some(already + sizes.into_iter().take(further).sum::<usize>())
+    Some(already_lost + sizes.into_iter().take(further_domains).sum::<usize>())
 }
 
-/// Voters that are left beyond a majority after the worst tolerated loss that includes what is
-/// `lost` already; below 0 where a majority would be missing.
+/// Returns the number of voters beyond a majority that remain after the worst tolerated loss
+/// that includes everything in `lost`. The result is negative if too few are left for a
+/// majority.
 pub(crate) fn margin(voters: &[&Voter], lost: &[&Voter], tolerance: FaultTolerance) -> i64 {
-    let left = voters.len() - most_lost(voters, lost, tolerance);
+    let left = voters.len() - max_lost_voters(voters, lost, tolerance);
     left as i64 - majority(voters.len()) as i64
 }
 
-/// The margin for a loss that comes once what is `lost` now no longer counts: those that live
-/// have to tolerate a whole loss by themselves.
+/// Returns the margin for a later, separate loss: the live voters must tolerate a full loss on
+/// top of the voters that are lost now.
 pub(crate) fn next_loss_margin(voters: &[&Voter], lost: &[&Voter], tolerance: FaultTolerance) -> i64 {
     let live: Vec<&Voter> = voters.iter().filter(|v| !contains(lost, v)).copied().collect();
-    let left = live.len() - most_lost(&live, &[], tolerance);
+    let left = live.len() - max_lost_voters(&live, &[], tolerance);
     left as i64 - majority(voters.len()) as i64
 }
 
-/// What may be the case where voters are lost: those of the loss under way, and, where more
-/// are lost than is tolerated, others that are gone for good, in whose place machines have
-/// come that count by now.
+/// One possible explanation of which voters are lost: the current loss, and, if more voters
+/// are lost than is tolerated, voters that are permanently lost and whose replacements already
+/// count as voters.
 pub(crate) struct FailureScenario<'a> {
-    under_way: Vec<&'a Voter>,
-    gone: Vec<&'a Voter>,
+    current_loss: Vec<&'a Voter>,
+    permanently_lost: Vec<&'a Voter>,
 }
 
 impl<'a> FailureScenario<'a> {
-    /// The scenarios that there may be. `lost` has the latest loss first, which is the one
-    /// under way; `lost_at` tells which are no later than others.
+    /// Returns all possible scenarios. `lost` is ordered by time of loss, latest first; the
+    /// latest loss is the current one. `lost_at` returns the time at which a voter was lost:
+    /// if several voters share the latest time, each of them yields a scenario.
     pub(crate) fn all(
         lost: &[&'a Voter],
         lost_at: impl Fn(&Voter) -> u64,
@@ -85,39 +96,44 @@
     ) -> Vec<FailureScenario<'a>> {
         if is_tolerated(lost, tolerance) {
             return vec![FailureScenario {
-                under_way: lost.to_vec(),
-                gone: Vec::new(),
+                current_loss: lost.to_vec(),
+                permanently_lost: Vec::new(),
             }];
         }
         let latest = lost.first().map(|v| lost_at(v));
         let newest = lost.iter().filter(|v| Some(lost_at(v)) == latest);
         newest
-            .map(|first| FailureScenario::with_latest(first, lost, tolerance))
+            .map(|first| FailureScenario::starting_with(first, lost, tolerance))
             .collect()
     }
 
-    /// The scenario in which the loss under way began with this voter.
-    fn with_latest(first: &'a Voter, lost: &[&'a Voter], tolerance: FaultTolerance) -> FailureScenario<'a> {
-        let (mut under_way, mut gone) = (vec![first], Vec::new());
+    /// Returns the scenario whose current loss starts with `first`: each other lost voter is
+    /// added to it, in order, if it then still is a tolerated loss, and counts as permanently
+    /// lost otherwise.
+    fn starting_with(first: &'a Voter, lost: &[&'a Voter], tolerance: FaultTolerance) -> FailureScenario<'a> {
+        let (mut current_loss, mut permanently_lost) = (vec![first], Vec::new());
         for voter in lost.iter().filter(|v| v.id != first.id) {
-            under_way.push(*voter);
-            if !is_tolerated(&under_way, tolerance) {
-                gone.extend(under_way.pop());
+            current_loss.push(*voter);
+            if !is_tolerated(&current_loss, tolerance) {
+                permanently_lost.extend(current_loss.pop());
             }
         }
-        FailureScenario { under_way, gone }
+        FailureScenario {
+            current_loss,
+            permanently_lost,
+        }
     }
 
-    /// The margin of voters in this scenario.
+    /// Returns the margin of `voters` in this scenario.
     pub(crate) fn margin(&self, voters: &[&Voter], tolerance: FaultTolerance) -> i64 {
-        let remains = |v: &&&Voter| !contains(&self.gone, v);
+        let remains = |v: &&&Voter| !contains(&self.permanently_lost, v);
         let remaining: Vec<&Voter> = voters.iter().filter(remains).copied().collect();
-        let left = remaining.len() - most_lost(&remaining, &self.under_way, tolerance);
+        let left = remaining.len() - max_lost_voters(&remaining, &self.current_loss, tolerance);
         left as i64 - majority(voters.len()) as i64
     }
 }
 
-/// Whether one tolerated loss may take all these voters.
+/// Returns whether one tolerated loss can take all these voters.
 fn is_tolerated(lost: &[&Voter], tolerance: FaultTolerance) -> bool {
     failure_domains(tolerance).into_iter().any(|(domain, count)| {
         let domains: HashSet<&String> = lost.iter().map(|v| domain(v)).collect();
@@ -125,7 +141,7 @@
     })
 }
 
-/// How many of so many voters make a majority.
+/// Returns the number of voters that form a majority.
 pub(crate) fn majority(voters: usize) -> usize {
     voters / 2 + 1
 }
@@ -134,22 +150,23 @@
     voters.iter().any(|v| v.id == voter.id)
 }
 
-/// Lost voters whose place nobody has taken again; see [`Membership::vacancies`].
+/// Returns the lost voters that have not been replaced yet; see [`Membership::vacancies`].
 pub(crate) fn open_vacancies(membership: &Membership) -> Vec<&Voter> {
-    let is_taken = |v: &Voter| {
+    let is_replaced = |v: &Voter| {
         let mut voters = membership.voters.iter();
         voters.any(|o| o.id == v.id || o.address == v.address)
     };
-    membership.vacancies.iter().filter(|v| !is_taken(v)).collect()
+    membership.vacancies.iter().filter(|v| !is_replaced(v)).collect()
 }
 
-/// Whether so many voters can hold anything that is to outlast the machines that may be lost,
-/// whatever is lost already.
+/// Returns whether there are enough voters for an entry to survive the tolerated number of
+/// lost machines, regardless of which voters are already lost.
 pub(crate) fn has_enough_voters(voters: usize, tolerance: FaultTolerance) -> bool {
     voters > tolerance.machines as usize
 }
 
-/// Whether these voters, all of them alive, still have a majority after any tolerated loss.
+/// Returns whether these voters, assuming that all of them are alive, still have a majority
+/// after any tolerated loss.
 pub fn tolerates_faults(membership: &Membership, tolerance: FaultTolerance) -> bool {
     let voters: Vec<&Voter> = membership.voters.iter().collect();
     has_enough_voters(voters.len(), tolerance) && margin(&voters, &open_vacancies(membership), tolerance) >= 0
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -1,13 +1,13 @@
-//! Raft (D. Ongaro, "Consensus: Bridging Theory and Practice"): one elected leader orders
+//! Raft (D. Ongaro, "Consensus: Bridging Theory and Practice"): an elected leader orders
 //! entries in a log that a majority of the voters has on disk.
 //!
-//! [`RaftNode`] is a pure state machine: it does no I/O and reads no clock. Its driver gives
-//! it the time, messages, proposals and word of completed writes, and then takes what is to
-//! be done out of [`RaftNode::take_ready`], in this order:
+//! [`RaftNode`] is a pure state machine: it does no I/O and reads no clock. Its driver passes
+//! in the time, received messages, proposals and notifications of completed writes. It then
+//! takes the pending work from [`RaftNode::take_ready`] and carries it out in this order:
 //!
-//! 1. hand [`Ready::write`] to the disk, and call [`RaftNode::on_persisted`] once it is there;
-//! 2. send [`Ready::messages`] at once, and [`Ready::persisted_messages`] once the write, and
-//!    all writes before it, are on disk;
+//! 1. write [`Ready::write`] to disk, and call [`RaftNode::on_persisted`] once it is there;
+//! 2. send [`Ready::messages`] immediately, and [`Ready::persisted_messages`] once this write
+//!    and all earlier ones are on disk;
 //! 3. replace the applied state by [`Ready::snapshot`], if there is one;
 //! 4. apply [`Ready::committed_entries`] and call [`RaftNode::on_applied`];
 //! 5. answer the reads in [`Ready::read_states`].
@@ -41,11 +41,11 @@
 //! node.on_applied(position.index);
 //! ```
 //!
-//! Beyond the dissertation: log entries reach nodes without a vote through a voter near them
-//! (`node/learner_relay.rs`, [`UpstreamSelector`]); large messages travel in fragments
-//! (`fragmentation.rs`); the leader plans changes of the membership so that a tolerated loss
-//! never takes the majority ([`next_membership`]), and acknowledges an entry only once it
-//! outlasts such a loss ([`is_durable`]).
+//! Extensions of the dissertation: learners receive log entries from a nearby voter
+//! (`node/learner_relay.rs`, [`UpstreamSelector`]); large messages are sent in fragments
+//! (`fragmentation.rs`); the leader plans membership changes so that a tolerated loss never
+//! takes the majority ([`next_membership`]), and acknowledges an entry only once it survives
+//! such a loss ([`is_durable`]).
 
 mod config;
 mod durability;
--- a/crates/raft/src/log.rs
+++ b/crates/raft/src/log.rs
@@ -1,38 +1,39 @@
-//! The log of a node: a snapshot, the entries after it, and some before it.
+//! The log of a node: a snapshot, the entries after it, and some of the entries before it.
 
 use crate::message::{Entry, EntryType, Membership, Snapshot};
 use prost::Message as _;
 use std::collections::VecDeque;
 
-/// Bytes that an entry takes in a message beside its data, at the most.
+/// Maximum number of bytes that an entry adds to a message besides its data.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
 
-/// The place of an entry: its index and term together identify it.
+/// Position of an entry in the log. Index and term together identify the entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogPosition {
-    /// Index in the log, from 1.
+    /// Index in the log, starting at 1.
     pub index: u64,
     /// Term of the entry.
     pub term: u64,
 }
 
 impl LogPosition {
-    /// Whether a log that ends here holds all that one that ends at `other` may have had
-    /// committed (dissertation, 3.6.1).
+    /// Returns whether a log that ends at this position contains every entry that can be
+    /// committed in a log that ends at `other` (dissertation, 3.6.1).
     pub(crate) fn is_up_to_date_with(self, other: LogPosition) -> bool {
         (self.term, self.index) >= (other.term, other.index)
     }
 }
 
-/// Snapshot and entries. Says nothing of commitment, and writes nothing.
+/// In-memory snapshot and entries. Does not track commitment and performs no I/O.
 #[derive(Clone, Debug)]
 pub(crate) struct RaftLog {
     snapshot: Snapshot,
-    /// The entry before the first one held. The log reaches back behind the snapshot, so that
-    /// a follower that lags a little is sent entries and not the snapshot.
+    /// Position of the entry before the first one in `entries`. The log retains entries from
+    /// before the snapshot, so that a follower that lags slightly is sent entries instead of
+    /// the snapshot.
     start: LogPosition,
     entries: VecDeque<Entry>,
-    /// Data of the entries after the snapshot, bytes.
+    /// Size of the data of the entries after the snapshot, in bytes.
     bytes: usize,
 }
 
@@ -53,7 +54,8 @@
         &self.snapshot
     }
 
-    /// The index before the first entry held; only a snapshot brings a node beyond it.
+    /// Returns the index before the first retained entry. A node whose log ends before it can
+    /// catch up only with a snapshot.
     pub(crate) fn start_index(&self) -> u64 {
         self.start.index
     }
@@ -70,7 +72,7 @@
         }
     }
 
-    /// The term of the entry at an index, if the log reaches there.
+    /// Returns the term of the entry at `index`, or `None` if the log does not contain it.
     pub(crate) fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.start.index {
             return Some(self.start.term);
@@ -79,7 +81,7 @@
         self.entries.get(offset as usize).map(|e| e.term)
     }
 
-    /// Entries after the snapshot.
+    /// Returns the number of entries after the snapshot.
     pub(crate) fn len(&self) -> usize {
         (self.last_index() - self.snapshot.index) as usize
     }
@@ -88,21 +90,22 @@
         self.bytes
     }
 
-    /// Entries with an index above `after` and up to `to`.
+    /// Returns the entries with an index above `after` and up to `to`.
     pub(crate) fn between(&self, after: u64, to: u64) -> impl Iterator<Item = &Entry> {
         self.entries
             .iter()
             .filter(move |e| e.index > after && e.index <= to)
     }
 
-    /// Entries from `first` up to `last`, as many as fit into `most_bytes`, and at least one.
-    pub(crate) fn entries_from(&self, first: u64, last: u64, most_bytes: usize) -> Vec<Entry> {
+    /// Returns the entries from `first` up to `last` that fit into `max_bytes`, and at least
+    /// one.
+    pub(crate) fn entries_from(&self, first: u64, last: u64, max_bytes: usize) -> Vec<Entry> {
         let skip = (first - self.start.index - 1) as usize;
         let mut bytes = 0;
         let mut entries = Vec::new();
         for entry in self.entries.iter().skip(skip).take_while(|e| e.index <= last) {
             bytes += entry.data.len() + ENTRY_OVERHEAD_BYTES;
-            if bytes > most_bytes && !entries.is_empty() {
+            if bytes > max_bytes && !entries.is_empty() {
                 break;
             }
             entries.push(entry.clone());
@@ -110,7 +113,8 @@
         entries
     }
 
-    /// The newest membership at or below an index, and the index that set it.
+    /// Returns the newest membership at or below `index`, and the index of the entry that set
+    /// it.
     pub(crate) fn membership_at(&self, index: u64) -> (Membership, u64) {
         self.entries
             .iter()
@@ -128,7 +132,7 @@
         self.entries.push_back(entry);
     }
 
-    /// Drops the entries from an index on.
+    /// Removes all entries from `index` on.
     pub(crate) fn truncate_from(&mut self, index: u64) {
         let kept = index.saturating_sub(self.start.index + 1) as usize;
         for entry in self.entries.drain(kept.min(self.entries.len())..) {
@@ -136,9 +140,9 @@
         }
     }
 
-    /// Folds the entries up to `index` into a snapshot with this data. The youngest of them
-    /// stay at hand, as many as cost no more to send than the snapshot and at least
-    /// `retained_bytes`: a follower that was sent the snapshot before needs just them.
+    /// Replaces the entries up to `position` by a snapshot with this data. The newest of those
+    /// entries are retained, as many as are no larger than the snapshot and at least
+    /// `retained_bytes`: a follower that was sent the previous snapshot needs exactly these.
     pub(crate) fn compact(&mut self, position: LogPosition, data: Vec<u8>, retained_bytes: usize) {
         let (membership, _) = self.membership_at(position.index);
         self.snapshot = Snapshot {
@@ -147,23 +151,24 @@
             membership: Some(membership),
             data,
         };
-        let most_bytes = retained_bytes.max(self.snapshot.data.len());
-        let folded = (position.index - self.start.index) as usize;
+        let max_bytes = retained_bytes.max(self.snapshot.data.len());
+        let compacted = (position.index - self.start.index) as usize;
         let (mut retained, mut bytes) = (0, 0);
-        for entry in self.entries.iter().take(folded).rev() {
+        for entry in self.entries.iter().take(compacted).rev() {
             bytes += entry.data.len();
-            if bytes > most_bytes {
+            if bytes > max_bytes {
                 break;
             }
             retained += 1;
         }
-        self.drop_oldest(folded - retained);
-        let fresh = self.entries.iter().skip(retained);
-        self.bytes = fresh.map(|e| e.data.len()).sum();
+        self.drop_oldest(compacted - retained);
+        let after_snapshot = self.entries.iter().skip(retained);
+        self.bytes = after_snapshot.map(|e| e.data.len()).sum();
     }
 
-    /// Replaces everything up to a leader's snapshot by it. Entries behind it stay if the log
-    /// holds its last entry; `false` if all entries had to go.
+    /// Replaces the log up to the index of a leader's snapshot by the snapshot. Entries after
+    /// the snapshot are kept if the log contains the snapshot's last entry. Returns `false` if
+    /// all entries were removed.
     pub(crate) fn install(&mut self, snapshot: Snapshot) -> bool {
         let matches = self.term_at(snapshot.index) == Some(snapshot.term);
         if matches {
--- a/crates/raft/src/membership_change.rs
+++ b/crates/raft/src/membership_change.rs
@@ -1,5 +1,5 @@
-//! The leader's plan for the membership: who is to vote next, one voter at a time, so that a
-//! tolerated loss never takes the majority.
+//! Plans membership changes on the leader: which voter to add or remove next, one voter at a
+//! time, so that a tolerated loss never takes the majority.
 
 mod planner;
 
@@ -11,25 +11,26 @@
 use crate::progress::Progress;
 use planner::Planner;
 
-/// Another node of this cluster, as the failure detector shows it.
+/// Another node of this cluster, as reported by the failure detector.
 #[derive(Clone, Debug)]
 pub struct PeerObservation {
-    /// Who it is and where.
+    /// The node's identity and location.
     pub voter: Voter,
-    /// It has a disk, and so may vote.
+    /// Whether the node has a disk, which it needs in order to vote.
     pub has_disk: bool,
-    /// It answers probes.
+    /// Whether the node answers probes.
     pub is_alive: bool,
 }
 
-/// Entries that a newcomer may lack and still count as caught up.
-const CAUGHT_UP_ENTRIES: u64 = 8;
+/// Maximum number of entries that a learner may lack to count as caught up.
+const MAX_CAUGHT_UP_LAG_ENTRIES: u64 = 8;
 
-/// The membership that should come next, if another one should. A caught-up newcomer with a
-/// disk is added; a voter whose disk is lost, that has shut down or that has long been silent
-/// is removed. Of the changes that are open now the one is taken that leaves the largest
-/// margin; none that would leave too few voters after a loss that may still come, if there
-/// are enough now.
+/// Returns the membership to propose next, or `None` if no change is needed or possible.
+///
+/// A caught-up learner with a disk is added; a voter whose disk is lost, that has shut down or
+/// that has long been unresponsive is removed. Of the possible changes, the one that leaves
+/// the largest margin is chosen. If the current voters are enough for a loss that may still
+/// happen, no change is chosen that leaves too few.
 pub fn next_membership(
     node: &RaftNode,
     now: u64,
@@ -49,7 +50,7 @@
     Planner::new(view, tolerance)?.next_membership()
 }
 
-/// What the leader sees of the others.
+/// The leader's view of the other nodes.
 struct LeaderView<'a> {
     node: &'a RaftNode,
     now: u64,
@@ -70,7 +71,7 @@
         self.node.progress(voter.id).map_or(0, |p| p.last_heard)
     }
 
-    fn silence_ms(&self, voter: &Voter) -> u64 {
+    fn unresponsive_ms(&self, voter: &Voter) -> u64 {
         self.now.saturating_sub(self.last_heard(voter))
     }
 
@@ -79,26 +80,29 @@
         progress.is_some_and(Progress::is_shutting_down)
     }
 
-    /// Whether the disk is lost: another identity is at the same address.
+    /// Returns whether the voter's disk is lost: another identity is running at the same
+    /// address.
     fn is_wiped(&self, voter: &Voter) -> bool {
-        let replaced = |p: &PeerObservation| p.voter.address == voter.address && p.voter.id != voter.id;
-        self.peers.iter().any(replaced)
+        let is_replacement = |p: &PeerObservation| p.voter.address == voter.address && p.voter.id != voter.id;
+        self.peers.iter().any(is_replacement)
     }
 
     fn is_lost(&self, voter: &Voter) -> bool {
         !self.is_in_contact(voter) || self.is_wiped(voter) || self.is_shutting_down(voter)
     }
 
-    /// Whether a lost machine is there again and caught up, with its disk or an empty one: it
-    /// may be taken in, and whatever is lost next is a loss of its own.
-    fn is_back(&self, voter: &Voter) -> bool {
-        let same = |p: &&PeerObservation| p.voter.id == voter.id || p.voter.address == voter.address;
-        let is_back = |p: &PeerObservation| self.is_in_contact(&p.voter) && self.is_caught_up(p.voter.id);
-        self.peers.iter().filter(same).any(is_back)
+    /// Returns whether a lost machine is running again and caught up, with its old disk or an
+    /// empty one. It may then be promoted, and the next failure counts as a separate loss.
+    fn has_returned(&self, voter: &Voter) -> bool {
+        let is_same_machine =
+            |p: &&PeerObservation| p.voter.id == voter.id || p.voter.address == voter.address;
+        let is_caught_up =
+            |p: &PeerObservation| self.is_in_contact(&p.voter) && self.is_caught_up(p.voter.id);
+        self.peers.iter().filter(is_same_machine).any(is_caught_up)
     }
 
-    /// When a lost voter was lost, as far as that can be told, ms: a wiped machine is back, so
-    /// its loss is the latest.
+    /// Returns the estimated time at which a lost voter was lost, in milliseconds. A wiped
+    /// machine is running again, so its loss counts as the latest.
     fn lost_at(&self, voter: &Voter) -> u64 {
         if self.is_wiped(voter) {
             u64::MAX
@@ -107,27 +111,28 @@
         }
     }
 
-    /// Whether a node has on its disk nearly all that there is.
+    /// Returns whether a node has nearly all entries of this leader's log on its disk.
     fn is_caught_up(&self, id: u64) -> bool {
         let matched = self.node.progress(id).map_or(0, |p| p.matched);
-        matched > 0 && matched + CAUGHT_UP_ENTRIES >= self.node.last_index()
+        matched > 0 && matched + MAX_CAUGHT_UP_LAG_ENTRIES >= self.node.last_index()
     }
 
-    /// Machines without a vote that could have one.
-    fn newcomers(&self) -> Vec<&'a Voter> {
-        let able = self.peers.iter().filter(|p| p.has_disk && p.is_alive);
-        able.map(|p| &p.voter)
+    /// Returns the learners that can be promoted to voters.
+    fn promotable_learners(&self) -> Vec<&'a Voter> {
+        let eligible = self.peers.iter().filter(|p| p.has_disk && p.is_alive);
+        eligible
+            .map(|p| &p.voter)
             .filter(|v| !self.node.membership().contains(v.id))
             .filter(|v| self.is_in_contact(v) && !self.is_shutting_down(v))
             .filter(|v| self.is_caught_up(v.id))
             .collect()
     }
 
-    /// Whether a machine without a vote is still catching up.
-    fn is_anyone_catching_up(&self) -> bool {
+    /// Returns whether any live learner with a disk is still catching up.
+    fn is_any_learner_catching_up(&self) -> bool {
         self.peers.iter().any(|p| {
-            let votes = self.node.membership().contains(p.voter.id);
-            p.has_disk && p.is_alive && !votes && !self.is_caught_up(p.voter.id)
+            let is_voter = self.node.membership().contains(p.voter.id);
+            p.has_disk && p.is_alive && !is_voter && !self.is_caught_up(p.voter.id)
         })
     }
 }
--- a/crates/raft/src/membership_change/planner.rs
+++ b/crates/raft/src/membership_change/planner.rs
@@ -1,4 +1,4 @@
-//! The changes of the membership that are open, and the choice among them.
+//! Enumerates the possible membership changes and chooses among them.
 
 use super::LeaderView;
 use crate::fault_tolerance::{
@@ -8,23 +8,24 @@
 use crate::message::{Membership, Voter};
 use std::cmp::Reverse;
 
-/// Voters beyond a majority that a change leaves; ordered by what counts more.
+/// Margins, in voters beyond a majority, that a change leaves. The first field takes
+/// precedence in comparisons.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Margins {
-    /// Once a fresh loss may come.
+    /// Margin for a later, separate loss.
     next_loss: i64,
-    /// Now.
+    /// Margin for the current loss.
     current: i64,
 }
 
-/// A change of the membership that could come next.
+/// A membership change that could be proposed next.
 struct MembershipChange<'a> {
     voters: Vec<&'a Voter>,
     vacancies: Vec<&'a Voter>,
     margins: Margins,
 }
 
-/// What the next change is chosen by.
+/// The state from which the next change is chosen.
 pub(super) struct Planner<'a> {
     view: LeaderView<'a>,
     tolerance: FaultTolerance,
@@ -34,28 +35,28 @@
     /// See [`Membership::vacancies`].
     vacancies: Vec<&'a Voter>,
     scenarios: Vec<FailureScenario<'a>>,
-    newcomers: Vec<&'a Voter>,
-    /// The voters' margin for a fresh loss.
+    promotable_learners: Vec<&'a Voter>,
+    /// Margin of the current voters for a later, separate loss.
     next_loss_margin: i64,
 }
 
 impl<'a> Planner<'a> {
-    /// `None` while a new leader still waits for word of all: who has not answered yet may
-    /// well live.
+    /// Creates a planner. Returns `None` while voters count as lost and this node has led for
+    /// less than the contact timeout: voters that have not answered yet may be alive.
     pub(super) fn new(view: LeaderView<'a>, tolerance: FaultTolerance) -> Option<Planner<'a>> {
         let voters = view.voters();
         let lost: Vec<&Voter> = voters.iter().filter(|v| view.is_lost(v)).copied().collect();
-        let led_ms = view.now.saturating_sub(view.node.leader_since());
-        if !lost.is_empty() && led_ms < view.timeouts.contact_ms {
+        let leadership_ms = view.now.saturating_sub(view.node.leader_since());
+        if !lost.is_empty() && leadership_ms < view.timeouts.contact_ms {
             return None;
         }
         let mut vacancies = open_vacancies(view.node.membership());
-        vacancies.retain(|v| !view.is_back(v));
+        vacancies.retain(|v| !view.has_returned(v));
         let mut absent: Vec<&Voter> = lost.iter().chain(&vacancies).copied().collect();
         absent.sort_by_key(|v| Reverse(view.lost_at(v)));
         Some(Planner {
             scenarios: FailureScenario::all(&absent, |v| view.lost_at(v), tolerance),
-            newcomers: view.newcomers(),
+            promotable_learners: view.promotable_learners(),
             next_loss_margin: next_loss_margin(&voters, &lost, tolerance),
             view,
             tolerance,
@@ -65,10 +66,11 @@
         })
     }
 
-    /// The membership that the best open change leads to.
+    /// Returns the membership that results from the best possible change.
     pub(super) fn next_membership(&self) -> Option<Membership> {
         let changes = self.removals().into_iter().chain(self.additions());
-        // Of equal ones the first: what is lost goes before newcomers come.
+        // Of equal changes the first is chosen: lost voters are removed before learners are
+        // promoted.
         let best = changes.rev().max_by_key(|c| c.margins);
         let best = best.or_else(|| self.shrink())?;
         let owned = |voters: Vec<&Voter>| voters.into_iter().cloned().collect();
@@ -83,7 +85,7 @@
         })
     }
 
-    /// The least margin of these voters in any scenario.
+    /// Returns the smallest margin of these voters in any scenario.
     fn current_margin(&self, voters: &[&Voter]) -> i64 {
         let margins = self.scenarios.iter().map(|s| s.margin(voters, self.tolerance));
         margins.min().unwrap_or(0)
@@ -93,16 +95,17 @@
         next_loss_margin(voters, &self.lost, self.tolerance)
     }
 
-    /// The margin of these voters if only the vacancies count as lost.
+    /// Returns the margin of these voters if only the vacancies count as lost.
     fn margin_with_vacancies(&self, voters: &[&Voter]) -> i64 {
         margin(voters, &self.vacancies, self.tolerance)
     }
 
-    /// Whether voters tolerate what may come now in each scenario in which today's do.
+    /// Returns whether a change makes no scenario worse: the margin of the voters after the
+    /// change is not negative, or at least not below a negative margin of the current voters.
     fn is_no_worse(&self, after: &[&Voter]) -> bool {
         self.scenarios.iter().all(|s| {
-            let today = s.margin(&self.voters, self.tolerance);
-            s.margin(after, self.tolerance) >= today.min(0)
+            let current = s.margin(&self.voters, self.tolerance);
+            s.margin(after, self.tolerance) >= current.min(0)
         })
     }
 
@@ -111,43 +114,43 @@
         self.voters.iter().copied().filter(stays).collect()
     }
 
-    /// Whether voters that have been silent for a while would be better gone: a fresh loss is
-    /// not tolerated with them, and is without them, or with who stands by.
+    /// Returns whether unresponsive voters should be removed early: a further loss is not
+    /// tolerated with them, but is tolerated without them or there are learners to promote.
     fn is_removal_urgent(&self) -> bool {
         let timeout = self.view.timeouts.urgent_removal_ms;
-        let is_silent = |v: &&&Voter| self.view.silence_ms(v) > timeout;
-        let silent: Vec<&Voter> = self.lost.iter().filter(is_silent).copied().collect();
-        let tolerates_without = self.next_loss_margin(&self.without(&silent)) >= 0;
-        self.next_loss_margin < 0 && (tolerates_without || !self.newcomers.is_empty())
+        let is_unresponsive = |v: &&&Voter| self.view.unresponsive_ms(v) > timeout;
+        let unresponsive: Vec<&Voter> = self.lost.iter().filter(is_unresponsive).copied().collect();
+        let is_tolerated_without = self.next_loss_margin(&self.without(&unresponsive)) >= 0;
+        self.next_loss_margin < 0 && (is_tolerated_without || !self.promotable_learners.is_empty())
     }
 
-    /// Whether a newcomer can take over the vote of a voter that shuts down while it is still
-    /// there: nothing else is lost, and the voters that come of it tolerate a loss.
+    /// Returns whether a learner can replace a voter that is shutting down while that voter is
+    /// still running: no other voter is lost, and the resulting voters tolerate a loss.
     fn can_be_replaced(&self, voter: &Voter) -> bool {
         let is_only_loss = self.lost.iter().all(|o| o.id == voter.id);
-        let tolerates = |newcomer: &&Voter| {
-            let after: Vec<&Voter> = self.without(&[voter]).into_iter().chain([*newcomer]).collect();
+        let tolerates = |learner: &&Voter| {
+            let after: Vec<&Voter> = self.without(&[voter]).into_iter().chain([*learner]).collect();
             margin(&after, &[], self.tolerance) >= 0
         };
-        is_only_loss && self.newcomers.iter().any(tolerates)
+        is_only_loss && self.promotable_learners.iter().any(tolerates)
     }
 
     fn is_removable(&self, voter: &Voter) -> bool {
         let (view, timeouts) = (&self.view, self.view.timeouts);
-        let shuts_down = view.is_shutting_down(voter);
-        if shuts_down && self.can_be_replaced(voter) {
+        let is_shutting_down = view.is_shutting_down(voter);
+        if is_shutting_down && self.can_be_replaced(voter) {
             return true;
         }
-        let timeout = if shuts_down || self.is_removal_urgent() {
+        let timeout = if is_shutting_down || self.is_removal_urgent() {
             timeouts.urgent_removal_ms
         } else {
             timeouts.removal_ms
         };
-        let silence = view.silence_ms(voter);
-        view.is_wiped(voter) && silence >= timeouts.contact_ms || silence > timeout
+        let unresponsive_ms = view.unresponsive_ms(voter);
+        view.is_wiped(voter) && unresponsive_ms >= timeouts.contact_ms || unresponsive_ms > timeout
     }
 
-    /// Changes that remove a lost voter.
+    /// Returns the possible changes that remove a lost voter.
     fn removals(&self) -> Vec<MembershipChange<'a>> {
         let is_removable = |v: &&&Voter| self.is_removable(v);
         let removable: Vec<&Voter> = self.lost.iter().filter(is_removable).copied().collect();
@@ -161,13 +164,14 @@
     fn removal(&self, voter: &'a Voter, margin_without_all: i64) -> Option<MembershipChange<'a>> {
         let voters = self.without(&[voter]);
         let next_loss = self.next_loss_margin(&voters);
-        // Fewer voters are no use by themselves.
-        let is_useful =
-            next_loss > self.next_loss_margin || margin_without_all >= 0 || !self.newcomers.is_empty();
+        // A smaller number of voters is not an improvement in itself.
+        let is_useful = next_loss > self.next_loss_margin
+            || margin_without_all >= 0
+            || !self.promotable_learners.is_empty();
         if !is_useful || !self.has_live_majority(&voters) || !self.is_no_worse(&voters) {
             return None;
         }
-        // What is removed is still lost until its successor counts.
+        // A removed voter still counts as lost until its replacement is a voter.
         let absent: Vec<&Voter> = self.lost.iter().chain(&self.vacancies).copied().collect();
         let current = margin(&voters, &absent, self.tolerance);
         Some(MembershipChange {
@@ -183,59 +187,66 @@
         live >= majority(voters.len()) && has_enough_voters(voters.len(), self.tolerance)
     }
 
-    /// Changes that add a newcomer.
+    /// Returns the possible changes that promote a learner.
     fn additions(&self) -> Vec<MembershipChange<'a>> {
-        // Who would have to be removed again is not added.
-        let all: Vec<&'a Voter> = self.voters.iter().chain(&self.newcomers).copied().collect();
-        let lasting = self.tolerant_subset(&all);
-        let stays = |v: &Voter| lasting.as_ref().is_none_or(|lasting| contains(lasting, v));
-        let additions = self.newcomers.iter();
-        additions.filter_map(|v| self.addition(v, stays(v))).collect()
+        // A learner that would have to be removed again is not promoted.
+        let candidates: Vec<&'a Voter> = self
+            .voters
+            .iter()
+            .chain(&self.promotable_learners)
+            .copied()
+            .collect();
+        let kept = self.tolerant_subset(&candidates);
+        let is_kept = |v: &Voter| kept.as_ref().is_none_or(|kept| contains(kept, v));
+        let additions = self.promotable_learners.iter();
+        additions.filter_map(|v| self.addition(v, is_kept(v))).collect()
     }
 
-    fn addition(&self, newcomer: &'a Voter, stays: bool) -> Option<MembershipChange<'a>> {
-        let with = |voters: &[&'a Voter], v: &'a Voter| -> Vec<&'a Voter> {
+    fn addition(&self, learner: &'a Voter, is_kept: bool) -> Option<MembershipChange<'a>> {
+        let with_voter = |voters: &[&'a Voter], v: &'a Voter| -> Vec<&'a Voter> {
             voters.iter().copied().chain([v]).collect()
         };
-        let voters = with(&self.voters, newcomer);
+        let voters = with_voter(&self.voters, learner);
         let margins = Margins {
             next_loss: self.next_loss_margin(&voters),
             current: self.current_margin(&voters),
         };
         let is_no_worse = self.is_no_worse(&voters) && margins.next_loss >= self.next_loss_margin.min(0);
-        // An even number of voters may tolerate less than the odd one before it: the next
-        // newcomer makes up for that. Too few tolerate nothing, and become more.
-        let mut others = self.newcomers.iter().filter(|o| o.id != newcomer.id);
-        let next_makes_up = others.any(|o| self.current_margin(&with(&voters, o)) >= 0);
-        let grows = next_makes_up || self.current_margin(&self.voters) < 0;
-        let is_calm = self.lost.is_empty();
-        ((is_no_worse || is_calm && grows) && (stays || !is_calm)).then(|| MembershipChange {
+        // An even number of voters may tolerate less than the odd number before it; the next
+        // addition compensates for that. Voters that are too few to tolerate any loss may
+        // always grow in number.
+        let mut others = self.promotable_learners.iter().filter(|o| o.id != learner.id);
+        let next_addition_compensates = others.any(|o| self.current_margin(&with_voter(&voters, o)) >= 0);
+        let may_grow = next_addition_compensates || self.current_margin(&self.voters) < 0;
+        let no_loss = self.lost.is_empty();
+        ((is_no_worse || no_loss && may_grow) && (is_kept || !no_loss)).then(|| MembershipChange {
             vacancies: self.vacancies.clone(),
             voters,
             margins,
         })
     }
 
-    /// Voters that all live and yet tolerate no loss, with nobody to come who changes that,
-    /// are too many in some failure domain: the newest of those is removed, if that leads to
-    /// voters that tolerate one and is no worse at any step. Who is just catching up has its
-    /// time first.
+    /// Returns the removal of a surplus voter. If all voters are alive and still tolerate no
+    /// loss, and no learner can be promoted to change that, some failure domain has too many
+    /// voters. The newest of these is removed if that leads to voters that tolerate a loss and
+    /// no step makes the margin worse. Learners that are still catching up are given time
+    /// first.
     fn shrink(&self) -> Option<MembershipChange<'a>> {
         if !self.lost.is_empty() || self.margin_with_vacancies(&self.voters) >= 0 {
             return None;
         }
         let (view, timeouts) = (&self.view, self.view.timeouts);
-        let pause = if view.is_anyone_catching_up() {
+        let delay_ms = if view.is_any_learner_catching_up() {
             timeouts.removal_ms
         } else {
             timeouts.contact_ms
         };
         let since = view.node.membership_since().max(view.node.leader_since());
-        if view.now.saturating_sub(since) < pause {
+        if view.now.saturating_sub(since) < delay_ms {
             return None;
         }
         let kept = self.tolerant_subset(&self.voters)?;
-        // The last in the membership is the newest.
+        // Voters are listed oldest first, so the last one is the newest.
         let removed = self.voters.iter().rev().find(|v| !contains(&kept, v))?;
         let voters = self.without(&[removed]);
         let next_loss = next_loss_margin(&voters, &[], self.tolerance);
@@ -249,12 +260,12 @@
         })
     }
 
-    /// Those of some machines that tolerate a loss, once the ones too many in some failure
-    /// domain are left out, the last first; `None` if that leads nowhere or is worse at some
-    /// step.
-    fn tolerant_subset(&self, all: &[&'a Voter]) -> Option<Vec<&'a Voter>> {
+    /// Returns a subset of these voters that tolerates a loss, obtained by leaving out surplus
+    /// voters of failure domains, the last ones first. Returns `None` if there is no such
+    /// subset or a step towards it makes the margin worse.
+    fn tolerant_subset(&self, candidates: &[&'a Voter]) -> Option<Vec<&'a Voter>> {
         let own_id = self.view.node.id();
-        let mut kept = all.to_vec();
+        let mut kept = candidates.to_vec();
         while self.margin_with_vacancies(&kept) < 0 {
             let without = |v: &&Voter| -> Vec<&'a Voter> {
                 let others = kept.iter().copied();
--- a/crates/raft/src/message.rs
+++ b/crates/raft/src/message.rs
@@ -1,56 +1,57 @@
-//! Messages between nodes, and what they store: log entries and snapshots. Protocol buffers:
-//! tags and types are fixed, since nodes of earlier versions and stored logs hold them.
+//! Messages between nodes, and the stored log entries and snapshots. They are encoded as
+//! protocol buffers. Tags and types are fixed, because nodes of earlier versions and stored
+//! logs use them.
 
 use prost::Enumeration;
 
 /// A node with a disk that votes in elections and counts for commitment.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Voter {
-    /// Its identity; a node that starts with an empty disk draws a new one.
+    /// Identity of the node. A node that starts with an empty disk generates a new one.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// Its internal address. Two identities at one address are one machine.
+    /// Internal address of the node. Two identities at the same address are the same machine.
     #[prost(string, tag = "2")]
     pub address: String,
-    /// The zone that it is in.
+    /// Zone of the node.
     #[prost(string, tag = "3")]
     pub zone: String,
-    /// The region that it is in.
+    /// Region of the node.
     #[prost(string, tag = "4")]
     pub region: String,
 }
 
-/// The voters, as one log entry sets them (the dissertation's cluster configuration). In
-/// force from the moment when the entry is in the log, committed or not.
+/// The voters, as set by a log entry (the dissertation's cluster configuration). A membership
+/// is in force as soon as its entry is in the log, whether or not it is committed.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Membership {
     /// The voters, oldest first.
     #[prost(message, repeated, tag = "1")]
     pub voters: Vec<Voter>,
-    /// Voters that were lost and removed, for as long as the others would not tolerate a loss
-    /// by themselves: the loss of these is still the one under way.
+    /// Voters that were lost and removed. They are listed while the remaining voters would not
+    /// tolerate a loss by themselves: until then their loss counts as the current one.
     #[prost(message, repeated, tag = "2")]
     pub vacancies: Vec<Voter>,
 }
 
 impl Membership {
-    /// Whether a node votes.
+    /// Returns whether node `id` is a voter.
     pub fn contains(&self, id: u64) -> bool {
         self.voters.iter().any(|v| v.id == id)
     }
 
-    /// How many voters make a majority.
+    /// Returns the number of voters that form a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 }
 
-/// What an entry is for.
+/// Type of a log entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Enumeration)]
 #[repr(i32)]
 pub enum EntryType {
-    /// The first entry of a leader's term, without data: entries of earlier terms are
-    /// committed with it (dissertation, 3.6.2).
+    /// The first entry of a leader's term, without data. Committing it also commits the
+    /// entries of earlier terms (dissertation, 3.6.2).
     NoOp = 0,
     /// A command for the replicated state machine.
     Command = 1,
@@ -58,33 +59,33 @@
     Membership = 2,
 }
 
-/// An entry of the log.
+/// A log entry.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Entry {
-    /// Its place in the log, from 1.
+    /// Index in the log, starting at 1.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// The term of the leader that created it.
+    /// Term of the leader that created the entry.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// See [`EntryType`].
+    /// Type of the entry; see [`EntryType`].
     #[prost(enumeration = "EntryType", tag = "3")]
     pub entry_type: i32,
-    /// The command, or the encoded membership.
+    /// The command, or the encoded [`Membership`].
     #[prost(bytes = "vec", tag = "4")]
     pub data: Vec<u8>,
 }
 
-/// The state up to an index, in place of the log up to there.
+/// The state up to an index, which replaces the log up to that index.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Snapshot {
-    /// Index of the last entry that it covers; 0 for an empty log.
+    /// Index of the last entry that the snapshot covers; 0 for an empty log.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// Term of that entry.
+    /// Term of the last entry that the snapshot covers.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// The membership in force there.
+    /// Membership in force at `index`.
     #[prost(message, optional, tag = "3")]
     pub membership: Option<Membership>,
     /// The encoded state of the replicated state machine.
@@ -92,49 +93,55 @@
     pub data: Vec<u8>,
 }
 
-/// What a message is: Raft's remote procedure calls and their responses, and what is added.
+/// Type of a message: Raft's remote procedure calls, their responses, and the extensions of
+/// this implementation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Enumeration)]
 #[repr(i32)]
 pub enum MessageType {
-    /// Would you vote for me? Changes nothing (dissertation, 9.6).
+    /// Asks whether the receiver would vote for the sender, without changing any state
+    /// (dissertation, 9.6).
     PreVoteRequest = 0,
-    /// The answer to it.
+    /// Response to [`MessageType::PreVoteRequest`].
     PreVoteResponse = 1,
     /// The dissertation's RequestVote.
     VoteRequest = 2,
-    /// The answer to it.
+    /// Response to [`MessageType::VoteRequest`].
     VoteResponse = 3,
-    /// The leader's entries, or a heartbeat without any.
+    /// Entries from the leader, or a heartbeat without entries.
     AppendEntries = 4,
-    /// The answer to it, and to a snapshot.
+    /// Response to [`MessageType::AppendEntries`] and [`MessageType::InstallSnapshot`].
     AppendEntriesResponse = 5,
-    /// A snapshot for a node that lags behind the log.
+    /// A snapshot for a node that needs entries which the log no longer contains.
     InstallSnapshot = 6,
-    /// The leader transfers leadership: stand for election at once (dissertation, 3.10).
+    /// Transfers leadership: the receiver starts an election immediately (dissertation, 3.10).
     TimeoutNow = 7,
     /// A learner asks a voter to relay the log to it.
     Subscribe = 8,
-    /// A voter announces to the leader that it is about to end; `index` is its last entry.
+    /// A voter announces to the leader that it is about to shut down; `index` is its last
+    /// entry.
     ShutdownRequest = 9,
-    /// The answer: whether the others go on without it, with all that is committed.
+    /// Response to [`MessageType::ShutdownRequest`]: whether the other voters can continue
+    /// without the sender, with all committed entries.
     ShutdownResponse = 10,
-    /// A part of a message that is too large for one frame.
+    /// A fragment of a large message.
     Fragment = 11,
-    /// How much of such a message has arrived.
+    /// Acknowledges how much of a fragmented message has arrived.
     FragmentAck = 12,
 }
 
-/// A message between two nodes. Which fields count depends on its type.
+/// A message between two nodes. Its type determines which fields are used.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Message {
-    /// See [`MessageType`].
+    /// Type of the message; see [`MessageType`].
     #[prost(enumeration = "MessageType", tag = "1")]
     pub message_type: i32,
-    /// The sender's term; in a [`MessageType::PreVoteRequest`] the term it would stand in.
+    /// The sender's term. In a [`MessageType::PreVoteRequest`], the term in which the sender
+    /// would become a candidate.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// AppendEntries: the entry before the first (prevLogIndex). Votes: the candidate's last
-    /// entry. AppendEntriesResponse: the last entry that matches, or a hint where to go on.
+    /// AppendEntries: index of the entry before the first one sent (prevLogIndex). Vote
+    /// requests: index of the candidate's last entry. AppendEntriesResponse: index of the last
+    /// matching entry, or a hint from where to continue.
     #[prost(uint64, tag = "3")]
     pub index: u64,
     /// The term of the entry at `index`.
@@ -146,11 +153,12 @@
     /// AppendEntries: the sender's commit index.
     #[prost(uint64, tag = "6")]
     pub commit: u64,
-    /// The leader's latest round of heartbeats; the answer echoes it.
+    /// The leader's latest heartbeat round. The response repeats it.
     #[prost(uint64, tag = "7")]
     pub round: u64,
-    /// Responses: whether the request was granted, or the entries accepted. VoteRequest: the
-    /// leader itself asked the sender to stand, so that its lease forbids no vote.
+    /// Responses: whether the request was granted, or the entries accepted. VoteRequest:
+    /// whether the leader itself asked the sender to start the election, so that the leader's
+    /// lease does not prevent votes.
     #[prost(bool, tag = "8")]
     pub granted: bool,
     /// InstallSnapshot: the snapshot.
@@ -160,21 +168,21 @@
     /// relays to, have applied.
     #[prost(uint64, tag = "10")]
     pub applied: u64,
-    /// Of a relayed message: who leads. 0 in messages of the leader itself.
+    /// Relayed messages: identity of the leader. 0 in messages from the leader itself.
     #[prost(fixed64, tag = "11")]
     pub leader: u64,
-    /// The identity that it is meant for: a node that is back at the same address with an
-    /// empty disk is another one. 0 for whoever gets it.
+    /// Identity of the intended receiver. A node that restarts at the same address with an
+    /// empty disk has another identity. 0 for any receiver.
     #[prost(fixed64, tag = "12")]
     pub to: u64,
-    /// Fragment, FragmentAck: the number of the message, as its sender counts.
+    /// Fragment, FragmentAck: number of the fragmented message, assigned by its sender.
     #[prost(fixed64, tag = "13")]
     pub message_number: u64,
-    /// Fragment: where in the message it begins, bytes. FragmentAck: how much of the message
-    /// has arrived, bytes.
+    /// Fragment: offset of the fragment in the message, in bytes. FragmentAck: how much of the
+    /// message has arrived, in bytes.
     #[prost(uint64, tag = "14")]
     pub offset: u64,
-    /// Fragment: the size of the whole message, bytes.
+    /// Fragment: total size of the message, in bytes.
     #[prost(uint64, tag = "15")]
     pub total_bytes: u64,
     /// Fragment: a part of the encoded message.
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -1,5 +1,5 @@
-//! One node of the cluster: its state, its inputs beside messages, and what it tells of
-//! itself. The parts of the protocol are in the modules below.
+//! A node of the cluster: its state, and the inputs other than messages. The modules below
+//! implement the parts of the protocol.
 
 mod election;
 mod introspection;
@@ -28,51 +28,52 @@
 use read_index::{PendingRead, Rounds};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a node is in its term.
+/// Role of a node in its current term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Follows a leader, or waits for one.
+    /// Follows a leader or waits for one.
     Follower,
-    /// Asks whether it would be elected (dissertation, 9.6).
+    /// Asks the other voters whether they would vote for it (dissertation, 9.6).
     PreCandidate,
-    /// Stands for election.
+    /// Requests votes in an election.
     Candidate,
-    /// Leads.
+    /// Leads the cluster.
     Leader,
 }
 
-/// One node's part in the protocol. Copies serve tests that try what may follow.
+/// The protocol state machine of one node. It can be cloned so that tests can explore
+/// alternative continuations of a state.
 #[derive(Clone)]
 pub struct RaftNode {
     id: u64,
     config: Config,
     rng: SmallRng,
-    /// The time of the newest input, ms.
+    /// Time of the latest input, in milliseconds.
     now: u64,
     hard_state: HardState,
     log: RaftLog,
-    /// The last entry known to be on this node's disk.
+    /// Index of the last entry known to be on this node's disk.
     persisted_index: u64,
     commit_index: u64,
-    /// The highest commit index that a leader has told this node of.
+    /// Highest commit index received from a leader.
     announced_commit: u64,
-    /// The last entry given to the driver as committed.
+    /// Index of the last entry passed to the driver as committed.
     delivered_index: u64,
     applied_index: u64,
     role: Role,
-    /// 0 while none is known.
+    /// Identity of the current leader; 0 if none is known.
     leader_id: u64,
     membership: Membership,
     membership_index: u64,
-    /// Since when the membership is in force here, ms.
+    /// Time since which the membership has been in force on this node, in milliseconds.
     membership_since: u64,
-    /// Who has granted this candidate its vote.
+    /// Voters that have granted this candidate their vote or pre-vote.
     votes: BTreeSet<u64>,
-    /// The voters and learners that a leader replicates to.
+    /// Replication state of the voters and learners that a leader replicates to.
     progress: BTreeMap<u64, Progress>,
     election_deadline: u64,
     last_tick: u64,
-    /// When a leader was last heard, ms.
+    /// Time at which a leader was last heard from, in milliseconds.
     leader_heard_at: u64,
     next_heartbeat_at: u64,
     next_learner_heartbeat_at: u64,
@@ -81,38 +82,38 @@
     leader_since: u64,
     pending_reads: Vec<PendingRead>,
     transfer: Option<LeadershipTransfer>,
-    /// This node is about to end.
+    /// Whether this node has announced its shutdown.
     shutting_down: bool,
-    /// The leader has said that the others go on without this node.
+    /// Whether the leader has confirmed that the other voters can continue without this node.
     shutdown_granted: bool,
-    /// When this node last gave way to another candidate, ms.
-    gave_way_at: Option<u64>,
+    /// Time at which this node last yielded to another pre-candidate, in milliseconds.
+    yielded_at: Option<u64>,
     storage_failed: bool,
-    /// Learners that this node relays the log to.
+    /// Replication state of the learners that this node relays the log to.
     subscribers: BTreeMap<u64, Progress>,
     next_relay_at: u64,
-    /// What the subscribers were last told of the leader.
+    /// Leader and term that the subscribers were last notified of.
     relayed_leadership: Leadership,
-    /// The voter that this node takes the log from, if it is a learner.
+    /// The voter that relays the log to this node, if this node is a learner.
     upstream: Upstream,
     fragmenter: Fragmenter,
-    /// Whether the data of a snapshot at an index can be read.
+    /// Returns whether the data of a snapshot with this index can be read.
     is_snapshot_readable: fn(u64, &[u8]) -> bool,
-    /// Snapshots that could not.
+    /// Number of received snapshots that could not be read.
     unreadable_snapshots: u64,
     ready: Ready,
 }
 
 impl RaftNode {
-    /// A node as its disk left it, at `now` ms. `id` is its identity; `seed` feeds the random
-    /// part of its timeouts.
-    pub fn new(id: u64, saved: PersistentState, config: Config, now: u64, seed: u64) -> RaftNode {
-        let snapshot_index = saved.snapshot.index;
-        let log = RaftLog::new(saved.snapshot, saved.entries);
+    /// Creates a node from its persisted state at time `now`, in milliseconds. `id` is the
+    /// node's identity; `seed` initializes the random part of its timeouts.
+    pub fn new(id: u64, persisted_state: PersistentState, config: Config, now: u64, seed: u64) -> RaftNode {
+        let snapshot_index = persisted_state.snapshot.index;
+        let log = RaftLog::new(persisted_state.snapshot, persisted_state.entries);
         let (membership, membership_index) = log.membership_at(u64::MAX);
         let mut rng = SmallRng::seed_from_u64(seed);
-        // Before it ended, the node may have answered a round that a lease rests on; once
-        // that must be over it may vote, and stand.
+        // Before a restart the node may have answered a heartbeat round that a lease is based
+        // on. It votes and starts elections only once that lease must have expired.
         let leader_heard_at = now.saturating_sub(config.election_timeout_ms.saturating_sub(config.lease_ms));
         let election_deadline = now + config.lease_ms + rng.gen_range(0..=config.election_jitter_ms / 2);
         let first_message_number = SmallRng::seed_from_u64(seed ^ id).gen();
@@ -121,7 +122,7 @@
             config,
             rng,
             now,
-            hard_state: saved.hard_state,
+            hard_state: persisted_state.hard_state,
             persisted_index: log.last_index(),
             commit_index: snapshot_index,
             announced_commit: 0,
@@ -147,7 +148,7 @@
             transfer: None,
             shutting_down: false,
             shutdown_granted: false,
-            gave_way_at: None,
+            yielded_at: None,
             storage_failed: false,
             subscribers: BTreeMap::new(),
             next_relay_at: 0,
@@ -160,13 +161,15 @@
         }
     }
 
-    /// How to tell whether the data of a snapshot at an index can be read. One that cannot is
-    /// not installed and not answered, so that it is sent again.
+    /// Sets the function that checks whether the data of a snapshot with a given index can be
+    /// read. An unreadable snapshot is neither installed nor acknowledged, so that it is sent
+    /// again.
     pub fn set_snapshot_check(&mut self, is_readable: fn(u64, &[u8]) -> bool) {
         self.is_snapshot_readable = is_readable;
     }
 
-    /// Makes this node the only voter of a new cluster. Does nothing unless it is empty.
+    /// Makes this node the only voter of a new cluster. Does nothing if the node already has a
+    /// log or a term.
     pub fn bootstrap(&mut self, voter: Voter) {
         if self.last_index() > 0 || self.term() > 0 {
             return;
@@ -186,24 +189,25 @@
         self.election_deadline = self.now;
     }
 
-    /// The time has come to `now` ms.
+    /// Advances the clock to `now`, in milliseconds.
     pub fn tick(&mut self, now: u64) {
         self.now = now;
-        // A process that stood still has messages of others waiting: the silence is its own,
-        // and it looks again once it has heard them.
-        let stood_still = now.saturating_sub(self.last_tick) > self.config.election_timeout_ms * 2 / 3;
+        // After a stall of this process, messages from other nodes may still be queued.
+        // Contact with the majority is therefore checked only at a later tick, once they have
+        // been processed.
+        let was_stalled = now.saturating_sub(self.last_tick) > self.config.election_timeout_ms * 2 / 3;
         self.last_tick = now;
         let resent = self.fragmenter.tick(now);
         self.ready.messages.extend(resent);
         match self.role {
-            Role::Leader => self.tick_leader(stood_still),
+            Role::Leader => self.tick_leader(was_stalled),
             _ if now >= self.election_deadline => self.on_election_timeout(),
             _ => {}
         }
     }
 
-    fn tick_leader(&mut self, stood_still: bool) {
-        if !stood_still && !self.has_heard_majority(self.config.election_timeout_ms) {
+    fn tick_leader(&mut self, was_stalled: bool) {
+        if !was_stalled && !self.has_heard_majority(self.config.election_timeout_ms) {
             self.become_follower(self.term(), 0);
             return;
         }
@@ -211,27 +215,30 @@
         if self.now >= self.next_heartbeat_at {
             self.begin_round();
             self.send_heartbeats(self.now >= self.next_learner_heartbeat_at);
-            self.settle_rounds();
+            self.process_answered_rounds();
         }
     }
 
-    /// When [`RaftNode::tick`] has something to do again, ms.
+    /// Returns the time at which [`RaftNode::tick`] next has work to do, in milliseconds.
     pub fn next_tick_at(&self) -> u64 {
-        let own = match self.role {
+        let own_deadline = match self.role {
             Role::Leader => self.next_heartbeat_at,
             _ => self.election_deadline,
         };
-        let own = self.fragmenter.next_tick_at().map_or(own, |at| at.min(own));
+        let own_deadline = self
+            .fragmenter
+            .next_tick_at()
+            .map_or(own_deadline, |at| at.min(own_deadline));
         if self.subscribers.is_empty() {
-            own
+            own_deadline
         } else {
-            own.min(self.next_relay_at)
+            own_deadline.min(self.next_relay_at)
         }
     }
 
-    /// What is to be done since the last call.
+    /// Returns the work that has accumulated since the last call.
     pub fn take_ready(&mut self) -> Ready {
-        self.relay_by_time();
+        self.relay_if_due();
         if self.commit_index > self.delivered_index {
             self.relay_new_entries();
             let committed = self.log.between(self.delivered_index, self.commit_index);
@@ -241,12 +248,12 @@
         let mut ready = std::mem::take(&mut self.ready);
         let messages = std::mem::take(&mut ready.messages).into_iter();
         let now = self.now;
-        let sent = messages.filter_map(|message| self.fragmenter.send(now, message));
-        ready.messages = sent.collect();
+        let to_send = messages.filter_map(|message| self.fragmenter.send(now, message));
+        ready.messages = to_send.collect();
         ready
     }
 
-    /// Everything up to this entry is on disk.
+    /// Notifies the node that everything up to this entry is on disk.
     pub fn on_persisted(&mut self, position: LogPosition) {
         if position.index > self.persisted_index && self.log.term_at(position.index) == Some(position.term) {
             self.persisted_index = position.index;
@@ -254,21 +261,22 @@
         }
     }
 
-    /// The owner of the state has applied everything up to an index.
+    /// Notifies the node that the driver has applied all entries up to `index`.
     pub fn on_applied(&mut self, index: u64) {
         self.applied_index = self.applied_index.max(index);
     }
 
-    /// Adds to answers that are about to be sent what has been applied since they were made.
-    pub fn stamp_applied(&self, answers: &mut [Message]) {
-        let applied = self.applied_by_all();
-        let answers = answers.iter_mut();
-        for answer in answers.filter(|m| m.message_type() == MessageType::AppendEntriesResponse) {
-            answer.applied = answer.applied.max(applied);
+    /// Updates the applied index in responses that are about to be sent to the current one.
+    pub fn stamp_applied(&self, responses: &mut [Message]) {
+        let applied = self.min_applied_index();
+        let responses = responses.iter_mut();
+        for response in responses.filter(|m| m.message_type() == MessageType::AppendEntriesResponse) {
+            response.applied = response.applied.max(applied);
         }
     }
 
-    /// A node whose disk fails neither leads nor stands for election.
+    /// Sets whether the node's disk is failing. Such a node neither leads nor starts
+    /// elections.
     pub fn set_storage_failed(&mut self, failed: bool) {
         self.storage_failed = failed;
         if failed && self.is_leader() {
@@ -276,17 +284,17 @@
         }
     }
 
-    /// Queues a message that may go at once.
+    /// Queues a message that can be sent immediately.
     fn send(&mut self, to: u64, message: Message) {
         self.ready.messages.push(Message { to, ..message });
     }
 
-    /// Queues a message that promises what is written now.
+    /// Queues a message that may be sent only after the pending write is on disk.
     fn send_persisted(&mut self, to: u64, message: Message) {
         self.ready.persisted_messages.push(Message { to, ..message });
     }
 
-    /// A message of this type and the current term.
+    /// Creates a message of this type with the current term.
     fn message(&self, message_type: MessageType) -> Message {
         Message {
             message_type: message_type as i32,
--- a/crates/raft/src/node/election.rs
+++ b/crates/raft/src/node/election.rs
@@ -6,34 +6,35 @@
 use rand::Rng;
 use std::collections::BTreeSet;
 
-/// Why a node stands for election.
+/// Reason why a node starts an election.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Reason {
-    /// It has heard no leader for long enough.
+enum CampaignReason {
+    /// The node has not heard from a leader within the election timeout.
     Timeout,
-    /// The leader transfers leadership to it, so that the leader's lease forbids no vote.
+    /// The leader transfers leadership to the node, so the leader's lease does not prevent
+    /// votes.
     Transfer,
 }
 
 impl RaftNode {
-    /// No leader was heard in time.
+    /// Handles the expiry of the election timeout.
     pub(super) fn on_election_timeout(&mut self) {
         self.reset_election_deadline();
-        if self.may_stand() {
+        if self.can_campaign() {
             self.become_pre_candidate();
         }
     }
 
-    /// The leader asks this node to stand at once.
+    /// Handles the leader's request to start an election immediately.
     pub(super) fn on_timeout_now(&mut self) {
         self.reset_election_deadline();
-        if self.may_stand() {
+        if self.can_campaign() {
             self.leader_id = 0;
-            self.become_candidate(Reason::Transfer);
+            self.become_candidate(CampaignReason::Transfer);
         }
     }
 
-    fn may_stand(&self) -> bool {
+    fn can_campaign(&self) -> bool {
         self.membership.contains(self.id) && !self.storage_failed
     }
 
@@ -41,18 +42,18 @@
         self.leader_id = 0;
         self.votes = BTreeSet::from([self.id]);
         self.role = Role::PreCandidate;
-        // Asking changes nothing, so it may be repeated soon: others may only just have
-        // started, or still hear the leader that is gone.
-        let pause = self.config.election_timeout_ms / 4;
-        self.election_deadline = self.now + pause + self.rng.gen_range(0..=pause);
+        // A pre-vote changes no state, so it may be repeated soon: other voters may have only
+        // just started, or may still consider the failed leader alive.
+        let pause_ms = self.config.election_timeout_ms / 4;
+        self.election_deadline = self.now + pause_ms + self.rng.gen_range(0..=pause_ms);
         if self.has_majority_of_votes() {
-            self.become_candidate(Reason::Timeout);
+            self.become_candidate(CampaignReason::Timeout);
         } else {
             self.request_pre_votes();
         }
     }
 
-    fn become_candidate(&mut self, reason: Reason) {
+    fn become_candidate(&mut self, reason: CampaignReason) {
         self.role = Role::Candidate;
         self.election_deadline = self.now
             + self.config.election_timeout_ms / 3
@@ -76,19 +77,19 @@
         self.transfer = None;
         self.rounds.clear();
         self.pending_reads.clear();
-        let fresh = Progress {
+        let initial_progress = Progress {
             next_index: self.last_index() + 1,
             last_heard: self.now,
             ..Default::default()
         };
-        let others = self.other_voters().into_iter();
-        self.progress = others.map(|id| (id, fresh.clone())).collect();
-        self.append_own(EntryType::NoOp, Vec::new());
+        let other_voters = self.other_voters().into_iter();
+        self.progress = other_voters.map(|id| (id, initial_progress.clone())).collect();
+        self.append_in_current_term(EntryType::NoOp, Vec::new());
         self.next_heartbeat_at = self.now;
         self.next_learner_heartbeat_at = self.now;
     }
 
-    /// Follows a leader, or none (0), in this or a higher term.
+    /// Becomes a follower of `leader` (0 for none) in this or a higher term.
     pub(super) fn become_follower(&mut self, term: u64, leader: u64) {
         if term > self.term() {
             self.hard_state.term = term;
@@ -106,27 +107,28 @@
         self.reset_election_deadline();
     }
 
-    /// Waits a fresh election timeout.
+    /// Restarts the election timeout.
     pub(super) fn reset_election_deadline(&mut self) {
-        // Whoever is about to end lets others stand first.
-        let head_start = if self.shutting_down {
+        // A node that is shutting down lets other voters start an election first.
+        let extra_delay_ms = if self.shutting_down {
             2 * self.config.election_timeout_ms
         } else {
             0
         };
         self.election_deadline = self.now
-            + head_start
+            + extra_delay_ms
             + self.config.election_timeout_ms
             + self.rng.gen_range(0..=self.config.election_jitter_ms);
     }
 
-    /// Of two that ask at the same time one gives way for a moment, or they would split the
-    /// votes. Not again soon: the other may hear no answers.
-    fn give_way(&mut self) {
-        let pause = 2 * self.config.election_timeout_ms;
-        let may = |at: u64| self.now.saturating_sub(at) > pause;
-        if self.gave_way_at.is_none_or(may) {
-            self.gave_way_at = Some(self.now);
+    /// Backs off briefly in favor of another pre-candidate, because two simultaneous campaigns
+    /// could split the votes. Does not do so again soon, because the other node may not be
+    /// receiving responses.
+    fn yield_to_candidate(&mut self) {
+        let pause_ms = 2 * self.config.election_timeout_ms;
+        let has_cooled_down = |at: u64| self.now.saturating_sub(at) > pause_ms;
+        if self.yielded_at.is_none_or(has_cooled_down) {
+            self.yielded_at = Some(self.now);
             self.role = Role::Follower;
             self.election_deadline = self.now
                 + self.config.election_timeout_ms / 3
@@ -144,12 +146,12 @@
         }
     }
 
-    fn request_votes(&mut self, reason: Reason) {
+    fn request_votes(&mut self, reason: CampaignReason) {
         let request = Message {
-            granted: reason == Reason::Transfer,
+            granted: reason == CampaignReason::Transfer,
             ..self.vote_request(MessageType::VoteRequest)
         };
-        // A vote for oneself counts only once it is on disk.
+        // The candidate's own vote counts only once it is on disk.
         for to in self.other_voters() {
             self.send_persisted(to, request.clone());
         }
@@ -169,16 +171,17 @@
         counted.count() >= self.membership.majority()
     }
 
-    /// Whether this node elects nobody: it hears a leader, or has only just started. Leases
-    /// rest on it. A transfer by the leader itself is excepted.
+    /// Returns whether this node must not vote, because it hears from a leader or has only
+    /// just started. Leases depend on this. An election requested by the leader itself is
+    /// exempt.
     fn is_bound_to_leader(&self, request: &Message) -> bool {
-        let timeout = self.config.election_timeout_ms;
+        let timeout_ms = self.config.election_timeout_ms;
         if request.granted {
             false
         } else if self.is_leader() {
-            self.has_heard_majority(timeout)
+            self.has_heard_majority(timeout_ms)
         } else {
-            self.now.saturating_sub(self.leader_heard_at) < timeout
+            self.now.saturating_sub(self.leader_heard_at) < timeout_ms
         }
     }
 
@@ -194,7 +197,7 @@
         let granted =
             !self.is_bound_to_leader(request) && self.is_up_to_date(request) && request.term > self.term();
         if granted && self.role == Role::PreCandidate && from > self.id {
-            self.give_way();
+            self.yield_to_candidate();
         }
         let reply = Message {
             term: if granted { request.term } else { self.term() },
@@ -212,8 +215,9 @@
             }
             self.become_follower(request.term, 0);
         }
-        let free = self.hard_state.vote == 0 || self.hard_state.vote == from;
-        let granted = request.term == self.term() && free && up_to_date && self.role == Role::Follower;
+        let vote_is_available = self.hard_state.vote == 0 || self.hard_state.vote == from;
+        let granted =
+            request.term == self.term() && vote_is_available && up_to_date && self.role == Role::Follower;
         if granted {
             if self.hard_state.vote != from {
                 self.hard_state.vote = from;
@@ -232,7 +236,7 @@
         if self.role == Role::PreCandidate && response.granted && response.term == self.term() + 1 {
             self.votes.insert(from);
             if self.has_majority_of_votes() {
-                self.become_candidate(Reason::Timeout);
+                self.become_candidate(CampaignReason::Timeout);
             }
         } else if response.term > self.term() && !response.granted {
             self.become_follower(response.term, 0);
--- a/crates/raft/src/node/learner_relay.rs
+++ b/crates/raft/src/node/learner_relay.rs
@@ -1,23 +1,23 @@
-//! Relaying the log to learners. Nodes without a vote subscribe to a voter near them instead
-//! of the leader: hundreds of learners would cost one leader too much. A voter relays what is
-//! committed, and only while it hears the leader itself. Nothing here decides anything: what
-//! is committed stays committed.
+//! Relays the log to learners. Nodes without a vote subscribe to a nearby voter instead of the
+//! leader, because replicating to hundreds of learners would overload a single leader. A voter
+//! relays only committed entries, and only while it is in contact with the leader. Relaying
+//! decides nothing: a committed entry stays committed.
 
 use super::RaftNode;
 use crate::message::{Message, MessageType};
 use crate::progress::Progress;
 use crate::upstream_selection::Upstream;
 
-/// Who leads, in which term.
+/// Leader and its term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Leadership {
     leader: u64,
     term: u64,
 }
 
-/// The learner's side.
+/// Learner side.
 impl RaftNode {
-    /// Takes the log from a voter from now on, and asks it to begin.
+    /// Subscribes to the log relayed by `voter`.
     pub fn subscribe(&mut self, now: u64, voter: u64) {
         self.now = now;
         self.upstream = Upstream {
@@ -28,7 +28,8 @@
         self.repeat_subscription();
     }
 
-    /// Asks again a voter that has not answered yet: it may only just have started.
+    /// Repeats the subscription if the voter has not answered yet: it may have only just
+    /// started.
     pub fn repeat_subscription(&mut self) {
         if self.upstream.id == 0 || self.upstream.answered {
             return;
@@ -41,13 +42,14 @@
         self.send(self.upstream.id, message);
     }
 
-    /// The voter that this node takes the log from.
+    /// Returns the voter that relays the log to this node.
     pub fn upstream(&self) -> Upstream {
         self.upstream
     }
 
-    /// Whether a relayed message comes from this node's upstream. Voters hear the leader
-    /// alone; until one voter answers, any that was asked will do.
+    /// Returns whether a relayed message from node `from` is accepted, and if so records the
+    /// sender as the upstream. Voters accept only messages from the leader itself; until an
+    /// upstream has answered, a learner accepts any sender.
     pub(super) fn accepts_relayed(&mut self, from: u64) -> bool {
         let is_upstream = self.upstream.id == from || !self.upstream.answered;
         let accepts = is_upstream && !self.membership.contains(self.id);
@@ -61,8 +63,9 @@
         accepts
     }
 
-    /// The upstream is sending a large message, though it is not complete yet.
-    pub(super) fn note_upstream_sends(&mut self, from: u64) {
+    /// Records activity of the upstream while it sends a large message that is not complete
+    /// yet.
+    pub(super) fn note_upstream_activity(&mut self, from: u64) {
         if self.upstream.id == from {
             self.upstream.answered = true;
             self.upstream.last_heard = self.now;
@@ -70,9 +73,10 @@
     }
 }
 
-/// The voter's side.
+/// Voter side.
 impl RaftNode {
-    /// A learner asks for the log after `request.index`, up to which it has what is committed.
+    /// Handles a learner's subscription to the log after `request.index`, up to which it
+    /// already has the committed entries.
     pub(super) fn handle_subscribe(&mut self, from: u64, request: &Message) {
         if !self.membership.contains(self.id) {
             return;
@@ -88,17 +92,17 @@
         self.relay_to(from, true);
     }
 
-    /// A subscriber has answered.
+    /// Handles a subscriber's response.
     pub(super) fn handle_subscriber_response(&mut self, from: u64, response: &Message) {
-        let applied_before = self.applied_by_all();
+        let applied_before = self.min_applied_index();
         let (now, snapshot_resend_ms) = (self.now, self.config.snapshot_resend_ms);
         let Some(subscriber) = self.subscribers.get_mut(&from) else {
             return;
         };
         subscriber.last_heard = now;
         subscriber.applied = response.applied;
-        // While a snapshot is on its way, a rejection of something else is no news: sent again
-        // for each, snapshots would fill a narrow link.
+        // While a snapshot is in transit, rejections of other messages are expected and
+        // ignored: resending the snapshot for each of them would saturate a narrow link.
         let awaits_snapshot = subscriber.awaits_snapshot(now, snapshot_resend_ms);
         if response.granted || !awaits_snapshot {
             subscriber.snapshot_sent_at = None;
@@ -112,12 +116,13 @@
         if subscriber.next_index <= self.commit_index {
             self.relay_to(from, false);
         }
-        self.report_applied_since(applied_before);
+        self.report_applied_if_advanced(applied_before);
     }
 
-    /// The leader waits for this node's subscribers as well.
-    fn report_applied_since(&mut self, applied_before: u64) {
-        let applied = self.applied_by_all();
+    /// Reports the applied index to the leader if it has advanced: the leader also waits for
+    /// the subscribers of this node.
+    fn report_applied_if_advanced(&mut self, applied_before: u64) {
+        let applied = self.min_applied_index();
         if applied > applied_before && !self.is_leader() && self.leader_id != 0 {
             let message = Message {
                 applied,
@@ -127,36 +132,37 @@
         }
     }
 
-    /// The index up to which this node and its subscribers have applied.
-    pub(super) fn applied_by_all(&self) -> u64 {
+    /// Returns the index up to which this node and all its subscribers have applied entries.
+    pub(super) fn min_applied_index(&self) -> u64 {
         let subscribers = self.subscribers.values().map(|s| s.applied).min();
         subscribers.unwrap_or(u64::MAX).min(self.applied_index)
     }
 
-    /// Whether what this node says of the leader is recent.
-    fn is_in_contact(&self) -> bool {
-        let timeout = self.config.election_timeout_ms;
+    /// Returns whether this node's information about the leader is recent.
+    fn has_recent_leader_contact(&self) -> bool {
+        let timeout_ms = self.config.election_timeout_ms;
         if self.is_leader() {
-            self.has_heard_majority(timeout)
+            self.has_heard_majority(timeout_ms)
         } else {
-            self.leader_id != 0 && self.now.saturating_sub(self.leader_heard_at) < timeout
+            self.leader_id != 0 && self.now.saturating_sub(self.leader_heard_at) < timeout_ms
         }
     }
 
-    /// Relays what has just been committed.
+    /// Relays newly committed entries.
     pub(super) fn relay_new_entries(&mut self) {
         self.relay_to_all(false);
     }
 
-    /// Relays at the learners' pace, and at once when another node leads.
-    pub(super) fn relay_by_time(&mut self) {
+    /// Relays to all subscribers at the learners' heartbeat interval, and immediately when the
+    /// leader changes.
+    pub(super) fn relay_if_due(&mut self) {
         let leadership = Leadership {
             leader: self.leader_id,
             term: self.term(),
         };
-        let is_news = leadership != self.relayed_leadership && self.leader_id != 0;
-        if is_news || self.now >= self.next_relay_at {
-            if is_news {
+        let leadership_changed = leadership != self.relayed_leadership && self.leader_id != 0;
+        if leadership_changed || self.now >= self.next_relay_at {
+            if leadership_changed {
                 self.relayed_leadership = leadership;
             }
             self.next_relay_at = self.now + self.config.learner_heartbeat_ms;
@@ -164,14 +170,15 @@
         }
     }
 
-    /// Sends subscribers what they lack; `heartbeat` also those that lack nothing.
+    /// Sends subscribers the entries that they lack; if `heartbeat` is set, also notifies
+    /// those that lack none.
     fn relay_to_all(&mut self, heartbeat: bool) {
         if self.subscribers.is_empty() {
             return;
         }
-        let (now, timeout) = (self.now, self.config.peer_timeout_ms);
+        let (now, timeout_ms) = (self.now, self.config.peer_timeout_ms);
         self.subscribers
-            .retain(|_, s| now.saturating_sub(s.last_heard) < timeout);
+            .retain(|_, s| now.saturating_sub(s.last_heard) < timeout_ms);
         let ids: Vec<u64> = self.subscribers.keys().copied().collect();
         for id in ids {
             self.relay_to(id, heartbeat);
@@ -179,7 +186,7 @@
     }
 
     fn relay_to(&mut self, to: u64, heartbeat: bool) {
-        if !self.is_in_contact() || self.is_leader() && self.transfer.is_some() {
+        if !self.has_recent_leader_contact() || self.is_leader() && self.transfer.is_some() {
             return;
         }
         let (now, config) = (self.now, self.config);
@@ -219,7 +226,7 @@
         if let Some(subscriber) = self.subscribers.get_mut(&to) {
             subscriber.snapshot_sent_at = Some(self.now);
             subscriber.sent_at = self.now;
-            // What comes after the snapshot may follow at once.
+            // Entries after the snapshot may be sent without waiting for its confirmation.
             subscriber.next_index = snapshot.index + 1;
         }
         let message = Message {
@@ -229,13 +236,13 @@
         self.send(to, message);
     }
 
-    /// A message that also says who leads.
+    /// Creates a message that also names the leader.
     fn relayed_message(&self, message_type: MessageType, index: u64) -> Message {
         Message {
             index,
             log_term: self.log.term_at(index).unwrap_or(0),
-            // What the leader has said is committed, though this node may not have it yet:
-            // otherwise a subscriber would take itself for current too soon.
+            // The leader's commit index, even if this node does not have those entries yet:
+            // otherwise a subscriber would consider itself current too early.
             commit: self.commit_index.max(self.announced_commit),
             leader: self.leader_id,
             ..self.message(message_type)
--- a/crates/raft/src/node/membership.rs
+++ b/crates/raft/src/node/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of the membership, one voter at a time (dissertation, 4.1), and the learners.
+//! Membership changes, one voter at a time (dissertation, 4.1), and the set of learners.
 
 use super::replication::SendMode;
 use super::RaftNode;
@@ -8,22 +8,22 @@
 use std::collections::BTreeSet;
 
 impl RaftNode {
-    /// Proposes a membership that differs from the one in force by at most one voter; `false`
-    /// if that cannot be done now.
+    /// Proposes a membership that differs by at most one voter from the one in force. Returns
+    /// `false` if the change is not possible now.
     pub fn propose_membership(&mut self, membership: &Membership) -> bool {
         if !self.is_established_leader() || self.is_membership_pending() || membership.voters.is_empty() {
             return false;
         }
-        let ids = |m: &Membership| -> BTreeSet<u64> { m.voters.iter().map(|v| v.id).collect() };
-        let (before, after) = (ids(&self.membership), ids(membership));
+        let voter_ids = |m: &Membership| -> BTreeSet<u64> { m.voters.iter().map(|v| v.id).collect() };
+        let (before, after) = (voter_ids(&self.membership), voter_ids(membership));
         if before.symmetric_difference(&after).count() > 1 {
             return false;
         }
-        self.append_own(EntryType::Membership, membership.encode_to_vec());
+        self.append_in_current_term(EntryType::Membership, membership.encode_to_vec());
         true
     }
 
-    /// Tells a leader which nodes without a vote it is to replicate to.
+    /// Sets the learners that a leader replicates to.
     pub fn set_learners(&mut self, learners: &BTreeSet<u64>) {
         if !self.is_leader() {
             return;
@@ -34,18 +34,19 @@
         let next_index = self.last_index() + 1;
         for id in learners {
             if *id != self.id && !self.progress.contains_key(id) {
-                let fresh = Progress {
+                let initial_progress = Progress {
                     next_index,
                     ..Default::default()
                 };
-                self.progress.insert(*id, fresh);
+                self.progress.insert(*id, initial_progress);
                 self.send_entries(*id, SendMode::Always);
             }
         }
     }
 
-    /// A membership is in force as soon as it is in the log.
-    pub(super) fn adopt_membership_of(&mut self, entry: &Entry) {
+    /// Puts the membership of an entry in force, which happens as soon as the entry is in the
+    /// log.
+    pub(super) fn adopt_membership_from(&mut self, entry: &Entry) {
         let Ok(membership) = Membership::decode(entry.data.as_slice()) else {
             return;
         };
@@ -55,17 +56,19 @@
         if !self.is_leader() {
             return;
         }
-        let fresh = Progress {
+        let initial_progress = Progress {
             next_index: self.last_index() + 1,
             last_heard: self.now,
             ..Default::default()
         };
         for id in self.other_voters() {
-            self.progress.entry(id).or_insert_with(|| fresh.clone());
+            self.progress
+                .entry(id)
+                .or_insert_with(|| initial_progress.clone());
         }
     }
 
-    /// Reads the membership off the log after entries were dropped.
+    /// Reloads the membership from the log after entries were removed.
     pub(super) fn reload_membership(&mut self) {
         (self.membership, self.membership_index) = self.log.membership_at(u64::MAX);
     }
--- a/crates/raft/src/node/read_index.rs
+++ b/crates/raft/src/node/read_index.rs
@@ -1,10 +1,10 @@
-//! Reads by a round of heartbeats, and the lease (dissertation, 6.4).
+//! Read confirmation by heartbeat rounds, and the leader's lease (dissertation, 6.4).
 
 use super::RaftNode;
 use crate::ready::ReadState;
 use std::collections::VecDeque;
 
-/// A read that waits for a round of heartbeats.
+/// A read that waits until a majority has answered a heartbeat round.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingRead {
     token: u64,
@@ -17,7 +17,7 @@
     sent_at: u64,
 }
 
-/// The rounds of heartbeats. Numbers go up over all terms of this process.
+/// The leader's heartbeat rounds. Round numbers increase across all terms of this process.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Rounds {
     latest: u64,
@@ -42,8 +42,9 @@
         });
     }
 
-    /// A majority has answered all rounds up to one: when the newest of them was sent.
-    fn answered(&mut self, number: u64) -> Option<u64> {
+    /// Removes all rounds up to `number`, which a majority has answered, and returns the time
+    /// at which the newest of them was sent.
+    fn take_answered(&mut self, number: u64) -> Option<u64> {
         let mut sent_at = None;
         while self.unanswered.front().is_some_and(|r| r.number <= number) {
             sent_at = self.unanswered.pop_front().map(|r| r.sent_at);
@@ -53,8 +54,8 @@
 }
 
 impl RaftNode {
-    /// Asks for leave to answer a read out of the applied state. The answer comes with the
-    /// token in `Ready::read_states`.
+    /// Requests confirmation that a read may be answered from the applied state. The result
+    /// appears with the token in `Ready::read_states`.
     pub fn request_read(&mut self, token: u64) {
         if !self.is_leader() {
             self.decide_read(token, false);
@@ -66,31 +67,32 @@
             round: self.rounds.latest(),
         });
         self.send_heartbeats(true);
-        self.settle_rounds();
+        self.process_answered_rounds();
     }
 
     pub(super) fn begin_round(&mut self) {
         self.rounds.begin(self.now);
     }
 
-    /// Extends the lease and confirms reads by the rounds that a majority has answered.
-    pub(super) fn settle_rounds(&mut self) {
-        let answered = self.majority_value(|v| {
+    /// Extends the lease and confirms reads according to the rounds that a majority has
+    /// answered.
+    pub(super) fn process_answered_rounds(&mut self) {
+        let answered_round = self.majority_value(|v| {
             if v.id == self.id {
                 self.rounds.latest()
             } else {
                 self.progress.get(&v.id).map_or(0, |p| p.round)
             }
         });
-        let Some(answered) = answered else {
+        let Some(answered_round) = answered_round else {
             return;
         };
-        if let Some(sent_at) = self.rounds.answered(answered) {
+        if let Some(sent_at) = self.rounds.take_answered(answered_round) {
             self.lease_until = self.lease_until.max(sent_at + self.config.lease_ms);
         }
         if self.is_established_leader() {
             let reads = std::mem::take(&mut self.pending_reads);
-            let (confirmed, pending) = reads.into_iter().partition(|r| r.round <= answered);
+            let (confirmed, pending) = reads.into_iter().partition(|r| r.round <= answered_round);
             self.pending_reads = pending;
             let confirmed: Vec<PendingRead> = confirmed;
             for read in confirmed {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// This node leads no longer.
+    /// Rejects all pending reads because this node is no longer the leader.
     pub(super) fn fail_pending_reads(&mut self) {
         for read in std::mem::take(&mut self.pending_reads) {
             self.decide_read(read.token, false);
--- a/crates/raft/src/node/replication.rs
+++ b/crates/raft/src/node/replication.rs
@@ -1,31 +1,31 @@
-//! Replication: entries from the leader to the others, and commitment (dissertation, 3.5
-//! and 3.6).
+//! Replication of entries from the leader to the other nodes, and commitment (dissertation,
+//! 3.5 and 3.6).
 
 use super::{RaftNode, Role};
 use crate::log::LogPosition;
 use crate::message::{Entry, EntryType, Message, MessageType};
 
-/// Whether a node that lacks no entry is sent a message all the same.
+/// Whether to send a message to a node that lacks no entry.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum SendMode {
-    /// Only if there are entries that it was not sent yet.
+    /// Sends a message only if there are entries that the node has not been sent yet.
     NewEntries,
-    /// Always: the commit index, or the heartbeat, counts.
+    /// Always sends a message, to convey the commit index or a heartbeat.
     Always,
 }
 
 impl RaftNode {
-    /// Appends a command to the log; its place there, or `None` if this node does not lead
-    /// or is passing leadership on.
+    /// Appends a command to the log and returns its position, or `None` if this node does not
+    /// lead or is transferring leadership.
     pub fn propose(&mut self, command: Vec<u8>) -> Option<LogPosition> {
         if !self.is_leader() || self.transfer.is_some() {
             return None;
         }
-        Some(self.append_own(EntryType::Command, command))
+        Some(self.append_in_current_term(EntryType::Command, command))
     }
 
-    /// Appends an entry of the current term, and sends it.
-    pub(super) fn append_own(&mut self, entry_type: EntryType, data: Vec<u8>) -> LogPosition {
+    /// Appends an entry of the current term and sends it to the other nodes.
+    pub(super) fn append_in_current_term(&mut self, entry_type: EntryType, data: Vec<u8>) -> LogPosition {
         let position = LogPosition {
             index: self.last_index() + 1,
             term: self.term(),
@@ -40,16 +40,17 @@
         position
     }
 
-    /// Appends an entry to the log and to the next write.
+    /// Appends an entry to the log and to the pending write.
     pub(super) fn append(&mut self, entry: Entry) {
         if entry.entry_type == EntryType::Membership as i32 {
-            self.adopt_membership_of(&entry);
+            self.adopt_membership_from(&entry);
         }
         self.ready.write.entries.push(entry.clone());
         self.log.append(entry);
     }
 
-    /// Drops the entries from an index on: another leader's are in force there.
+    /// Removes all entries from `index` on, because they conflict with another leader's
+    /// entries.
     fn truncate_from(&mut self, index: u64) {
         self.log.truncate_from(index);
         let write = &mut self.ready.write;
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Heartbeats to the voters, and to the learners if wanted.
+    /// Sends heartbeats to the voters, and to the learners if `to_learners` is set.
     pub(super) fn send_heartbeats(&mut self, to_learners: bool) {
         self.next_heartbeat_at = self.now + self.config.heartbeat_ms;
         if to_learners {
@@ -82,7 +83,8 @@
         }
     }
 
-    /// Sends a node the entries that it lacks, or the snapshot.
+    /// Sends a node the entries that it lacks, or a snapshot if the log no longer contains
+    /// them.
     pub(super) fn send_entries(&mut self, to: u64, mode: SendMode) {
         let (now, resend_ms) = (self.now, self.config.resend_ms);
         let Some(progress) = self.progress.get_mut(&to) else {
@@ -132,7 +134,7 @@
         self.send(to, message);
     }
 
-    /// An AppendEntries without entries that follows the entry at an index.
+    /// Creates an AppendEntries message without entries that follows the entry at `index`.
     fn append_message(&self, index: u64) -> Message {
         Message {
             index,
@@ -146,7 +148,7 @@
     pub(super) fn handle_append_entries(&mut self, from: u64, request: Message) {
         let mut reply = Message {
             round: request.round,
-            applied: self.applied_by_all(),
+            applied: self.min_applied_index(),
             ..self.message(MessageType::AppendEntriesResponse)
         };
         self.announced_commit = self.announced_commit.max(request.commit);
@@ -203,15 +205,15 @@
         }
         let lags = progress.next_index <= last;
         self.advance_commit();
-        self.settle_rounds();
+        self.process_answered_rounds();
         if lags {
             self.send_entries(from, SendMode::NewEntries);
         }
         self.continue_transfer(from);
     }
 
-    /// Commits what a majority has on disk. Entries of earlier terms are committed only with
-    /// one of the current term (dissertation, 3.6.2).
+    /// Commits the entries that a majority has on disk. Entries of earlier terms are committed
+    /// only together with one of the current term (dissertation, 3.6.2).
     pub(super) fn advance_commit(&mut self) {
         if self.role != Role::Leader {
             return;
@@ -223,7 +225,7 @@
             return;
         }
         self.commit_index = index;
-        // A leader that has removed itself steps down once that is committed.
+        // A leader that has removed itself steps down once the removal is committed.
         if !self.membership.contains(self.id) && !self.is_membership_pending() {
             self.step_down();
             return;
--- a/crates/raft/src/node/shutdown.rs
+++ b/crates/raft/src/node/shutdown.rs
@@ -1,12 +1,14 @@
-//! Ending in order: a voter stays until the others go on with all that it holds.
+//! Graceful shutdown: a voter stays until the other voters can continue with everything that
+//! it has stored.
 
 use super::RaftNode;
 use crate::durability::can_shut_down;
 use crate::message::{Message, MessageType};
 
 impl RaftNode {
-    /// This node is about to end: it passes leadership on, or tells the leader so. To be
-    /// repeated until [`RaftNode::is_shutdown_safe`], or until there is no more time.
+    /// Announces that this node is about to shut down: a leader transfers leadership, any
+    /// other node notifies the leader. The call is to be repeated until
+    /// [`RaftNode::is_shutdown_safe`] or until the time for the shutdown has run out.
     pub fn announce_shutdown(&mut self, now: u64) {
         self.now = now;
         self.shutting_down = true;
@@ -22,8 +24,9 @@
         }
     }
 
-    /// Whether nothing would be lost, for good or for now, if this node ended: it does not
-    /// vote, or the leader has said that the others go on with all that it holds.
+    /// Returns whether this node can stop without loss of data or availability: it is not a
+    /// voter, or the leader has confirmed that the other voters can continue with everything
+    /// that it has stored.
     pub fn is_shutdown_safe(&self) -> bool {
         !self.membership.contains(self.id) || self.shutdown_granted && !self.is_leader()
     }
@@ -36,10 +39,10 @@
             progress.last_heard = self.now;
             progress.shutdown_announced_at = Some(self.now);
         }
-        let all_committed = request.index <= self.commit_index;
+        let log_is_committed = request.index <= self.commit_index;
         let contact_ms = self.config.election_timeout_ms;
         let reply = Message {
-            granted: all_committed && can_shut_down(self, from, self.now, contact_ms),
+            granted: log_is_committed && can_shut_down(self, from, self.now, contact_ms),
             ..self.message(MessageType::ShutdownResponse)
         };
         self.send(from, reply);
--- a/crates/raft/src/node/snapshot.rs
+++ b/crates/raft/src/node/snapshot.rs
@@ -1,12 +1,12 @@
-//! Snapshots: compaction of the log, and installing the leader's (dissertation, 5).
+//! Snapshots: log compaction, and installation of the leader's snapshot (dissertation, 5).
 
 use super::RaftNode;
 use crate::log::LogPosition;
 use crate::message::{Message, MessageType, Snapshot};
 
 impl RaftNode {
-    /// Folds the log up to the applied index into a snapshot with this data. Entries that are
-    /// not on disk yet stay.
+    /// Replaces the log up to the applied index by a snapshot with this data. Does nothing if
+    /// entries up to that index are not on disk yet.
     pub fn compact(&mut self, data: Vec<u8>) {
         let index = self.applied_index;
         let Some(term) = self.log.term_at(index) else {
@@ -31,7 +31,7 @@
         };
         if snapshot.index <= self.commit_index {
             reply.index = self.commit_index;
-            reply.applied = self.applied_by_all();
+            reply.applied = self.min_applied_index();
         } else if (self.is_snapshot_readable)(snapshot.index, &snapshot.data) {
             reply.index = snapshot.index;
             self.install(snapshot);
@@ -44,8 +44,8 @@
 
     fn install(&mut self, snapshot: Snapshot) {
         let index = snapshot.index;
-        let kept_entries = self.log.install(snapshot.clone());
-        if !kept_entries {
+        let entries_were_kept = self.log.install(snapshot.clone());
+        if !entries_were_kept {
             self.ready.write.entries.clear();
             self.ready.write.truncate_from = Some(0);
             self.persisted_index = index;
--- a/crates/raft/src/node/step.rs
+++ b/crates/raft/src/node/step.rs
@@ -1,11 +1,11 @@
-//! Messages of other nodes, given to the part of the protocol that they belong to.
+//! Dispatches messages from other nodes to the parts of the protocol that handle them.
 
 use super::{RaftNode, Role};
 use crate::message::{Message, MessageType};
 
 impl RaftNode {
-    /// Takes a message of node `from` in, at `now` ms. One that is meant for another identity
-    /// or of an unknown type is dropped.
+    /// Handles a message from node `from` at `now`, in milliseconds. A message of an unknown
+    /// type or for another identity is dropped.
     pub fn step(&mut self, now: u64, from: u64, message: Message) {
         self.now = now;
         let Ok(message_type) = MessageType::try_from(message.message_type) else {
@@ -25,9 +25,9 @@
         }
     }
 
-    /// Messages whose term counts: a higher one than this node's ends its role.
+    /// Handles messages whose term is relevant: a term higher than this node's ends its role.
     fn step_in_term(&mut self, from: u64, message_type: MessageType, message: Message) {
-        let of_leader = matches!(
+        let is_from_leader = matches!(
             message_type,
             MessageType::AppendEntries | MessageType::InstallSnapshot
         );
@@ -37,7 +37,7 @@
         }
         let leader = if is_relayed { message.leader } else { from };
         if message.term > self.term() {
-            self.become_follower(message.term, if of_leader { leader } else { 0 });
+            self.become_follower(message.term, if is_from_leader { leader } else { 0 });
         }
         let in_term = message.term == self.term();
         match message_type {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// A sender that still leads an earlier term learns of the current one.
+    /// Notifies a sender that still leads an earlier term of the current term.
     fn reject_stale_leader(&mut self, from: u64) {
         let reply = Message {
             index: self.commit_index,
@@ -76,7 +76,7 @@
         self.send(from, reply);
     }
 
-    /// The current leader was heard.
+    /// Records contact with the current leader.
     fn follow_leader(&mut self, term: u64, leader: u64) {
         if self.role != Role::Follower || self.leader_id != leader {
             self.become_follower(term, leader);
@@ -86,7 +86,7 @@
     }
 
     fn handle_fragment(&mut self, from: u64, fragment: Message) {
-        self.note_upstream_sends(from);
+        self.note_upstream_activity(from);
         let received = self.fragmenter.receive(self.now, from, fragment);
         if let Some(ack) = received.ack {
             self.send(from, ack);
--- a/crates/raft/src/ready.rs
+++ b/crates/raft/src/ready.rs
@@ -1,31 +1,31 @@
-//! What a node wants done, for its driver to carry out.
+//! Work that a node hands to its driver.
 
 use crate::message::{Entry, Message, Snapshot};
 use crate::storage::StorageWrite;
 
-/// The outcome of a read that asked for confirmation (see `RaftNode::request_read`).
+/// Result of a read confirmation requested with `RaftNode::request_read`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadState {
-    /// The token that the read was asked for with.
+    /// Token passed to the request.
     pub token: u64,
-    /// A majority has confirmed that this node still leads: the read may be answered from the
-    /// applied state. Otherwise the node does not lead (any more).
+    /// Whether a majority has confirmed that this node still leads, so that the read may be
+    /// answered from the applied state. `false` if the node does not lead or no longer leads.
     pub confirmed: bool,
 }
 
-/// Work for the driver; the crate's page gives the order.
+/// Work for the driver. The crate documentation gives the order in which to carry it out.
 #[derive(Clone, Debug, Default)]
 pub struct Ready {
-    /// What must reach the disk.
+    /// Data to write to disk.
     pub write: StorageWrite,
-    /// Messages to send at once; each names its receiver.
+    /// Messages to send immediately. Each names its receiver.
     pub messages: Vec<Message>,
-    /// Messages to send once the write, and all writes before it, are on disk.
+    /// Messages to send once this write and all earlier ones are on disk.
     pub persisted_messages: Vec<Message>,
     /// A snapshot that replaces the applied state.
     pub snapshot: Option<Snapshot>,
-    /// Entries that have been committed since the last call, in order.
+    /// Entries committed since the last call, in log order.
     pub committed_entries: Vec<Entry>,
-    /// Reads that have been decided since the last call.
+    /// Reads confirmed or rejected since the last call.
     pub read_states: Vec<ReadState>,
 }
--- a/crates/raft/src/storage.rs
+++ b/crates/raft/src/storage.rs
@@ -1,4 +1,4 @@
-//! What a node keeps on its disk.
+//! The state that a node keeps on disk.
 
 use crate::message::{Entry, Snapshot};
 
@@ -7,23 +7,23 @@
 pub struct HardState {
     /// The latest term that the node has seen.
     pub term: u64,
-    /// The node voted for in that term; 0 for none.
+    /// Identity of the node voted for in that term; 0 for none.
     pub vote: u64,
 }
 
-/// What a disk gave back at the start.
+/// The state read from disk at startup.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistentState {
-    /// Term and vote.
+    /// Current term and vote.
     pub hard_state: HardState,
-    /// The newest snapshot; at index 0 if there is none.
+    /// The newest snapshot; its index is 0 if there is none.
     pub snapshot: Snapshot,
-    /// The entries after the snapshot, in order.
+    /// The entries after the snapshot, in log order.
     pub entries: Vec<Entry>,
 }
 
 impl PersistentState {
-    /// What a disk gives back once a write is on it.
+    /// Applies a completed write, giving the state that a restart would read.
     pub fn apply(&mut self, write: StorageWrite) {
         if let Some(hard_state) = write.hard_state {
             self.hard_state = hard_state;
@@ -39,21 +39,21 @@
     }
 }
 
-/// What has to reach the disk as one write, in the order of the fields.
+/// Changes to store on disk as a single write, in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StorageWrite {
     /// Term and vote, if they have changed.
     pub hard_state: Option<HardState>,
-    /// A snapshot that replaces the one before it and the entries up to its index.
+    /// A snapshot that replaces the previous one and the entries up to its index.
     pub snapshot: Option<Snapshot>,
-    /// Stored entries from this index on are void.
+    /// Index from which stored entries are discarded.
     pub truncate_from: Option<u64>,
     /// Entries to append.
     pub entries: Vec<Entry>,
 }
 
 impl StorageWrite {
-    /// Whether there is nothing to write.
+    /// Returns whether there is nothing to write.
     pub fn is_empty(&self) -> bool {
         *self == StorageWrite::default()
     }
--- a/crates/raft/src/upstream_selection.rs
+++ b/crates/raft/src/upstream_selection.rs
@@ -1,48 +1,49 @@
-//! Which voter a learner takes the log from: one of its zone, or else of its region, or else
-//! any; another one when that falls silent.
+//! Selects the voter that relays the log to a learner: one in the learner's zone, else in its
+//! region, else any. Another voter is selected when the current one becomes unresponsive.
 
 use std::collections::BTreeMap;
 
-/// The voter that a learner takes the log from.
+/// The voter that relays the log to a learner.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Upstream {
-    /// Its identity; 0 for none: the leader itself.
+    /// Identity of the voter. 0 for none: the leader itself replicates to the learner.
     pub id: u64,
-    /// When it was last heard, or first asked, ms.
+    /// Time at which the upstream was last heard from, or was subscribed to, in milliseconds.
     pub last_heard: u64,
-    /// It has sent something since it was asked.
+    /// Whether the upstream has sent something since it was subscribed to.
     pub answered: bool,
 }
 
-/// A voter, or a node with a disk, that could be the upstream.
+/// A voter, or another node with a disk, that could be the upstream.
 #[derive(Clone, Debug)]
 pub struct UpstreamCandidate {
-    /// Its identity.
+    /// Identity of the node.
     pub id: u64,
-    /// It is in the learner's zone.
+    /// Whether the node is in the learner's zone.
     pub same_zone: bool,
-    /// It is in the learner's region.
+    /// Whether the node is in the learner's region.
     pub same_region: bool,
 }
 
-/// How long silence is borne.
+/// Timeouts for replacing an unresponsive upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamTimeouts {
-    /// An upstream that is silent for longer is left, ms.
+    /// Time after which an unresponsive upstream is replaced, in milliseconds.
     pub silence_ms: u64,
-    /// One that was left is not asked again for this long, ms.
+    /// Time for which a replaced upstream is avoided, in milliseconds.
     pub avoid_ms: u64,
 }
 
-/// Chooses upstreams, and remembers which ones fell silent.
+/// Selects upstreams and remembers which ones became unresponsive.
 #[derive(Debug, Default)]
 pub struct UpstreamSelector {
-    /// Until when those that fell silent are avoided, ms.
+    /// Time until which each unresponsive upstream is avoided, in milliseconds.
     avoided_until: BTreeMap<u64, u64>,
 }
 
 impl UpstreamSelector {
-    /// The upstream of learner `own_id` from `now` (ms) on, if it is another than now.
+    /// Returns the upstream that learner `own_id` should switch or resubscribe to at `now` (in
+    /// milliseconds), or `None` to keep the current one.
     pub fn select(
         &mut self,
         now: u64,
@@ -52,22 +53,24 @@
         timeouts: UpstreamTimeouts,
     ) -> Option<u64> {
         self.avoided_until.retain(|_, until| now < *until);
-        let is_silent = current.id != 0 && now.saturating_sub(current.last_heard) >= timeouts.silence_ms;
-        if is_silent {
+        let is_unresponsive =
+            current.id != 0 && now.saturating_sub(current.last_heard) >= timeouts.silence_ms;
+        if is_unresponsive {
             self.avoided_until.insert(current.id, now + timeouts.avoid_ms);
         }
         let rank = |candidate: &&UpstreamCandidate| {
             let avoided = self.avoided_until.get(&candidate.id).copied().unwrap_or(0);
-            let spread = mix(candidate.id, own_id);
-            (avoided, !candidate.same_zone, !candidate.same_region, spread)
+            let hash = spread_hash(candidate.id, own_id);
+            (avoided, !candidate.same_zone, !candidate.same_region, hash)
         };
         let best = candidates.iter().min_by_key(rank)?.id;
-        (best != current.id || is_silent).then_some(best)
+        (best != current.id || is_unresponsive).then_some(best)
     }
 }
 
-/// Spreads the learners evenly over equal candidates.
-fn mix(candidate: u64, learner: u64) -> u64 {
+/// Hashes a candidate and a learner, so that learners are spread evenly over equally near
+/// candidates.
+fn spread_hash(candidate: u64, learner: u64) -> u64 {
     (candidate ^ learner)
         .wrapping_mul(0x9e37_79b9_7f4a_7c15)
         .rotate_left(29)
