--- a/crates/raft/src/durability.rs
+++ b/crates/raft/src/durability.rs
@@ -26,7 +26,7 @@
         return false;
     }
     let voters: Vec<&Voter> = node.membership().voters.iter().collect();
-    let holders = voters.iter().filter(|v| node.persisted_by(v.id) >= index);
+    let holders = voters.iter().filter(|v| node.persisted_index_of(v.id) >= index);
     let is_unresponsive = |v: &&Voter| !is_in_contact(node, v.id, now, contact_ms);
     let voters_and_vacancies = voters.iter().copied().chain(open_vacancies(node.membership()));
     let lost: Vec<&Voter> = voters_and_vacancies.filter(is_unresponsive).collect();
@@ -44,7 +44,7 @@
     let others: Vec<u64> = voters
         .filter(|v| *v != id && is_in_contact(node, *v, now, contact_ms))
         .collect();
-    let lags = |v: &&u64| node.persisted_by(**v) < node.commit_index();
+    let lags = |v: &&u64| node.persisted_index_of(**v) < node.commit_index();
     let lagging = others.iter().filter(lags).count();
     node.is_established_leader() && others.len() >= majority && lagging < majority
 }
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -41,8 +41,9 @@
     Leader,
 }
 
-/// The protocol state machine of one node. It can be cloned so that tests can explore
-/// alternative continuations of a state.
+/// The protocol state machine of one node. All points in time are milliseconds on the node's
+/// own monotonic clock. It can be cloned so that tests can explore alternative continuations
+/// of a state.
 #[derive(Clone)]
 pub struct RaftNode {
     id: u64,
--- a/crates/raft/src/node/introspection.rs
+++ b/crates/raft/src/node/introspection.rs
@@ -141,7 +141,7 @@
 
     /// Returns the index of the last entry known to be on a voter's disk, as the leader knows
     /// it.
-    pub fn persisted_by(&self, id: u64) -> u64 {
+    pub fn persisted_index_of(&self, id: u64) -> u64 {
         match self.progress.get(&id) {
             _ if id == self.id => self.persisted_index,
             progress => progress.map_or(0, |p| p.matched),
--- a/crates/raft/src/node/replication.rs
+++ b/crates/raft/src/node/replication.rs
@@ -218,7 +218,7 @@
         if self.role != Role::Leader {
             return;
         }
-        let Some(index) = self.majority_value(|v| self.persisted_by(v.id)) else {
+        let Some(index) = self.majority_value(|v| self.persisted_index_of(v.id)) else {
             return;
         };
         if index <= self.commit_index || self.log.term_at(index) != Some(self.term()) {
