--- a/crates/control-state/src/apply.rs
+++ b/crates/control-state/src/apply.rs
@@ -1,4 +1,4 @@
-//! Applying the changes that the log orders.
+//! Applies committed log entries to the control state.
 
 use crate::command_history::CommandStatus;
 use crate::error::InvalidChange;
@@ -9,27 +9,27 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// What applying a change came to.
+/// The result of applying a change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// It is in force.
+    /// The change has taken effect.
     Applied,
-    /// The very same is in force already.
+    /// The same change had already taken effect.
     AlreadyApplied,
-    /// Another version, the one named, is in force.
+    /// The change conflicts with the version in force, which is given here.
     Conflict(u64),
-    /// It is invalid by itself.
+    /// The change itself is invalid.
     Invalid(InvalidChange),
-    /// A change of a rollout does not take place.
+    /// A change of a rollout was rejected.
     RolloutRejected(Refusal),
-    /// The command may have been judged, longer ago than the history remembers: it is not
-    /// carried out, and nothing is promised.
+    /// The command may already have been decided, longer ago than the history goes back. It is
+    /// not executed, and the caller learns neither acceptance nor rejection.
     Undecidable,
 }
 
 impl ControlState {
-    /// Applies the change at `index`. Changes at or below the index that the copy stands at
-    /// have been applied already and do nothing.
+    /// Applies the change at the log index `index`. A change at or below the last applied index
+    /// has no effect.
     pub fn apply(&mut self, index: u64, data: &[u8]) -> Outcome {
         if index <= self.index {
             return Outcome::AlreadyApplied;
@@ -41,25 +41,26 @@
         let Some(kind) = change.kind else {
             return self.apply_tagged(index, change.tag, |_| Outcome::Applied);
         };
-        self.apply_tagged(index, change.tag, |state| state.carry_out(index, kind))
+        self.apply_tagged(index, change.tag, |state| state.apply_kind(index, kind))
     }
 
-    /// Carries out a change, unless its tag says that the command was judged before.
+    /// Executes a change, unless the command history shows that the command with this tag has
+    /// already been decided.
     fn apply_tagged(
         &mut self,
         index: u64,
         tag: Option<protocol::CommandTag>,
-        carry_out: impl FnOnce(&mut ControlState) -> Outcome,
+        execute: impl FnOnce(&mut ControlState) -> Outcome,
     ) -> Outcome {
         let Some(tag) = tag else {
-            return carry_out(self);
+            return execute(self);
         };
         match self.command_history.tagged(&tag) {
             (CommandStatus::Accepted, _) => Outcome::AlreadyApplied,
             (CommandStatus::Rejected, at) => Outcome::RolloutRejected(Refusal::Conflict(at)),
             (CommandStatus::Forgotten, _) => Outcome::Undecidable,
             (CommandStatus::New, _) => {
-                let outcome = carry_out(self);
+                let outcome = execute(self);
                 let accepted = matches!(outcome, Outcome::Applied | Outcome::AlreadyApplied);
                 Arc::make_mut(&mut self.command_history).add_tagged(index, tag, accepted);
                 outcome
@@ -67,7 +68,7 @@
         }
     }
 
-    fn carry_out(&mut self, index: u64, kind: ChangeKind) -> Outcome {
+    fn apply_kind(&mut self, index: u64, kind: ChangeKind) -> Outcome {
         match kind {
             ChangeKind::Replace(command) => return self.replace(command),
             ChangeKind::ReplaceDelta(delta) => return self.replace_by_delta(delta),
@@ -89,7 +90,7 @@
         Outcome::Applied
     }
 
-    /// Begins an evacuation of a zone, or ends one.
+    /// Begins or ends one evacuation of a zone.
     fn evacuate(&mut self, index: u64, change: EvacuationChange) -> Outcome {
         if change.begin {
             *self.evacuated.entry(change.zone).or_default() += 1;
@@ -127,10 +128,10 @@
         self.update_warmup_groups(change.warmup_groups);
     }
 
-    /// Adds new groups, and drops those that no worker names any more.
+    /// Adds new warm-up groups and removes those that no worker refers to any more.
     fn update_warmup_groups(&mut self, new: Vec<WarmupGroup>) {
-        let named: BTreeSet<u32> = self.workers.values().map(|w| w.warmup_group).collect();
-        if new.is_empty() && self.warmup_groups.keys().all(|n| named.contains(n)) {
+        let referenced: BTreeSet<u32> = self.workers.values().map(|w| w.warmup_group).collect();
+        if new.is_empty() && self.warmup_groups.keys().all(|n| referenced.contains(n)) {
             return;
         }
         let groups = Arc::make_mut(&mut self.warmup_groups);
@@ -138,7 +139,7 @@
             let nodes = Arc::new(group.nodes.into_iter().collect());
             groups.entry(group.number).or_insert(nodes);
         }
-        groups.retain(|n, _| named.contains(n));
+        groups.retain(|n, _| referenced.contains(n));
     }
 
     fn update_retry_allowances(&mut self, change: RetryAllowanceChange) {
--- a/crates/control-state/src/command_history.rs
+++ b/crates/control-state/src/command_history.rs
@@ -1,13 +1,14 @@
-//! The commands that were judged (a deduplication table): what the control state remembers of
-//! them, so that a command sent again is known by any leader after any loss. It is part of the
-//! replicated state and of its snapshots; nothing here rests on time or on one process.
+//! The history of decided commands (a deduplication table). It lets any leader recognize a
+//! command that is sent again, whichever nodes have failed in between. It is part of the
+//! replicated state and of its snapshots and depends neither on time nor on any one process.
 //!
-//! A configuration command is known by its base version and its digest. Bases only go up, so
-//! of all commands on a base below the current version at most one was accepted: the history
-//! names it. Other commands name no base; they carry a [`CommandTag`]. What the history has
-//! forgotten it does not judge: such a command gets no clear answer.
-//! (D. Ongaro, "Consensus: Bridging Theory and Practice", 6.3, with sessions replaced by what
-//! the operator's protocol offers.)
+//! A configuration command is identified by its base version and its digest. Base versions only
+//! increase, so at most one of the commands on a base below the current version was accepted,
+//! and the history holds it. Other commands have no base version and carry a [`CommandTag`].
+//! The history does not decide about commands that may have been dropped from it: they get an
+//! indefinite answer.
+//! (D. Ongaro, "Consensus: Bridging Theory and Practice", 6.3, with sessions replaced by the
+//! identification that the operator's protocol offers.)
 
 use config::constants as c;
 use prost::Message as _;
@@ -19,54 +20,55 @@
 use std::cmp::Ordering;
 use std::collections::VecDeque;
 
-/// Bytes of a digest that are kept: no two commands of an operator collide in so many.
+/// Bytes kept of a digest; a collision between two commands of an operator is negligible.
 const DIGEST_BYTES: usize = 16;
 
-/// What the history says of a command.
+/// The status of a command according to the history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandStatus {
-    /// It has not been judged: it is to be judged now.
+    /// The command has not been decided yet.
     New,
-    /// It was accepted.
+    /// The command was accepted.
     Accepted,
-    /// It was rejected, or another one has its place.
+    /// The command was rejected, or another command on its base was accepted.
     Rejected,
-    /// It may have been judged, longer ago than is remembered.
+    /// The command may have been decided longer ago than the history goes back.
     Forgotten,
 }
 
 /// The digests of a command without a base version, for its [`CommandTag`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CommandDigests {
-    /// Of what the command is about: a zone, a service.
+    /// Digest of the command's subject, such as a zone or a service.
     pub subject: u64,
-    /// Of the command as it was sent.
+    /// Digest of the command as it was sent.
     pub command: u64,
 }
 
-/// How much the history remembers.
+/// The number of commands in the history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HistorySizes {
-    /// Configuration commands that were accepted.
+    /// Accepted configuration commands.
     pub accepted: usize,
-    /// Configuration commands that were rejected ahead of their base.
+    /// Configuration commands that were rejected because their base was above the current version.
     pub rejected_ahead: usize,
-    /// Other commands.
+    /// Commands with a tag.
     pub tagged: usize,
 }
 
-/// The commands that were judged, oldest first.
+/// The decided commands, oldest first.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CommandHistory {
     accepted: VecDeque<ConfigurationKey>,
-    /// Rejected ones on a base that no configuration has had yet.
+    /// Rejected configuration commands on a base that no configuration has reached yet.
     rejected_ahead: VecDeque<ConfigurationKey>,
     tagged: VecDeque<JudgedCommand>,
     forgotten_base: Option<u64>,
     forgotten_index: u64,
 }
 
-/// The digest of several parts; no two lists of parts have the same.
+/// Returns the digest of a list of parts. Each part is hashed with its length, so that different
+/// lists with the same concatenation have different digests.
 fn digest(parts: &[&[u8]]) -> [u8; 32] {
     let mut hash = Sha256::new();
     for part in parts {
@@ -76,20 +78,20 @@
     hash.finalize().into()
 }
 
-/// A digest in eight bytes, for a [`CommandTag`].
+/// Returns the first eight bytes of a digest, for a [`CommandTag`].
 fn short_digest(parts: &[&[u8]]) -> u64 {
     let bytes = digest(parts);
     u64::from_le_bytes(std::array::from_fn(|i| bytes[i]))
 }
 
-/// The digest of a configuration's body.
+/// Returns the digest of a configuration's body.
 pub fn body_digest(body: &[u8]) -> Vec<u8> {
     digest(&[b"body", body])[..DIGEST_BYTES].to_vec()
 }
 
-/// What a configuration command is known by.
+/// Returns the key that identifies a configuration command.
 pub fn configuration_key(command: &ConfigurationCommand) -> ConfigurationKey {
-    // Of a `modify` the log holds the modification, whatever it came to.
+    // The log holds the modification of a `modify`, not the body that results from it.
     let parts: [&[u8]; 2] = if command.modification.is_empty() {
         [b"replace", &command.body]
     } else {
@@ -101,7 +103,7 @@
     }
 }
 
-/// The digests of a command; `None` for reads and for commands that name a base version.
+/// Returns the digests of a command, or `None` for reads and for commands with a base version.
 pub fn command_digests(command: &Command) -> Option<CommandDigests> {
     let subject: [&[u8]; 2] = match command {
         Command::Evacuate(change) => [b"zone", change.zone.as_bytes()],
@@ -120,10 +122,16 @@
     })
 }
 
-/// Commands that name a base version.
+/// Commands with a base version.
 impl CommandHistory {
-    /// The history of a store older than it: the one command that is in force.
-    pub(crate) fn of_one(base: u64, body: &[u8], modification: &[u8], version: u64) -> CommandHistory {
+    /// Builds the history for an image that was written before command histories existed: it
+    /// holds only the command that set the configuration in force.
+    pub(crate) fn with_single_command(
+        base: u64,
+        body: &[u8],
+        modification: &[u8],
+        version: u64,
+    ) -> CommandHistory {
         let mut history = CommandHistory::default();
         if version > 0 {
             let command = ConfigurationCommand {
@@ -137,7 +145,7 @@
         history
     }
 
-    /// What is known of a configuration command while `version` is current.
+    /// Returns the status of a configuration command while `version` is current.
     pub fn configuration(&self, key: &ConfigurationKey, version: u64) -> CommandStatus {
         if let Some(at_base) = self.accepted.iter().rev().find(|a| a.base == key.base) {
             return if at_base.digest == key.digest {
@@ -150,7 +158,7 @@
             return CommandStatus::Rejected;
         }
         let is_forgotten = self.forgotten_base.is_some_and(|f| key.base <= f);
-        // To be rejected for good it must be remembered until its base is passed.
+        // A permanent rejection must be remembered until the current version passes its base.
         let has_room = self.rejected_ahead.len() < c::REJECTED_AHEAD_REMEMBERED;
         match key.base.cmp(&version) {
             Ordering::Equal => CommandStatus::New,
@@ -160,17 +168,17 @@
         }
     }
 
-    /// Notes a configuration command that was accepted and made `version` current.
+    /// Records a configuration command that was accepted and made `version` current.
     pub fn add_accepted(&mut self, key: ConfigurationKey, version: u64) {
         self.accepted.push_back(key);
         while self.accepted.len() > c::ACCEPTED_REMEMBERED {
             self.forgotten_base = self.accepted.pop_front().map(|a| a.base);
         }
-        // Below the current version the list of those accepted says it all.
+        // Below the current version the list of accepted commands decides alone.
         self.rejected_ahead.retain(|a| a.base >= version);
     }
 
-    /// Notes a configuration command that was rejected since its base is above `version`.
+    /// Records a configuration command that was rejected because its base is above `version`.
     pub(crate) fn add_rejected_ahead(&mut self, key: ConfigurationKey, version: u64) {
         let has_room = self.rejected_ahead.len() < c::REJECTED_AHEAD_REMEMBERED;
         if key.base > version && !self.rejected_ahead.contains(&key) && has_room {
@@ -181,26 +189,26 @@
 
 /// Commands with a tag.
 impl CommandHistory {
-    /// What is known of a command with a tag, and the index at which it was judged.
+    /// Returns the status of a command with a tag, and the index at which it was decided.
     pub fn tagged(&self, tag: &CommandTag) -> (CommandStatus, u64) {
-        // The leader says that a like command came a moment ago; whether it is still the one
-        // to go by where the entry stands, only the log can say.
+        // The leader saw an identical command shortly before this one. Only the log can decide
+        // whether this one still repeats it at the position of its entry.
         let repeats = (tag.repeats != 0).then(|| self.repeated_by(tag)).flatten();
-        let is_this = |judged: &&JudgedCommand| {
-            let same = |t: &CommandTag| (t.incarnation, t.number) == (tag.incarnation, tag.number);
-            judged.tag.as_ref().is_some_and(same) || repeats == Some(judged.index)
+        let is_same_or_repeated = |decided: &&JudgedCommand| {
+            let is_same_call = |t: &CommandTag| (t.incarnation, t.number) == (tag.incarnation, tag.number);
+            decided.tag.as_ref().is_some_and(is_same_call) || repeats == Some(decided.index)
         };
-        match self.tagged.iter().find(is_this) {
-            Some(judged) if judged.accepted => (CommandStatus::Accepted, judged.index),
-            Some(judged) => (CommandStatus::Rejected, judged.index),
-            // The log may hold it behind `as_of`; only if nothing from there on is forgotten
-            // it is certainly new.
+        match self.tagged.iter().find(is_same_or_repeated) {
+            Some(decided) if decided.accepted => (CommandStatus::Accepted, decided.index),
+            Some(decided) => (CommandStatus::Rejected, decided.index),
+            // The log may hold the command after `as_of`. It is certainly new only if the history
+            // has dropped no command after `as_of`.
             None if tag.as_of < self.forgotten_index => (CommandStatus::Forgotten, 0),
             None => (CommandStatus::New, 0),
         }
     }
 
-    /// Notes a command with a tag that was judged at `index`.
+    /// Records a command with a tag that was decided at `index`.
     pub fn add_tagged(&mut self, index: u64, tag: CommandTag, accepted: bool) {
         self.tagged.push_back(JudgedCommand {
             index,
@@ -213,39 +221,46 @@
         }
     }
 
-    /// The index of a command that this one may repeat: the newest on the subject, or for a
-    /// cautious one the newest that is the same, if it is the same and was accepted.
+    /// Returns the index of the command that this one may repeat: the newest command on the
+    /// subject, if it is identical and was accepted. For a cautious command, other commands on
+    /// the subject are skipped, and the newest identical one is taken if it was accepted.
     pub fn repeated_by(&self, tag: &CommandTag) -> Option<u64> {
-        let is_same = |judged: &JudgedCommand| judged.tag.as_ref().is_some_and(|t| t.digest == tag.digest);
-        let counts = |judged: &&JudgedCommand| {
-            let on_subject = judged.tag.as_ref().is_some_and(|t| t.subject == tag.subject);
-            on_subject && (is_same(judged) || !tag.cautious)
+        let is_identical =
+            |decided: &JudgedCommand| decided.tag.as_ref().is_some_and(|t| t.digest == tag.digest);
+        let is_candidate = |decided: &&JudgedCommand| {
+            let on_subject = decided.tag.as_ref().is_some_and(|t| t.subject == tag.subject);
+            on_subject && (is_identical(decided) || !tag.cautious)
         };
-        let newest = self.tagged.iter().rev().find(counts)?;
-        (newest.accepted && is_same(newest)).then_some(newest.index)
+        let newest = self.tagged.iter().rev().find(is_candidate)?;
+        (newest.accepted && is_identical(newest)).then_some(newest.index)
     }
 
-    /// The index of a like command that came a moment ago, as the leader sees it: the newest
-    /// pending in its log (index and tag), or else the newest remembered, if `is_recent` says
-    /// so of its index. Commands that came between are for the log to see.
+    /// Returns the index of an identical command that the leader has seen recently: the newest one
+    /// pending in its log (`pending`, by index and tag), or else the newest one in the history, if
+    /// it was accepted and `is_recent` holds for its index. Other commands in between are not
+    /// considered here, but where the entry is applied.
     pub fn recent_like<'a>(
         &self,
         tag: &CommandTag,
         pending: impl Iterator<Item = (u64, &'a CommandTag)>,
         is_recent: impl Fn(u64) -> bool,
     ) -> Option<u64> {
-        let is_like = |t: &CommandTag| (t.subject, t.digest) == (tag.subject, tag.digest);
-        let in_log = pending.filter(|(_, t)| is_like(t)).map(|(index, _)| index).max();
+        let is_identical = |t: &CommandTag| (t.subject, t.digest) == (tag.subject, tag.digest);
+        let in_log = pending
+            .filter(|(_, t)| is_identical(t))
+            .map(|(index, _)| index)
+            .max();
         in_log.or_else(|| {
-            let of = |judged: &&JudgedCommand| judged.tag.as_ref().is_some_and(is_like);
-            let newest = self.tagged.iter().rev().find(of)?;
+            let has_identical_tag = |decided: &&JudgedCommand| decided.tag.as_ref().is_some_and(is_identical);
+            let newest = self.tagged.iter().rev().find(has_identical_tag)?;
             (newest.accepted && is_recent(newest.index)).then_some(newest.index)
         })
     }
 
-    /// Whether another command on the subject stands behind all that the node of this one had seen
-    /// when its caller was last known to wait: the caller may have been answered elsewhere and
-    /// gone on, so that this one is older. `pending` are the commands in the leader's log.
+    /// Returns whether the log holds another command on the subject that is newer than everything
+    /// this command's node had applied when its caller was last known to be waiting. The caller may
+    /// then have been answered by another node and have sent that newer command, so that this one
+    /// is out of date. `pending` holds the commands in the leader's log.
     pub fn is_overtaken<'a>(
         &self,
         tag: &CommandTag,
@@ -256,21 +271,21 @@
             let is_other = (other.incarnation, other.number) != (tag.incarnation, tag.number);
             is_other && other.subject == tag.subject && index > seen
         };
-        let is_newer_judged = |judged: &JudgedCommand| {
-            let other = judged.tag.as_ref();
-            other.is_some_and(|other| is_newer(judged.index, other))
+        let is_newer_decided = |decided: &JudgedCommand| {
+            let other = decided.tag.as_ref();
+            other.is_some_and(|other| is_newer(decided.index, other))
         };
-        pending.any(|(index, other)| is_newer(index, other)) || self.tagged.iter().any(is_newer_judged)
+        pending.any(|(index, other)| is_newer(index, other)) || self.tagged.iter().any(is_newer_decided)
     }
 
-    /// The indexes of the commands with a tag that are remembered, ascending.
+    /// Returns the indexes of the commands with a tag in the history, ascending.
     pub fn tagged_indexes(&self) -> impl Iterator<Item = u64> + '_ {
-        self.tagged.iter().map(|judged| judged.index)
+        self.tagged.iter().map(|decided| decided.index)
     }
 }
 
 impl CommandHistory {
-    /// How much is remembered.
+    /// Returns the number of commands of each kind in the history.
     pub fn sizes(&self) -> HistorySizes {
         HistorySizes {
             accepted: self.accepted.len(),
@@ -279,7 +294,7 @@
         }
     }
 
-    /// The history as snapshots hold it.
+    /// Returns the history in the form that snapshots hold.
     pub fn image(&self) -> CommandHistoryImage {
         CommandHistoryImage {
             accepted: self.accepted.iter().cloned().collect(),
@@ -290,7 +305,7 @@
         }
     }
 
-    /// The history that a snapshot holds.
+    /// Builds the history from the form that snapshots hold.
     pub fn from_image(image: CommandHistoryImage) -> CommandHistory {
         CommandHistory {
             accepted: image.accepted.into(),
--- a/crates/control-state/src/configuration_commands.rs
+++ b/crates/control-state/src/configuration_commands.rs
@@ -1,5 +1,5 @@
-//! Commands that change the configuration: what becomes of one before it is logged, and what
-//! it comes to where it is applied.
+//! Commands that change the configuration: the leader's check before a command is logged, and
+//! its execution when the log entry is applied.
 
 use crate::apply::Outcome;
 use crate::command_history::{body_digest, configuration_key, CommandStatus};
@@ -10,29 +10,30 @@
 use protocol::{ChangeKind, ConfigurationCommand, ConfigurationDelta, ConfigurationKey};
 use std::sync::Arc;
 
-/// How far a copy of the state can be relied on for a command.
+/// Whether a copy of the state is known to be up to date for a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Confirmation {
-    /// It may be behind.
+    /// The copy may be out of date.
     Unconfirmed,
-    /// A majority has confirmed, since the command came, that it holds all that was
-    /// acknowledged.
+    /// Since the command arrived, a majority has confirmed that the copy holds all acknowledged
+    /// changes.
     Confirmed,
 }
 
-/// What becomes of a configuration command before it is logged.
+/// The decision about a configuration command before it is logged.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Judgement {
-    /// It is for the log to order.
+    /// The command is to be appended to the log, and its outcome is decided there.
     Log,
-    /// This copy would reject it; to be asked again once a majority has confirmed the copy.
+    /// This copy would reject the command. The check is to be repeated once a majority has
+    /// confirmed the copy.
     Confirm,
-    /// The outcome, with no entry of its own.
+    /// The outcome is final and needs no log entry.
     Final(Outcome),
 }
 
 impl ControlState {
-    /// What becomes of a configuration command as far as this copy of the state can say.
+    /// Decides about a configuration command, as far as this copy of the state allows.
     pub fn judge(&self, command: &ConfigurationCommand, confirmation: Confirmation) -> Judgement {
         let checked = if command.modification.is_empty() {
             self.check_replace(command)
@@ -42,24 +43,26 @@
         };
         match checked.err() {
             None => Judgement::Log,
-            // A rejection ahead of the base must be remembered to stay one.
+            // A rejection whose base is above the current version must be recorded in the log to
+            // remain a rejection.
             Some(Outcome::Conflict(version)) if command.base > version => Judgement::Log,
             Some(_) if confirmation == Confirmation::Unconfirmed => Judgement::Confirm,
             Some(outcome) => Judgement::Final(outcome),
         }
     }
 
-    /// What replacing the configuration would come to, without doing it. Binding only where
-    /// the log says it: a copy may be behind.
+    /// Checks a replacement of the configuration without executing it. The result is binding only
+    /// when the log entry is applied, because a copy may be out of date.
     pub fn check_replace(&self, command: &ConfigurationCommand) -> Result<Configuration, Outcome> {
         let current = self.version();
-        let known = match self.check_history(&configuration_key(command)) {
-            // What is invalid by itself was never accepted, however little is remembered.
+        let history_check = match self.check_history(&configuration_key(command)) {
+            // A configuration that is invalid in itself was never accepted, so it is reported as
+            // invalid even if the history no longer holds the command.
             Err(Outcome::Undecidable) => Err(Outcome::Undecidable),
             other => Ok(other?),
         };
         let configuration = Configuration::parse(&command.body).map_err(|e| Outcome::Invalid(e.into()))?;
-        known?;
+        history_check?;
         if configuration.version <= current {
             let version = configuration.version;
             return Err(Outcome::Invalid(InvalidChange::VersionNotNewer {
@@ -70,8 +73,8 @@
         Ok(configuration)
     }
 
-    /// What a `modify` on top of a version comes to: the command to replace the whole
-    /// configuration by what it makes of the one in force.
+    /// Applies a `modify` on a base version to the configuration in force and returns the
+    /// equivalent command that replaces the complete configuration.
     pub fn modified(&self, base: u64, modification: &[u8]) -> Result<ConfigurationCommand, Outcome> {
         let command = ConfigurationCommand {
             base,
@@ -84,8 +87,8 @@
         Ok(ConfigurationCommand { body, ..command })
     }
 
-    /// A change as the log is to hold it: of a whole configuration, what it changes of the one
-    /// in force here, if that is much less.
+    /// Returns a change in the form that the log holds. A complete configuration becomes a delta
+    /// against the configuration in force on this node, if the delta is much smaller.
     pub fn compact_for_log(&self, kind: ChangeKind) -> ChangeKind {
         let ChangeKind::Replace(command) = &kind else {
             return kind;
@@ -103,21 +106,22 @@
         }
     }
 
-    /// Carries out a command that the log holds as a change of another configuration. The
-    /// version names the body; where another is in force the command lost its race.
+    /// Executes a command that the log holds as a delta. The delta applies only to the body that
+    /// it was computed from: if another configuration is in force, a concurrent command has
+    /// replaced that body first, and this one is rejected.
     pub(crate) fn replace_by_delta(&mut self, delta: ConfigurationDelta) -> Outcome {
-        let other_base = Outcome::Invalid(InvalidChange::OtherBase);
+        let base_mismatch = Outcome::Invalid(InvalidChange::OtherBase);
         let Some(key) = delta.key else {
-            return other_base;
+            return base_mismatch;
         };
         if let Err(outcome) = self.check_history(&key) {
             return outcome;
         }
         if delta.base_digest != body_digest(&self.configuration_body) {
-            return other_base;
+            return base_mismatch;
         }
         let Some(body) = patch(&self.configuration_body, &delta.parts, c::MAX_FRAME_BYTES) else {
-            return other_base;
+            return base_mismatch;
         };
         let command = ConfigurationCommand {
             base: key.base,
@@ -125,15 +129,15 @@
             ..Default::default()
         };
         if configuration_key(&command) != key {
-            return other_base;
+            return base_mismatch;
         }
         self.replace(command)
     }
 
-    /// Carries out a configuration command.
+    /// Executes a configuration command.
     pub(crate) fn replace(&mut self, command: ConfigurationCommand) -> Outcome {
         let (key, current) = (configuration_key(&command), self.version());
-        // The log holds of a `modify` only what it changes.
+        // The log holds only the modification of a `modify`, not the resulting body.
         let command = if command.body.is_empty() && !command.modification.is_empty() {
             self.modified(command.base, &command.modification)
         } else {
@@ -158,7 +162,8 @@
         }
     }
 
-    /// What the history says of a configuration command that is not to be judged anew.
+    /// Returns the outcome recorded in the history as an error, if the configuration command is
+    /// not new.
     fn check_history(&self, key: &ConfigurationKey) -> Result<(), Outcome> {
         let current = self.version();
         match self.command_history.configuration(key, current) {
--- a/crates/control-state/src/delta.rs
+++ b/crates/control-state/src/delta.rs
@@ -1,32 +1,34 @@
-//! A configuration as what it changes of another, byte for byte: the log then grows by
-//! the change, not by the size of the whole.
+//! Binary deltas between configuration bodies, so that the log grows by the size of a change and
+//! not by the size of the complete configuration.
 
 use protocol::DeltaPart;
 use std::collections::HashMap;
 
-/// Bytes that must be alike before a part is copied: far more than a part costs.
-const BLOCK: usize = 32;
-/// Largest body that is compared, bytes: a few ten milliseconds of the leader.
-const LARGEST: usize = 2 * 1024 * 1024;
+/// Shortest match that is copied from the base, in bytes: far more than the encoding of a part
+/// takes.
+const BLOCK_BYTES: usize = 32;
+/// Largest body that is compared, in bytes. The comparison takes the leader a few tens of
+/// milliseconds.
+const MAX_BODY_BYTES: usize = 2 * 1024 * 1024;
 
-/// The parts that make `new` out of `base`; `None` if they would save less than half.
+/// Returns the parts that build `new` from `base`, or `None` if they would save less than half.
 pub fn delta(base: &[u8], new: &[u8]) -> Option<Vec<DeltaPart>> {
-    if base.len().max(new.len()) > LARGEST {
+    if base.len().max(new.len()) > MAX_BODY_BYTES {
         return None;
     }
     let mut blocks = HashMap::new();
-    for (number, block) in base.chunks_exact(BLOCK).enumerate() {
-        blocks.entry(block).or_insert(number * BLOCK);
+    for (number, block) in base.chunks_exact(BLOCK_BYTES).enumerate() {
+        blocks.entry(block).or_insert(number * BLOCK_BYTES);
     }
     let mut parts: Vec<DeltaPart> = Vec::new();
     let mut literal = Vec::new();
     let mut written = 0;
-    // Where the base goes on if nothing was put in or left out.
+    // `next` is the position in the base that matches `at` if nothing was inserted or removed.
     let (mut at, mut next) = (0, 0);
     while at < new.len() {
-        let found = new.get(at..at + BLOCK).and_then(|block| {
-            let straight = base.get(next..next + BLOCK) == Some(block);
-            if straight {
+        let found = new.get(at..at + BLOCK_BYTES).and_then(|block| {
+            let matches_next = base.get(next..next + BLOCK_BYTES) == Some(block);
+            if matches_next {
                 Some(next)
             } else {
                 blocks.get(block).copied()
@@ -41,17 +43,17 @@
             }
             continue;
         };
-        // What came before may be alike as well, up to a block's length.
+        // The literal bytes before the match may also match the base, up to a block's length.
         let pairs = literal.iter().rev().zip(base[..from].iter().rev());
-        let back = pairs.take_while(|(a, b)| a == b).count();
-        literal.truncate(literal.len() - back);
+        let extended_back = pairs.take_while(|(a, b)| a == b).count();
+        literal.truncate(literal.len() - extended_back);
         let pairs = new[at..].iter().zip(&base[from..]);
         let length = pairs.take_while(|(a, b)| a == b).count();
         written += literal.len() + 16;
         parts.push(DeltaPart {
             literal: std::mem::take(&mut literal),
-            from: (from - back) as u64,
-            length: (back + length) as u64,
+            from: (from - extended_back) as u64,
+            length: (extended_back + length) as u64,
         });
         at += length;
         next = from + length;
@@ -65,15 +67,15 @@
     (written <= new.len() / 2).then_some(parts)
 }
 
-/// What the parts make of a base; `None` if they do not fit it, or make more than so
-/// many bytes.
-pub fn patch(base: &[u8], parts: &[DeltaPart], most: usize) -> Option<Vec<u8>> {
+/// Builds a body from a base and the parts of a delta. Returns `None` if the parts refer to bytes
+/// outside the base or the result would exceed `max_bytes`.
+pub fn patch(base: &[u8], parts: &[DeltaPart], max_bytes: usize) -> Option<Vec<u8>> {
     let mut new = Vec::new();
     for part in parts {
         let from = usize::try_from(part.from).ok()?;
         let length = usize::try_from(part.length).ok()?;
         let copied = base.get(from..from.checked_add(length)?)?;
-        if new.len() + part.literal.len() + copied.len() > most {
+        if new.len() + part.literal.len() + copied.len() > max_bytes {
             return None;
         }
         new.extend_from_slice(&part.literal);
--- a/crates/control-state/src/error.rs
+++ b/crates/control-state/src/error.rs
@@ -2,13 +2,13 @@
 
 use config::ConfigurationError;
 
-/// Why a change is invalid. The text is what the operator is told.
+/// The reason why a change is invalid. The text is shown to the operator.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidChange {
-    /// The configuration that it leads to is invalid.
+    /// The resulting configuration is invalid.
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
-    /// Versions only go up.
+    /// The version of the new configuration is not above the version in force.
     #[error("Version {version} is not above the current {current}")]
     VersionNotNewer {
         /// The version of the new configuration.
@@ -16,45 +16,45 @@
         /// The version in force.
         current: u64,
     },
-    /// A delta that changes another configuration than the one in force.
+    /// The base of a delta is not the configuration in force.
     #[error("a change of another configuration")]
     OtherBase,
-    /// An entry of the log that cannot be decoded.
+    /// The log entry cannot be decoded.
     #[error("a change that cannot be read")]
     Undecodable,
 }
 
-/// Why the data of a snapshot does not stand for a state.
+/// The reason why the data of a snapshot cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// There is none, and the log does not begin here.
+    /// The snapshot has no data although its index is above 0.
     #[error("no data")]
     Empty,
-    /// The packed image is cut short.
+    /// The packed image is truncated.
     #[error("it ends too soon, {bytes} bytes")]
     Truncated {
-        /// Packed bytes.
+        /// Size of the packed image, in bytes.
         bytes: usize,
     },
-    /// It unpacks to more than any state takes.
+    /// The unpacked image exceeds the size limit.
     #[error("it unpacks to too much, {bytes} bytes")]
     TooLarge {
-        /// Packed bytes.
+        /// Size of the packed image, in bytes.
         bytes: usize,
     },
-    /// The image is not the one that was packed.
+    /// The checksum of the unpacked image does not match.
     #[error("its checksum is another, {bytes} bytes")]
     Checksum {
-        /// Packed bytes.
+        /// Size of the packed image, in bytes.
         bytes: usize,
     },
-    /// The packed image is malformed.
+    /// The packed image is malformed, with the decompressor's message.
     #[error("{0}")]
     Unpack(String),
     /// The image is malformed.
     #[error(transparent)]
     Decode(#[from] prost::DecodeError),
-    /// The configuration in it is invalid.
+    /// The configuration in the image is invalid.
     #[error("its configuration cannot be read")]
     Configuration(#[source] ConfigurationError),
 }
--- a/crates/control-state/src/key_leases.rs
+++ b/crates/control-state/src/key_leases.rs
@@ -1,11 +1,11 @@
-//! Key leases where they are applied: who holds which range, and the tokens that were given.
+//! Applies changes of key leases: the holder of each range and the highest fencing token.
 
 use crate::state::ControlState;
 use protocol::KeyLease;
 use std::sync::Arc;
 
 impl ControlState {
-    /// Puts leases in place of what they cover.
+    /// Inserts leases. Each replaces the older leases within its range.
     pub(crate) fn update_key_leases(&mut self, leases: Vec<KeyLease>) {
         for lease in leases {
             self.highest_fencing_token = self.highest_fencing_token.max(lease.fencing_token);
@@ -14,9 +14,9 @@
         self.drop_obsolete_key_leases();
     }
 
-    /// Drops the leases of services that are no longer partitioned, once nobody holds any of
-    /// their keys: until then a worker may, whatever the configuration says, and the service may
-    /// come back.
+    /// Removes the leases of services that are no longer partitioned, once no worker holds any of
+    /// their keys. Until then a worker may still use its keys whatever the configuration says, and
+    /// the service may become partitioned again.
     pub(crate) fn drop_obsolete_key_leases(&mut self) {
         let Some(configuration) = &self.configuration else {
             return;
@@ -28,11 +28,11 @@
         });
     }
 
-    /// Puts a range, cutting away what it covers of older ranges.
+    /// Inserts a range and removes the parts of older ranges that it covers.
     fn put_key_lease(&mut self, new: KeyLease) {
         let table = Arc::make_mut(self.key_leases.entry(new.service.clone()).or_default());
-        let before = table.range(..=new.from).next_back();
-        let first = before.map_or(new.from, |(from, _)| *from);
+        let preceding = table.range(..=new.from).next_back();
+        let first = preceding.map_or(new.from, |(from, _)| *from);
         let overlapping: Vec<Arc<KeyLease>> = table
             .range(first..=new.to)
             .map(|(_, lease)| lease.clone())
@@ -40,7 +40,7 @@
             .collect();
         for old in overlapping {
             table.remove(&old.from);
-            let rest = |from, to| {
+            let remaining = |from, to| {
                 let lease = KeyLease {
                     from,
                     to,
@@ -48,8 +48,8 @@
                 };
                 (from, Arc::new(lease))
             };
-            table.extend((old.from < new.from).then(|| rest(old.from, new.from - 1)));
-            table.extend((old.to > new.to).then(|| rest(new.to + 1, old.to)));
+            table.extend((old.from < new.from).then(|| remaining(old.from, new.from - 1)));
+            table.extend((old.to > new.to).then(|| remaining(new.to + 1, old.to)));
         }
         table.insert(new.from, Arc::new(new));
     }
--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -1,9 +1,10 @@
-//! The replicated control state: what the log says, applied in order. Every node holds a copy;
-//! two copies that stand at the same index of the log are equal.
+//! The replicated control state: the result of applying the log entries in order. Every node
+//! holds a copy, and two copies at the same log index are equal.
 //!
-//! [`ControlState`] is a pure state machine. The leader first judges a command by its own copy
-//! ([`ControlState::judge`]) and logs the change that it asks for; every node applies it
-//! ([`ControlState::apply`]). Snapshots carry the whole state ([`ControlState::to_snapshot`]).
+//! [`ControlState`] is a pure state machine. The leader first checks a command against its own
+//! copy ([`ControlState::judge`]) and logs the requested change. Every node then applies the
+//! change ([`ControlState::apply`]). Snapshots hold the complete state
+//! ([`ControlState::to_snapshot`]).
 
 mod apply;
 mod command_history;
--- a/crates/control-state/src/recent_commands.rs
+++ b/crates/control-state/src/recent_commands.rs
@@ -1,39 +1,42 @@
-//! When commands were seen, as one process knows it: what makes a command that comes again a
-//! repetition rather than another of its kind.
+//! The times at which one process has last seen each command. They tell a repetition of a command
+//! from a new command of the same content.
 
 use crate::command_history::CommandHistory;
 use config::constants as c;
 use protocol::CommandTag;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// When each tagged command of the history was last seen here, itself or sent again, ms, by index.
+/// The time at which this process has last seen each tagged command of the history, either the
+/// command itself or a repetition, in milliseconds by log index.
 #[derive(Clone, Debug, Default)]
 pub struct RecentCommands {
     last_seen: BTreeMap<u64, u64>,
 }
 
 impl RecentCommands {
-    /// Notes the commands that the history has now.
+    /// Records the time for commands that are new in the history, and removes those that are no
+    /// longer in it.
     pub fn note(&mut self, now: u64, history: &CommandHistory) {
-        let known: BTreeSet<u64> = history.tagged_indexes().collect();
-        self.last_seen.retain(|index, _| known.contains(index));
-        for index in known {
+        let indexes: BTreeSet<u64> = history.tagged_indexes().collect();
+        self.last_seen.retain(|index, _| indexes.contains(index));
+        for index in indexes {
             self.last_seen.entry(index).or_insert(now);
         }
     }
 
-    /// Notes that the command at `index` was sent again: a caller whose answers are lost goes on
-    /// sending it for longer than the pause between two attempts.
+    /// Records that the command at `index` was sent again. A caller whose answers are lost keeps
+    /// sending the command for longer than the pause between two attempts.
     pub fn note_repeated(&mut self, now: u64, index: u64) {
         if let Some(seen) = self.last_seen.get_mut(&index) {
             *seen = now;
         }
     }
 
-    /// The index of the command that this one most likely repeats: the newest on its subject,
-    /// if it was the same and came a moment ago as far as this process has seen. `pending` are
-    /// the commands in its log. What is byte for byte alike cannot be told apart any better; the
-    /// log has the last word, and holds it for all leaders.
+    /// Returns the index of the command that this one most likely repeats: the newest identical
+    /// command on its subject, if it is pending in the log or this process has seen it recently.
+    /// `pending` holds the commands in the log of this process. Commands that are identical byte
+    /// for byte cannot be told apart any better. The final decision is made when the log entry is
+    /// applied, and holds for all leaders.
     pub fn repeated<'a>(
         &self,
         now: u64,
--- a/crates/control-state/src/snapshot.rs
+++ b/crates/control-state/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The control state as bytes: the image, and its packed form in snapshots.
+//! Serialization of the control state: the image, and its compressed form in snapshots.
 
 use crate::command_history::CommandHistory;
 use crate::error::SnapshotError;
@@ -12,26 +12,26 @@
 use std::io::Write;
 use std::sync::Arc;
 
-/// Most that a snapshot unpacks to, bytes: far above a thousand workers.
+/// Largest size of an unpacked image, in bytes: far more than a thousand workers take.
 const MAX_IMAGE_BYTES: usize = 64 * 1024 * 1024;
-/// Unpacked in steps of this size, bytes.
+/// Size of one decompression step, in bytes.
 const UNPACK_STEP_BYTES: usize = 64 * 1024;
 
-/// First byte of a packed image; no image begins with it.
+/// First byte of a packed image. No unpacked image begins with it.
 const PACKED_MARKER: u8 = 0;
 
 impl ControlState {
-    /// The whole state.
+    /// Returns the complete state as an image.
     pub fn image(&self) -> ControlStateImage {
         let evacuated = self.evacuated.iter();
-        let ended = self.ended_evacuations.iter();
+        let ended_evacuations = self.ended_evacuations.iter();
         let groups = self.warmup_groups.iter();
         let leases = self.key_leases.values().flat_map(|t| t.values());
         ControlStateImage {
             index: self.index,
             version: self.version(),
             configuration: self.configuration_body.to_vec(),
-            // As the command history tells them now.
+            // The command history holds these now.
             base: 0,
             modification: Vec::new(),
             command_history: Some(self.command_history.image()),
@@ -53,7 +53,7 @@
             fractions: self.fractions.to_vec(),
             retry_allowances: self.retry_allowances.iter().copied().collect(),
             retry_slack: self.retry_slack,
-            ended_evacuations: ended
+            ended_evacuations: ended_evacuations
                 .map(|(zone, index)| EndedEvacuation {
                     zone: zone.clone(),
                     index: *index,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The state that an image holds.
+    /// Builds the state from an image.
     pub fn from_image(image: ControlStateImage) -> Result<ControlState, SnapshotError> {
         let configuration = if image.version == 0 {
             None
@@ -72,7 +72,7 @@
         };
         let command_history = match image.command_history {
             Some(history) => CommandHistory::from_image(history),
-            None => CommandHistory::of_one(
+            None => CommandHistory::with_single_command(
                 image.base,
                 &image.configuration,
                 &image.modification,
@@ -85,7 +85,7 @@
         for zone in image.evacuated {
             *evacuated.entry(zone).or_default() += 1;
         }
-        let ended = image.ended_evacuations.into_iter();
+        let ended_evacuations = image.ended_evacuations.into_iter();
         let workers = image.workers.into_iter();
         let groups = image.warmup_groups.into_iter();
         let rollouts = image.rollouts.into_iter();
@@ -95,7 +95,7 @@
             configuration_body: Arc::new(image.configuration),
             command_history: Arc::new(command_history),
             evacuated,
-            ended_evacuations: ended.map(|e| (e.zone, e.index)).collect(),
+            ended_evacuations: ended_evacuations.map(|e| (e.zone, e.index)).collect(),
             workers: Arc::new(workers.map(|w| (w.id.clone(), Arc::new(w))).collect()),
             warmup_groups: Arc::new(
                 groups
@@ -113,28 +113,28 @@
         })
     }
 
-    /// The data of a snapshot: the image, packed, since hundreds of nodes are sent it over
-    /// narrow links when all of them restart.
+    /// Returns the data of a snapshot. The image is compressed because hundreds of nodes receive
+    /// it over slow links when all of them restart.
     pub fn to_snapshot(&self) -> Vec<u8> {
         let image = self.image().encode_to_vec();
         let mut packer = DeflateEncoder::new(vec![PACKED_MARKER], Compression::fast());
         let mut data = packer
             .write_all(&image)
             .and_then(|()| packer.finish())
-            .expect("memory takes every write");
+            .expect("writing to a Vec cannot fail");
         data.extend(checksum(&image));
         data
     }
 
-    /// The state that a snapshot of the log holds, at the index that it stands for. Only the
-    /// one before the first entry is empty: whatever else cannot be read completely is an
-    /// error, and never stands for a state.
+    /// Reads the state from the data of a snapshot at the log index `index`. Empty data is valid
+    /// only at index 0, before the first entry. Any other data that cannot be read completely is
+    /// an error and never yields a state.
     pub fn from_snapshot(index: u64, data: &[u8]) -> Result<ControlState, SnapshotError> {
         let image = match data.split_first() {
             None if index == 0 => return Ok(ControlState::default()),
             None => return Err(SnapshotError::Empty),
             Some((&PACKED_MARKER, packed)) => unpack(packed)?,
-            // As stores of earlier versions hold it.
+            // Stores of earlier versions hold the image uncompressed.
             _ => data.to_vec(),
         };
         let image = ControlStateImage::decode(image.as_slice())?;
@@ -143,7 +143,7 @@
         Ok(state)
     }
 
-    /// Whether the data of a snapshot at an index can be read.
+    /// Returns whether the data of a snapshot at the log index `index` can be read.
     pub fn is_snapshot_readable(index: u64, data: &[u8]) -> bool {
         ControlState::from_snapshot(index, data).is_ok()
     }
@@ -161,14 +161,15 @@
         .collect()
 }
 
-/// CRC-32 of an image. Earlier versions read no further than the packed image, and wrote none.
+/// Returns the CRC-32 of an image, which follows the packed image in a snapshot. Earlier versions
+/// write no checksum and read only the packed image.
 fn checksum(image: &[u8]) -> [u8; 4] {
     let mut crc = Crc::new();
     crc.update(image);
     crc.sum().to_le_bytes()
 }
 
-/// The image out of a packed one, if it is complete.
+/// Unpacks an image and verifies its checksum, if there is one.
 fn unpack(packed: &[u8]) -> Result<Vec<u8>, SnapshotError> {
     let bytes = packed.len();
     let mut unpacker = Decompress::new(false);
--- a/crates/control-state/tests/command_history.rs
+++ b/crates/control-state/tests/command_history.rs
@@ -1,5 +1,6 @@
-//! Orders judged by the log alone: every history of two operators over a few bases, sent
-//! again in any order and after any snapshot, and commands without a base by their tags.
+//! Commands are decided by the log alone: every history of two operators over a few bases, with
+//! commands sent again in any order and after any snapshot, and commands without a base version
+//! that are identified by their tags.
 
 use config::constants as c;
 use control_state::{Confirmation, ControlState, Judgement, Outcome, RecentCommands};
@@ -30,14 +31,24 @@
 fn accepted_command_is_never_rejected_when_sent_again() {
     let mut state = ControlState::default();
     let commands: Vec<_> = (1..=40).map(|v| command(v - 1, v, "one")).collect();
-    for o in &commands {
-        assert_eq!(send(&mut state, o), Outcome::Applied);
+    for first in &commands {
+        assert_eq!(send(&mut state, first), Outcome::Applied);
     }
     let mut state = restored(&state);
-    for o in &commands {
-        assert_eq!(send(&mut state, o), Outcome::AlreadyApplied, "on {}", o.base);
-        let other = command(o.base, o.base + 1, "another operator's");
-        assert_eq!(send(&mut state, &other), Outcome::Conflict(40), "on {}", o.base);
+    for again in &commands {
+        assert_eq!(
+            send(&mut state, again),
+            Outcome::AlreadyApplied,
+            "command on base {}",
+            again.base
+        );
+        let other = command(again.base, again.base + 1, "another operator's");
+        assert_eq!(
+            send(&mut state, &other),
+            Outcome::Conflict(40),
+            "another command on base {}",
+            again.base
+        );
     }
     assert_eq!(state.version(), 40);
 }
@@ -51,12 +62,16 @@
     }
     let mut state = restored(&state);
     for v in 1..=last {
-        let wanted = if v <= 10 {
+        let expected = if v <= 10 {
             Outcome::Undecidable
         } else {
             Outcome::AlreadyApplied
         };
-        assert_eq!(send(&mut state, &command(v - 1, v, "one")), wanted, "version {v}");
+        assert_eq!(
+            send(&mut state, &command(v - 1, v, "one")),
+            expected,
+            "version {v}"
+        );
     }
     assert_eq!(send(&mut state, &command(3, 4, "two")), Outcome::Undecidable);
     assert_eq!(send(&mut state, &command(50, 51, "two")), Outcome::Conflict(last));
@@ -93,10 +108,10 @@
     assert_eq!(
         send(&mut state, &early),
         Outcome::Conflict(2),
-        "its refusal was told"
+        "the operator was told of the rejection"
     );
     assert_eq!(send(&mut state, &command(2, 3, "in time")), Outcome::Applied);
-    // As many as are remembered; beyond that nothing is promised.
+    // The history is filled with such rejections; a further one gets no definite answer.
     for i in 0..c::REJECTED_AHEAD_REMEMBERED as u64 {
         assert_eq!(send(&mut state, &command(90 + i, 200, "")), Outcome::Conflict(3));
     }
@@ -119,22 +134,22 @@
     assert_eq!(
         send(&mut state, &add),
         Outcome::AlreadyApplied,
-        "also behind a later change"
+        "a later change has been applied in between"
     );
     let other = modify(3, r#"{"Version":5,"Upsert":{"Groups":[{"Name":"u"}]}}"#);
     assert_eq!(send(&mut state, &other), Outcome::Conflict(6));
-    let low = modify(6, r#"{"Version":5}"#);
-    assert!(matches!(send(&mut state, &low), Outcome::Invalid(_)));
+    let version_too_low = modify(6, r#"{"Version":5}"#);
+    assert!(matches!(send(&mut state, &version_too_low), Outcome::Invalid(_)));
 }
 
-/// A leader that was cut off holds version 1; since then 2 and 3 were taken elsewhere.
+/// A leader that was partitioned holds version 1, while versions 2 and 3 were committed without it.
 #[test]
-fn unconfirmed_copy_gives_no_final_judgement() {
-    let mut old = ControlState::default();
-    send(&mut old, &command(0, 1, "one"));
-    let mut new = restored(&old);
-    send(&mut new, &command(1, 2, "one"));
-    send(&mut new, &command(2, 3, "one"));
+fn unconfirmed_copy_gives_no_final_decision() {
+    let mut stale = ControlState::default();
+    send(&mut stale, &command(0, 1, "one"));
+    let mut current = restored(&stale);
+    send(&mut current, &command(1, 2, "one"));
+    send(&mut current, &command(2, 3, "one"));
     let commands = [
         command(0, 1, "one"),
         command(0, 1, "two"),
@@ -143,46 +158,49 @@
         command(3, 4, "one"),
         command(1, 1, "low"),
     ];
-    for o in &commands {
+    for command in &commands {
         assert!(
-            !matches!(old.judge(o, Confirmation::Unconfirmed), Judgement::Final(_)),
+            !matches!(
+                stale.judge(command, Confirmation::Unconfirmed),
+                Judgement::Final(_)
+            ),
             "{}",
-            o.base
+            command.base
         );
-        // What is said by a copy that is confirmed is what the log comes to.
-        match new.judge(o, Confirmation::Confirmed) {
-            Judgement::Final(outcome) => assert_eq!(outcome, send(&mut new.clone(), o)),
-            judgement => assert_eq!((judgement, o.base), (Judgement::Log, 3)),
+        // The final decision of a confirmed copy equals the outcome of the log entry.
+        match current.judge(command, Confirmation::Confirmed) {
+            Judgement::Final(outcome) => assert_eq!(outcome, send(&mut current.clone(), command)),
+            decision => assert_eq!((decision, command.base), (Judgement::Log, 3)),
         }
     }
 }
 
-/// Two operators with three commands each on three bases; every history of six steps in
-/// which any of them is sent (again) or the state goes through a snapshot.
+/// Two operators have three commands each, on three bases. Runs every history of six steps in which
+/// any of the commands is sent or sent again, with the state restored from its image in between.
 #[test]
-fn every_history_of_two_operators() {
+fn no_command_is_both_accepted_and_rejected_in_any_history_of_two_operators() {
     const STEPS: usize = 6;
     let all: Vec<ConfigurationCommand> = (0..3)
-        .flat_map(|base| ["one", "two"].map(|who| command(base, base + 1, who)))
+        .flat_map(|base| ["one", "two"].map(|operator| command(base, base + 1, operator)))
         .collect();
     let mut histories = 0;
-    let mut todo = vec![(ControlState::default(), BTreeMap::<usize, bool>::new(), 0)];
-    while let Some((state, told, depth)) = todo.pop() {
+    let mut unexplored = vec![(ControlState::default(), BTreeMap::<usize, bool>::new(), 0)];
+    while let Some((state, answers, depth)) = unexplored.pop() {
         histories += 1;
         if depth == STEPS {
             continue;
         }
-        for (i, o) in all.iter().enumerate() {
+        for (i, command) in all.iter().enumerate() {
             let mut next = if depth % 3 == 2 {
                 restored(&state)
             } else {
                 state.clone()
             };
-            let mut told = told.clone();
-            let outcome = send(&mut next, o);
+            let mut answers = answers.clone();
+            let outcome = send(&mut next, command);
             let accepted = match outcome {
                 Outcome::Applied => {
-                    assert!(!told.contains_key(&i), "carried out twice or after a refusal");
+                    assert!(!answers.contains_key(&i), "executed twice or after a rejection");
                     true
                 }
                 Outcome::AlreadyApplied => true,
@@ -190,13 +208,16 @@
                 other => panic!("{other:?}"),
             };
             assert_eq!(
-                *told.entry(i).or_insert(accepted),
+                *answers.entry(i).or_insert(accepted),
                 accepted,
-                "command {i} told both"
+                "command {i} was both accepted and rejected"
             );
-            let rival = i ^ 1;
-            assert!(!(accepted && told.get(&rival) == Some(&true)), "two on one base");
-            todo.push((next, told, depth + 1));
+            let concurrent = i ^ 1;
+            assert!(
+                !(accepted && answers.get(&concurrent) == Some(&true)),
+                "two commands accepted on one base"
+            );
+            unexplored.push((next, answers, depth + 1));
         }
     }
     assert!(histories > 50_000, "{histories} histories");
@@ -223,7 +244,7 @@
 }
 
 #[test]
-fn forwarded_command_counts_once_with_any_leader() {
+fn forwarded_command_is_executed_once_with_any_leader() {
     let mut state = ControlState::default();
     let begin = tag(1, 0, true);
     let send = |state: &mut ControlState, tag: &CommandTag, begin: bool| {
@@ -236,13 +257,13 @@
     let mut state = restored(&state);
     assert_eq!(send(&mut state, &begin, true), Outcome::AlreadyApplied);
     assert_eq!(state.evacuated["z"], 1);
-    // Another operator's, and the first one sent again, as the leader takes them.
+    // Another operator's command, and one that the leader marks as its repetition.
     assert_eq!(send(&mut state, &tag(2, 2, true), true), Outcome::Applied);
     let repeats = CommandTag {
         repeats: state
             .command_history
             .repeated_by(&tag(3, 3, true))
-            .expect("alike"),
+            .expect("an identical command"),
         ..tag(3, 3, true)
     };
     assert_eq!(send(&mut state, &repeats, true), Outcome::AlreadyApplied);
@@ -251,9 +272,9 @@
     assert_eq!(
         state.command_history.repeated_by(&tag(5, 4, true)),
         None,
-        "another came between"
+        "another command on the zone came in between"
     );
-    // Longer ago than is remembered: not carried out, nothing promised.
+    // A command that the history has dropped is not executed and gets no definite answer.
     for n in 10..10 + 2 * c::TAGGED_REMEMBERED as u64 {
         send(&mut state, &tag(n, n, n % 2 == 0), n % 2 == 0);
     }
@@ -263,10 +284,10 @@
     assert_eq!(state.command_history.sizes().tagged, c::TAGGED_REMEMBERED);
 }
 
-/// The leader takes a command for a repeat by what it has applied, while another command on
-/// the zone already stands behind that in its log.
+/// The leader marks a command as a repetition based on the entries that it has applied, while its
+/// log already holds a later command on the zone.
 #[test]
-fn repeat_counts_only_while_nothing_has_come_between() {
+fn repetition_is_recognized_only_without_another_command_in_between() {
     let send = |state: &mut ControlState, tag: CommandTag, begin: bool| {
         state.apply(
             state.index + 1,
@@ -279,18 +300,18 @@
         repeats: state
             .command_history
             .repeated_by(&tag(3, 1, true))
-            .expect("alike"),
+            .expect("an identical command"),
         ..tag(3, 1, true)
     };
     assert_eq!(send(&mut state, tag(2, 1, false), false), Outcome::Applied);
     assert_eq!(
         send(&mut state, repeats, true),
         Outcome::Applied,
-        "confirmed, so in force"
+        "an acknowledged command must be in force"
     );
     assert_eq!(state.evacuated.get("z"), Some(&1));
-    // In doubt a zone stays empty: a finish that came a moment ago is a repeat, also
-    // where a begin has come between.
+    // In doubt the zone stays evacuated: a finish identical to a recent one is a repetition even
+    // if a begin came in between.
     let finish = CommandTag {
         cautious: true,
         ..tag(4, 3, false)
@@ -301,7 +322,10 @@
         cautious: true,
         ..tag(6, 5, false)
     };
-    let repeats = state.command_history.repeated_by(&finish).expect("alike");
+    let repeats = state
+        .command_history
+        .repeated_by(&finish)
+        .expect("an identical command");
     assert_eq!(
         send(&mut state, CommandTag { repeats, ..finish }, false),
         Outcome::AlreadyApplied
@@ -310,34 +334,38 @@
 }
 
 #[test]
-fn pending_command_is_the_one_that_is_repeated() {
+fn command_pending_in_the_log_is_recognized_as_repeated() {
     let mut state = ControlState::default();
     let mut first = tag(1, 0, true);
     let command_history = &state.command_history;
-    // The first stands in the log and is not applied yet.
+    // The first command is in the log but not applied yet.
     let log = [(1, &first)];
     let repeats = command_history.recent_like(&tag(2, 0, true), log.into_iter(), |_| false);
     assert_eq!(repeats, Some(1));
-    // What came between is for the log to see.
+    // A command in between is considered only when the entry is applied.
     let finish = tag(2, 0, false);
     let log = [(1, &first), (2, &finish)];
     assert_eq!(
         command_history.recent_like(&tag(3, 0, true), log.into_iter(), |_| true),
         Some(1)
     );
-    let mut between = state.clone();
+    let mut with_finish_between = state.clone();
     for (index, tag, begin) in [
         (1, tag(1, 0, true), true),
         (2, tag(2, 0, false), false),
         (3, tag(3, 0, true), true),
     ] {
         let repeats = u64::from(index == 3);
-        between.apply(
+        with_finish_between.apply(
             index,
             &Change::encode_tagged(evacuation(begin), Some(CommandTag { repeats, ..tag })),
         );
     }
-    assert_eq!(between.evacuated.get("z"), Some(&1), "the second begin counts");
+    assert_eq!(
+        with_finish_between.evacuated.get("z"),
+        Some(&1),
+        "the second begin was not executed"
+    );
     for (index, tag) in [(1, tag(1, 0, true)), (2, tag(2, 0, true))] {
         let repeats = if index == 2 { 1 } else { 0 };
         state.apply(
@@ -345,7 +373,11 @@
             &Change::encode_tagged(evacuation(true), Some(CommandTag { repeats, ..tag })),
         );
     }
-    assert_eq!(state.evacuated.get("z"), Some(&1), "sent twice, counted once");
+    assert_eq!(
+        state.evacuated.get("z"),
+        Some(&1),
+        "a command sent twice was not executed exactly once"
+    );
     first.number = 9;
     let repeated = |recent: bool| {
         state
@@ -356,8 +388,8 @@
 }
 
 #[test]
-fn repeats_of_repeats_count_once() {
-    // All sent while the first was under way: each names the one before.
+fn repetitions_of_repetitions_are_executed_once() {
+    // All were sent while the first was pending, and each refers to the one before.
     let mut state = ControlState::default();
     for index in 1..=4 {
         let tag = CommandTag {
@@ -367,7 +399,7 @@
         state.apply(index, &Change::encode_tagged(evacuation(true), Some(tag)));
     }
     assert_eq!(state.evacuated.get("z"), Some(&1));
-    // A repeat that changed nothing does not come between.
+    // A repetition that changed nothing does not count as a command in between.
     let mut state = ControlState::default();
     let steps = [(1, false, 0), (2, true, 0), (3, false, 1), (4, true, 2)];
     for (index, begin, repeats) in steps {
@@ -381,45 +413,46 @@
     assert_eq!(state.evacuated.get("z"), Some(&1));
 }
 
-/// Guards against a command that is held up between two nodes and comes after newer ones on its
-/// subject (EVAC): it is not ordered behind what its caller may have sent since.
+/// Guards against executing a command that was delayed between two nodes and arrives after newer
+/// commands on its subject (EVAC): it must not be ordered after commands that its caller may have
+/// sent since.
 #[test]
-fn a_command_that_is_older_than_another_on_its_subject_is_overtaken() {
+fn command_older_than_another_on_its_subject_is_overtaken() {
     let mut state = ControlState::default();
     for (index, begin) in [(1, true), (2, false), (3, true)] {
         let data = Change::encode_tagged(evacuation(begin), Some(tag(index, index - 1, begin)));
         assert_eq!(state.apply(index, &data), Outcome::Applied);
     }
     let is_overtaken = |tag: &CommandTag| state.command_history.is_overtaken(tag, std::iter::empty());
-    // The finish that was sent first to a node which passed it on too late.
+    // The finish was first sent to a node that forwarded it too late.
     let late = tag(9, 1, false);
     assert!(is_overtaken(&late));
-    // Its caller still waited when the node had seen the newest one.
+    // Its caller was still waiting when the node had applied the newest command.
     let awaited = CommandTag {
         awaited_at: 3,
         ..late.clone()
     };
     assert!(!is_overtaken(&awaited));
     assert!(!is_overtaken(&tag(9, 3, false)));
-    // Sent again to a new leader, it is the newest itself, and known.
+    // Sent again to a new leader, the command is itself the newest one, and the history holds it.
     assert!(!is_overtaken(&tag(3, 2, true)));
-    // Another subject has an order of its own.
-    let elsewhere = CommandTag {
+    // Commands on different subjects are not ordered against each other.
+    let other_subject = CommandTag {
         subject: 7,
         ..late.clone()
     };
-    assert!(!is_overtaken(&elsewhere));
-    // What waits in the leader's log is newer than all that any node has seen.
+    assert!(!is_overtaken(&other_subject));
+    // Commands pending in the leader's log are newer than everything that any node has applied.
     let pending = tag(4, 3, false);
     let history = &state.command_history;
     assert!(history.is_overtaken(&awaited, [(4, &pending)].into_iter()));
     assert!(!history.is_overtaken(&pending, [(4, &pending)].into_iter()));
 }
 
-/// Guards against a command that is carried out once more since the answers to it were lost for
-/// longer than one is taken for a repetition after the first (EVAC).
+/// Guards against executing a command a second time when its answers are lost for longer than the
+/// time in which a command counts as a repetition of the first one (EVAC).
 #[test]
-fn a_command_that_is_sent_again_and_again_is_one() {
+fn command_that_keeps_being_sent_again_is_one_command() {
     let mut state = ControlState::default();
     let data = Change::encode_tagged(evacuation(true), Some(tag(1, 0, true)));
     state.apply(1, &data);
@@ -434,6 +467,9 @@
         recent.note_repeated(now, 1);
     }
     let now = 1000 + 6 * pause + 1;
-    let later = recent.repeated(now, &state.command_history, &tag(9, 1, true), std::iter::empty());
-    assert_eq!(later, None, "one that comes much later is another");
+    let repeated = recent.repeated(now, &state.command_history, &tag(9, 1, true), std::iter::empty());
+    assert_eq!(
+        repeated, None,
+        "a command that arrives much later is a new command"
+    );
 }
--- a/crates/control-state/tests/snapshots.rs
+++ b/crates/control-state/tests/snapshots.rs
@@ -1,4 +1,4 @@
-//! The data of a snapshot is read whole or not at all.
+//! The data of a snapshot is read completely or not at all.
 
 use control_state::ControlState;
 use protocol::*;
@@ -25,21 +25,26 @@
 fn truncated_or_damaged_snapshot_is_rejected() {
     let state = state();
     let data = state.to_snapshot();
-    let whole = ControlState::from_snapshot(5, &data).expect("whole");
-    assert_eq!(whole.image(), state.image());
-    let packed = data.len() - 4;
+    let complete = ControlState::from_snapshot(5, &data).expect("complete data");
+    assert_eq!(complete.image(), state.image());
+    let length_without_checksum = data.len() - 4;
     for end in 0..data.len() {
         let read = ControlState::from_snapshot(5, &data[..end]);
-        // Earlier versions wrote no checksum.
-        assert_eq!(read.is_ok(), end == packed, "cut at {end} of {}", data.len());
+        // Data without a checksum is valid, because earlier versions wrote none.
+        assert_eq!(
+            read.is_ok(),
+            end == length_without_checksum,
+            "truncated to {end} of {} bytes",
+            data.len()
+        );
     }
     for at in 0..data.len() {
         for bit in 0..8 {
-            let mut worse = data.clone();
-            worse[at] ^= 1 << bit;
-            // The last byte that is packed has bits that nobody reads.
-            if let Ok(read) = ControlState::from_snapshot(5, &worse) {
-                assert_eq!(read.image(), state.image(), "bit {bit} of byte {at}");
+            let mut damaged = data.clone();
+            damaged[at] ^= 1 << bit;
+            // The last byte of the compressed image has unused bits.
+            if let Ok(read) = ControlState::from_snapshot(5, &damaged) {
+                assert_eq!(read.image(), state.image(), "flipped bit {bit} of byte {at}");
             }
         }
     }
--- a/crates/control-state/tests/state.rs
+++ b/crates/control-state/tests/state.rs
@@ -1,4 +1,4 @@
-//! Changes applied to the control state, and its image.
+//! Changes applied to the control state, and the image of the state.
 
 use control_state::{ControlState, Outcome, KEY_SPACE};
 use prost::Message as _;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn one_of_two_commands_on_a_base_wins_and_a_resend_is_the_same() {
+fn one_of_two_commands_on_a_base_wins_and_a_resend_has_the_same_outcome() {
     let mut state = ControlState::default();
     assert_eq!(replace(&mut state, 1, 0, 3), Outcome::Applied);
     assert_eq!(replace(&mut state, 2, 0, 4), Outcome::Conflict(3));
@@ -33,7 +33,7 @@
     assert_eq!(
         replace(&mut state, 4, 9, 12),
         Outcome::AlreadyApplied,
-        "never backwards"
+        "an older index has no effect"
     );
     assert_eq!(state.version(), 9);
 }
@@ -44,7 +44,7 @@
     let add = br#"{"Version":5,"Upsert":{"Groups":[{"Name":"t"}]}}"#;
     assert!(matches!(state.modified(0, b"{}"), Err(Outcome::Invalid(_))));
     replace(&mut state, 1, 0, 3);
-    let command = state.modified(3, add).expect("fits");
+    let command = state.modified(3, add).expect("a valid modification");
     assert_eq!(
         state.apply(2, &Change::encode(ChangeKind::Replace(command.clone()))),
         Outcome::Applied
@@ -57,12 +57,15 @@
     assert_eq!(
         state.modified(3, add),
         Err(Outcome::AlreadyApplied),
-        "also by another leader"
+        "a restored copy recognizes the modification"
     );
     let other = br#"{"Version":5,"Upsert":{"Groups":[{"Name":"u"}]}}"#;
     assert_eq!(state.modified(3, other), Err(Outcome::Conflict(5)));
-    let low = state.modified(5, br#"{"Version":5}"#).expect("readable");
-    assert!(matches!(state.check_replace(&low), Err(Outcome::Invalid(_))));
+    let version_too_low = state.modified(5, br#"{"Version":5}"#).expect("readable");
+    assert!(matches!(
+        state.check_replace(&version_too_low),
+        Err(Outcome::Invalid(_))
+    ));
 }
 
 #[test]
@@ -95,10 +98,10 @@
 }
 
 #[test]
-fn image_carries_everything_and_new_leases_cut_older_ones() {
+fn image_holds_the_complete_state_and_new_leases_cut_older_ones() {
     let mut state = ControlState::default();
     replace(&mut state, 1, 0, 3);
-    let whole = |from, to, worker: &str, fencing_token| KeyLease {
+    let lease = |from, to, worker: &str, fencing_token| KeyLease {
         service: "s".into(),
         from,
         to,
@@ -106,7 +109,7 @@
         fencing_token,
         ..Default::default()
     };
-    let put = vec![whole(0, KEY_SPACE - 1, "a", 1), whole(100, 199, "b", 2)];
+    let put = vec![lease(0, KEY_SPACE - 1, "a", 1), lease(100, 199, "b", 2)];
     state.apply(2, &Change::encode(ChangeKind::KeyLeases(KeyLeaseChange { put })));
     state.apply(
         3,
@@ -121,20 +124,23 @@
         state.key_lease("s", 200).map(|h| (h.from, h.to)),
         Some((200, KEY_SPACE - 1))
     );
-    let repeats = ControlState::from_image(state.image()).expect("readable");
-    assert_eq!(repeats.image(), state.image());
-    assert_eq!(repeats.highest_fencing_token(), 2);
+    let restored = ControlState::from_image(state.image()).expect("readable");
+    assert_eq!(restored.image(), state.image());
+    assert_eq!(restored.highest_fencing_token(), 2);
     for data in [state.to_snapshot(), state.image().encode_to_vec()] {
-        let read = ControlState::from_snapshot(3, &data).expect("whole");
+        let read = ControlState::from_snapshot(3, &data).expect("complete data");
         assert_eq!(read.image(), state.image());
     }
-    assert!(ControlState::from_snapshot(9, &[0, 77]).is_err(), "unreadable");
+    assert!(
+        ControlState::from_snapshot(9, &[0, 77]).is_err(),
+        "unreadable data was accepted"
+    );
 }
 
-/// Guards against fencing tokens that fall, and leases that are forgotten while they run, when a
-/// configuration drops their service (OWNER; review case 1).
+/// Guards against fencing tokens that decrease and leases that are removed while they are held,
+/// when a configuration stops partitioning their service (OWNER; review case 1).
 #[test]
-fn leases_of_a_dropped_service_stay_while_they_are_held_and_their_tokens_for_good() {
+fn held_leases_and_the_highest_token_outlast_the_partitioning_of_a_service() {
     let mut state = ControlState::default();
     let configure = |state: &mut ControlState, groups: &str| {
         let version = state.version();
@@ -168,16 +174,19 @@
     configure(&mut state, r#"{"Name":"s","Partitioned":true}"#);
     put(&mut state, "a", 7);
     configure(&mut state, r#"{"Name":"s"}"#);
-    assert!(state.key_lease("s", 0).is_some_and(|l| l.worker == "a"), "held");
+    assert!(
+        state.key_lease("s", 0).is_some_and(|l| l.worker == "a"),
+        "a held lease was removed"
+    );
     put(&mut state, "", 7);
-    assert!(state.key_leases.is_empty(), "nobody holds them any more");
+    assert!(state.key_leases.is_empty(), "leases without a holder were kept");
     let image = state.image();
     let read = ControlState::from_image(image.clone()).expect("readable");
     assert_eq!(
         (state.highest_fencing_token(), read.highest_fencing_token()),
         (7, 7)
     );
-    // An image of an earlier version names no token but those of its leases.
+    // An image of an earlier version holds only the tokens of its leases.
     put(&mut state, "b", 8);
     let older = protocol::ControlStateImage {
         highest_fencing_token: 0,
