--- a/crates/protocol/src/change.rs
+++ b/crates/protocol/src/change.rs
@@ -1,4 +1,4 @@
-//! The changes to the control state, as the log orders them.
+//! The changes to the control state that log entries hold.
 
 use crate::command::{CommandTag, ConfigurationCommand, KillSwitch};
 use crate::image::ConfigurationKey;
@@ -8,22 +8,22 @@
 /// One change to the control state.
 #[derive(Clone, PartialEq, Message)]
 pub struct Change {
-    /// What changes.
+    /// The part of the state that changes, with its new value.
     #[prost(oneof = "ChangeKind", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 11")]
     pub kind: Option<ChangeKind>,
-    /// Of a command that names no base version.
+    /// Tag of the command that requested the change, if that command has no base version.
     #[prost(message, optional, tag = "10")]
     pub tag: Option<CommandTag>,
 }
 
 impl Change {
-    /// A change that no command asks for, encoded for the log.
+    /// Encodes a change without a tag for the log.
     pub fn encode(kind: ChangeKind) -> Vec<u8> {
         Change::encode_tagged(kind, None)
     }
 
-    /// A change that a command asks for, encoded for the log; with a tag if the command names
-    /// no base version.
+    /// Encodes a change that a command requested for the log, with a tag if the command has no
+    /// base version.
     pub fn encode_tagged(kind: ChangeKind, tag: Option<CommandTag>) -> Vec<u8> {
         let change = Change {
             kind: Some(kind),
@@ -33,77 +33,77 @@
     }
 }
 
-/// What changes.
+/// The part of the control state that changes, with its new value.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum ChangeKind {
-    /// The configuration.
+    /// Replaces the configuration.
     #[prost(message, tag = "1")]
     Replace(ConfigurationCommand),
-    /// The evacuation of a zone.
+    /// Begins or ends an evacuation of a zone.
     #[prost(message, tag = "2")]
     Evacuate(EvacuationChange),
-    /// The workers, as the platform lists them.
+    /// Updates the workers from the platform's list.
     #[prost(message, tag = "3")]
     Workers(WorkersChange),
-    /// Who holds which keys.
+    /// Updates the key leases.
     #[prost(message, tag = "4")]
     KeyLeases(KeyLeaseChange),
-    /// The placement.
+    /// Replaces the placement.
     #[prost(message, tag = "5")]
     Placement(PlacementChange),
-    /// The shares of the retry slack.
+    /// Updates the nodes' shares of the retry slack.
     #[prost(message, tag = "6")]
     RetryAllowance(RetryAllowanceChange),
-    /// The ejected workers.
+    /// Replaces the set of ejected workers.
     #[prost(message, tag = "7")]
     Ejections(EjectionChange),
-    /// A rollout.
+    /// Changes a rollout.
     #[prost(message, tag = "8")]
     Rollout(RolloutChange),
-    /// The kill switch of rollouts.
+    /// Sets the kill switch of rollouts.
     #[prost(message, tag = "9")]
     KillSwitch(KillSwitch),
-    /// The configuration, as what changes of the one in force.
+    /// Replaces the configuration by a delta against the one in force.
     #[prost(message, tag = "11")]
     ReplaceDelta(ConfigurationDelta),
 }
 
-/// A [`ConfigurationCommand`] as the log holds it: what it changes of the configuration that
-/// was in force where it was proposed.
+/// A [`ConfigurationCommand`] in the log, as a delta against the configuration that was in force
+/// on the leader when it proposed the entry.
 #[derive(Clone, PartialEq, Message)]
 pub struct ConfigurationDelta {
-    /// What the command is known by.
+    /// The key that identifies the command.
     #[prost(message, optional, tag = "1")]
     pub key: Option<ConfigurationKey>,
-    /// Digest of the body that it changes.
+    /// Digest of the body that the delta applies to.
     #[prost(bytes = "vec", tag = "2")]
     pub base_digest: Vec<u8>,
-    /// What the new body is made of.
+    /// The parts of the new body, in order.
     #[prost(message, repeated, tag = "3")]
     pub parts: Vec<DeltaPart>,
 }
 
-/// Some bytes, and then a piece of the body that is changed.
+/// A part of the new body: literal bytes, followed by a range copied from the old body.
 #[derive(Clone, PartialEq, Message)]
 pub struct DeltaPart {
-    /// New bytes.
+    /// The literal bytes.
     #[prost(bytes = "vec", tag = "1")]
     pub literal: Vec<u8>,
-    /// Where the piece of the old body begins, bytes.
+    /// Offset of the range in the old body, in bytes.
     #[prost(uint64, tag = "2")]
     pub from: u64,
-    /// Its length, bytes.
+    /// Length of the range, in bytes.
     #[prost(uint64, tag = "3")]
     pub length: u64,
 }
 
-/// Begins an evacuation of a zone, or ends it.
+/// Begins or ends an evacuation of a zone.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct EvacuationChange {
     /// The zone.
     #[prost(string, tag = "1")]
     pub zone: String,
-    /// Whether it begins.
+    /// Whether the evacuation begins (`true`) or ends (`false`).
     #[prost(bool, tag = "2")]
     pub begin: bool,
 }
@@ -111,46 +111,47 @@
 /// A worker as the platform lists it.
 #[derive(Clone, PartialEq, Message)]
 pub struct Worker {
-    /// The platform's identifier.
+    /// Identifier given by the platform.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// The service that it runs.
+    /// Service that the worker runs.
     #[prost(string, tag = "2")]
     pub service: String,
-    /// Where it takes requests.
+    /// Address at which the worker accepts requests.
     #[prost(string, tag = "3")]
     pub address: String,
-    /// The zone that it is in.
+    /// Zone of the worker.
     #[prost(string, tag = "4")]
     pub zone: String,
-    /// Requests that it can work on at the same time.
+    /// Number of requests that the worker can process concurrently.
     #[prost(uint32, tag = "5")]
     pub slots: u32,
-    /// It is about to end, and gets no new requests.
+    /// Whether the worker is about to terminate and gets no new requests.
     #[prost(bool, tag = "6")]
     pub draining: bool,
-    /// How much longer it was warming up when the list was read, ms.
+    /// Remaining warm-up time when the list was read, in milliseconds.
     #[prost(uint64, tag = "7")]
     pub warmup_ms: u64,
-    /// The index of the log at which `warmup_ms` was told.
+    /// Log index of the change that set `warmup_ms`.
     #[prost(uint64, tag = "8")]
     pub warmup_index: u64,
-    /// The index that the log stood at before the list was read that told so.
+    /// Last applied log index before the list with this `warmup_ms` was read.
     #[prost(uint64, tag = "9")]
     pub as_of: u64,
-    /// Which nodes may call it while it warms up, by the number of a [`WarmupGroup`]; 0 for
-    /// none.
+    /// Number of the [`WarmupGroup`] of nodes that may call the worker while it warms up, or 0 for
+    /// no group.
     #[prost(uint32, tag = "10")]
     pub warmup_group: u32,
-    /// The version of its software.
+    /// Version of the worker's software.
     #[prost(string, tag = "11")]
     pub version: String,
 }
 
-/// Nodes that share what a warming worker bears. What a number stands for never changes.
+/// Nodes that share the request rate allowed for a warming worker. The nodes of a group number
+/// never change.
 #[derive(Clone, PartialEq, Message)]
 pub struct WarmupGroup {
-    /// Its number, from 1.
+    /// The group number, from 1.
     #[prost(uint32, tag = "1")]
     pub number: u32,
     /// The identities of the nodes.
@@ -158,27 +159,27 @@
     pub nodes: Vec<u64>,
 }
 
-/// What has changed in the platform's list.
+/// The changes in the platform's list of workers.
 #[derive(Clone, PartialEq, Message)]
 pub struct WorkersChange {
-    /// Workers that are new or have changed.
+    /// New and changed workers.
     #[prost(message, repeated, tag = "1")]
     pub put: Vec<Worker>,
-    /// Workers that are gone, by identifier.
+    /// Identifiers of the workers that are no longer listed.
     #[prost(string, repeated, tag = "2")]
     pub removed: Vec<String>,
-    /// Groups that the workers put may name, as far as they are new.
+    /// New groups that the workers in `put` may refer to.
     #[prost(message, repeated, tag = "3")]
     pub warmup_groups: Vec<WarmupGroup>,
-    /// Workers that have warmed up, by identifier.
+    /// Identifiers of the workers that have finished their warm-up.
     #[prost(string, repeated, tag = "4")]
     pub warm: Vec<String>,
-    /// The index that the log stood at before the list was read.
+    /// Last applied log index before the list was read.
     #[prost(uint64, tag = "5")]
     pub as_of: u64,
 }
 
-/// A contiguous range of keys of a service and who holds it.
+/// A contiguous range of keys of a service and the worker that holds it.
 #[derive(Clone, PartialEq, Message)]
 pub struct KeyLease {
     /// The service.
@@ -190,21 +191,22 @@
     /// The last key.
     #[prost(uint32, tag = "3")]
     pub to: u32,
-    /// The worker; empty while nobody holds the range.
+    /// Identifier of the worker that holds the range; empty if no worker does.
     #[prost(string, tag = "4")]
     pub worker: String,
-    /// Higher with every grant of these keys: a worker refuses a lower one.
+    /// Fencing token, which increases with every grant of these keys. A worker rejects a lower
+    /// token.
     #[prost(uint64, tag = "5")]
     pub fencing_token: u64,
-    /// The range is being taken back from its worker.
+    /// Whether the range is being revoked from its worker.
     #[prost(bool, tag = "6")]
     pub revoking: bool,
-    /// What the worker before has left for the next one; empty for nothing.
+    /// Data that the previous worker has left for the next holder; empty if there is none.
     #[prost(string, tag = "7")]
     pub handover: String,
 }
 
-/// Replaces the leases of a service that lie within the ranges put.
+/// Replaces the leases of a service within the given ranges.
 #[derive(Clone, PartialEq, Message)]
 pub struct KeyLeaseChange {
     /// The new leases.
@@ -212,19 +214,19 @@
     pub put: Vec<KeyLease>,
 }
 
-/// The fraction of answers for a service and client group that point at a site.
+/// The fraction of the answers for a service and client group that direct clients to a site.
 #[derive(Clone, PartialEq, Message)]
 pub struct SiteFraction {
     /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// The client group: the zone that the clients are in.
+    /// The client group, which is the zone of the clients.
     #[prost(string, tag = "2")]
     pub group: String,
-    /// The site: a region, or a zone where zones are the sites.
+    /// The site: a region, or a zone in deployments where zones are the sites.
     #[prost(string, tag = "3")]
     pub site: String,
-    /// The fraction, 0 to 1.
+    /// The fraction, from 0 to 1.
     #[prost(double, tag = "4")]
     pub part: f64,
 }
@@ -232,29 +234,30 @@
 /// Replaces the placement.
 #[derive(Clone, PartialEq, Message)]
 pub struct PlacementChange {
-    /// The fractions of all services and groups.
+    /// The fractions of all services and client groups.
     #[prost(message, repeated, tag = "1")]
     pub fractions: Vec<SiteFraction>,
 }
 
-/// All workers that get no requests for now because they fail or lag (outlier ejection).
+/// Replaces the set of workers that temporarily get no requests because they fail or are slow
+/// (outlier ejection).
 #[derive(Clone, PartialEq, Message)]
 pub struct EjectionChange {
-    /// By identifier.
+    /// Identifiers of the ejected workers.
     #[prost(string, repeated, tag = "1")]
     pub workers: Vec<String>,
 }
 
-/// Which nodes may use a share of the slack of the retry budget, and how much each has.
+/// Changes which nodes have a share of the slack of the retry budget, and the size of a share.
 #[derive(Clone, PartialEq, Message)]
 pub struct RetryAllowanceChange {
     /// Nodes that get a share.
     #[prost(fixed64, repeated, tag = "1")]
     pub granted: Vec<u64>,
-    /// Nodes that lose theirs.
+    /// Nodes that lose their share.
     #[prost(fixed64, repeated, tag = "2")]
     pub revoked: Vec<u64>,
-    /// The share of each node that has one, retries in a window.
+    /// The share of each node that has one, in retries per window.
     #[prost(double, tag = "3")]
     pub slack: f64,
 }
--- a/crates/protocol/src/correlation.rs
+++ b/crates/protocol/src/correlation.rs
@@ -1,36 +1,35 @@
-//! Which answer belongs to which call (correlation of requests and replies). A call is known
-//! by the incarnation of the process that made it, the peer that it was made to, and a number
-//! that the incarnation uses once.
+//! Correlation of calls and answers. A call is identified by the incarnation of the process that
+//! made it, the peer that it was made to, and a number that is unique within the incarnation.
 
 use std::collections::BTreeMap;
 
-/// One run of a process, from its start to its end: a number drawn at random at the start.
-/// Not the identity of the node, which outlasts a restart.
+/// One run of a process, from its start to its end, identified by a random number drawn at the
+/// start. The identity of the node differs from it: it persists across restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Incarnation(pub u64);
 
-/// What names a call on the wire; the peer sends it back with the answer.
+/// Identifies a call on the wire. The peer returns it with the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId {
     /// The incarnation that made the call.
     pub incarnation: Incarnation,
-    /// Counts from 1 within the incarnation and is never used again.
+    /// Number of the call, counted from 1 and unique within the incarnation.
     pub number: u64,
 }
 
-/// Answers that belonged to no pending call, by the reason.
+/// Number of answers that matched no pending call, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UnmatchedAnswers {
-    /// To a call of another incarnation.
+    /// Answers to a call of another incarnation.
     pub other_incarnation: u64,
-    /// From a peer that the call was not made to.
+    /// Answers from a peer that the call was not made to.
     pub other_peer: u64,
-    /// To a call that is over: answered before, expired, or never made.
+    /// Answers to a call that is not pending: already answered, expired, or never made.
     pub not_pending: u64,
 }
 
 impl UnmatchedAnswers {
-    /// All of them.
+    /// Returns the number of all unmatched answers.
     pub fn total(&self) -> u64 {
         self.other_incarnation + self.other_peer + self.not_pending
     }
@@ -39,13 +38,13 @@
 #[derive(Debug)]
 struct PendingCall<P, T> {
     peer: P,
-    /// On the caller's monotonic clock, ms.
-    deadline: u64,
+    /// Deadline on the caller's monotonic clock, in milliseconds.
+    deadline_ms: u64,
     payload: T,
 }
 
-/// The pending calls of one incarnation: `P` tells peers apart (a node's identity or its
-/// address), `T` is what waits for the answer.
+/// The pending calls of one incarnation. `P` identifies a peer (a node's identity or its address),
+/// and `T` is the value kept until the answer arrives.
 #[derive(Debug)]
 pub struct PendingCalls<P, T> {
     incarnation: Incarnation,
@@ -56,7 +55,7 @@
 }
 
 impl<P: PartialEq, T> PendingCalls<P, T> {
-    /// Calls of a process that has just started; each waits for `timeout_ms`.
+    /// Creates an empty table for a new incarnation. Each call expires after `timeout_ms`.
     pub fn new(incarnation: Incarnation, timeout_ms: u64) -> PendingCalls<P, T> {
         PendingCalls {
             incarnation,
@@ -67,14 +66,14 @@
         }
     }
 
-    /// Begins a call to a peer. What has expired by `now` (ms, monotonic) is dropped, so that
-    /// no more is kept than is asked within one timeout.
+    /// Begins a call to a peer at the time `now` (monotonic, in milliseconds). Removes expired
+    /// calls first, so that the table holds only the calls begun within one timeout.
     pub fn begin(&mut self, peer: P, now: u64, payload: T) -> CallId {
         self.expire(now);
         self.last_number += 1;
         let call = PendingCall {
             peer,
-            deadline: now.saturating_add(self.timeout_ms),
+            deadline_ms: now.saturating_add(self.timeout_ms),
             payload,
         };
         self.pending.insert(self.last_number, call);
@@ -84,9 +83,10 @@
         }
     }
 
-    /// What waits for this answer, at most once for each call. `None`, counted, if the call is
-    /// of another incarnation, was made to another peer, is over by `now` or was never made.
-    /// An answer from the wrong peer leaves the call pending.
+    /// Finishes the call that an answer belongs to and returns the call's value, at most once for
+    /// each call. If the call belongs to another incarnation, was made to another peer, has ended
+    /// by `now` or was never made, counts the answer as unmatched and returns `None`. An answer
+    /// from the wrong peer leaves the call pending.
     pub fn finish(&mut self, from: &P, id: CallId, now: u64) -> Option<T> {
         self.expire(now);
         if id.incarnation != self.incarnation {
@@ -106,31 +106,31 @@
         }
     }
 
-    /// Drops the calls whose time is over; how many.
+    /// Removes the calls whose deadline_ms has passed and returns their number.
     pub fn expire(&mut self, now: u64) -> usize {
-        let before = self.pending.len();
-        self.pending.retain(|_, call| call.deadline > now);
-        before - self.pending.len()
+        let count_before = self.pending.len();
+        self.pending.retain(|_, call| call.deadline_ms > now);
+        count_before - self.pending.len()
     }
 
-    /// Drops a call that nobody waits for any more.
+    /// Removes a call whose answer is no longer needed.
     pub fn abandon(&mut self, id: CallId) -> Option<T> {
         let is_own = id.incarnation == self.incarnation;
         let call = is_own.then(|| self.pending.remove(&id.number))?;
         call.map(|call| call.payload)
     }
 
-    /// The incarnation that makes the calls.
+    /// Returns the incarnation that makes the calls.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Calls that wait for an answer.
+    /// Returns the number of pending calls.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// Answers that belonged to no pending call, so far.
+    /// Returns the numbers of unmatched answers so far.
     pub fn unmatched(&self) -> UnmatchedAnswers {
         self.unmatched
     }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,6 +1,6 @@
-//! Messages between nodes, commands of the operator, reports, and the changes that the log
-//! orders. Protocol buffers: tags and types are fixed, since nodes of earlier versions read
-//! the messages and stored logs and snapshots hold the changes.
+//! Messages between nodes, commands of the operator, reports, and the changes in the log. They
+//! are protocol buffers whose tags and types are fixed, because nodes of earlier versions read
+//! the messages, and stored logs and snapshots hold the changes.
 
 mod change;
 mod command;
--- a/crates/protocol/src/peer_message.rs
+++ b/crates/protocol/src/peer_message.rs
@@ -1,4 +1,4 @@
-//! The frames on a connection between two nodes.
+//! The messages that two nodes exchange over a connection.
 
 use crate::command::{CommandRequest, CommandResponse};
 use crate::image::ControlStateImage;
@@ -8,79 +8,79 @@
 /// One frame on a connection between two nodes.
 #[derive(Clone, PartialEq, Message)]
 pub struct PeerMessage {
-    /// The identity of the sender.
+    /// Identity of the sending node.
     #[prost(fixed64, tag = "1")]
     pub from: u64,
-    /// The cluster that the sender belongs to; 0 while it belongs to none.
+    /// Cluster of the sender; 0 while it belongs to none.
     #[prost(fixed64, tag = "2")]
     pub cluster: u64,
-    /// What it is about.
+    /// Content of the message.
     #[prost(oneof = "Payload", tags = "3, 4, 5, 6, 7, 8, 10")]
     pub payload: Option<Payload>,
-    /// The internal address at which the sender can be answered; empty if it wants no answer.
+    /// Internal address for answers to the sender; empty if it expects no answer.
     #[prost(string, tag = "9")]
     pub reply_to: String,
 }
 
-/// What a frame carries.
+/// The content of a message.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Payload {
-    /// An encoded message of Raft.
+    /// An encoded Raft message.
     #[prost(bytes, tag = "3")]
     Raft(Vec<u8>),
-    /// A command of the operator, passed on to the leader.
+    /// A command of the operator, forwarded to the leader.
     #[prost(message, tag = "4")]
     Request(Box<CommandRequest>),
-    /// The answer to one.
+    /// The response to a command.
     #[prost(message, tag = "5")]
     Response(CommandResponse),
-    /// What a node has counted.
+    /// The counts and measurements of a node.
     #[prost(message, tag = "6")]
     Report(Report),
-    /// Asks for what a copy of the state lacks.
+    /// A request for the ranges of the state in which the sender's copy differs.
     #[prost(message, tag = "7")]
     Digests(RangeDigests),
-    /// The answer to that.
+    /// The answer to [`Payload::Digests`].
     #[prost(message, tag = "8")]
     Repair(Box<Repair>),
-    /// Nothing but the connection that carries it.
+    /// No content: the message only establishes the connection.
     #[prost(bool, tag = "10")]
     Hello(bool),
 }
 
-/// Digests of the ranges of a copy of the control state, at the index that it stands at.
+/// Digests of the ranges of a copy of the control state at its log index.
 #[derive(Clone, PartialEq, Message)]
 pub struct RangeDigests {
-    /// Index of the log.
+    /// Last log index that the copy has applied.
     #[prost(uint64, tag = "1")]
     pub index: u64,
     /// One digest for each range.
     #[prost(uint64, repeated, tag = "2")]
     pub ranges: Vec<u64>,
-    /// The incarnation of the process that asks.
+    /// Incarnation of the process that makes the call.
     #[prost(fixed64, tag = "3")]
     pub incarnation: u64,
-    /// Its number of the question.
+    /// Number of the call within the incarnation.
     #[prost(uint64, tag = "4")]
     pub number: u64,
 }
 
-/// The rows of the ranges that differ, from the newer copy.
+/// The rows of the differing ranges, taken from the newer copy.
 #[derive(Clone, PartialEq, Message)]
 pub struct Repair {
-    /// Index of the log that the newer copy stands at.
+    /// Last log index that the newer copy has applied.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// The ranges that differ, by number.
+    /// Numbers of the ranges that differ.
     #[prost(uint32, repeated, tag = "2")]
     pub ranges: Vec<u32>,
-    /// Their rows.
+    /// The rows of these ranges.
     #[prost(message, optional, tag = "3")]
     pub image: Option<ControlStateImage>,
-    /// The incarnation that asked.
+    /// Incarnation from the request.
     #[prost(fixed64, tag = "4")]
     pub incarnation: u64,
-    /// Its number of the question.
+    /// Number of the call from the request.
     #[prost(uint64, tag = "5")]
     pub number: u64,
 }
--- a/crates/protocol/src/report.rs
+++ b/crates/protocol/src/report.rs
@@ -1,107 +1,108 @@
-//! What a node tells the leader twice a second: rates, capacities and distances.
+//! Reports that a node sends to the leader twice a second: request counts, capacities and round
+//! trips.
 
 use prost::Message;
 use rollout::CohortSample;
 use std::collections::BTreeMap;
 
-/// A name in four bytes (FNV-1a), for reports: they go between regions twice a second, and
-/// the leader knows the names.
+/// Returns the 32-bit FNV-1a hash of a name. Reports hold hashes instead of names to stay small,
+/// because they are sent between regions twice a second and the leader knows the names.
 pub fn name_hash(name: &str) -> u32 {
     name.bytes()
         .fold(0x811c_9dc5, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193))
 }
 
-/// What a node has counted since its last report.
+/// The counts and measurements of a node since its last report.
 #[derive(Clone, PartialEq, Message)]
 pub struct Report {
-    /// The node's zone.
+    /// Zone of the node.
     #[prost(string, tag = "1")]
     pub zone: String,
-    /// The node's site: its region, or its zone where zones are the sites.
+    /// Site of the node: its region, or its zone in deployments where zones are the sites.
     #[prost(string, tag = "2")]
     pub site: String,
-    /// The time that the counts cover, ms.
+    /// Time that the counts cover, in milliseconds.
     #[prost(uint64, tag = "3")]
     pub interval_ms: u64,
-    /// Requests by service and client group.
+    /// Number of requests by service and client group.
     #[prost(message, repeated, tag = "4")]
     pub demand: Vec<Demand>,
-    /// What was observed of workers.
+    /// Observed results of workers.
     #[prost(message, repeated, tag = "5")]
     pub workers: Vec<WorkerStats>,
-    /// Distances to other sites.
+    /// Round trips to other sites.
     #[prost(message, repeated, tag = "6")]
     pub round_trips: Vec<RoundTrip>,
-    /// Requests a second that the node itself can forward.
+    /// Forwarding capacity of the node, in requests per second.
     #[prost(double, tag = "7")]
     pub forwarding_rate: f64,
-    /// Requests for keys.
+    /// Number of requests by service and key bucket.
     #[prost(message, repeated, tag = "8")]
     pub keys: Vec<KeyCounts>,
-    /// Outcomes of services that are being rolled out.
+    /// Request outcomes of services with a rollout in progress.
     #[prost(message, repeated, tag = "9")]
     pub rollout_samples: Vec<CohortSample>,
 }
 
-/// Requests for a service.
+/// The number of requests for a service from a client group.
 #[derive(Clone, PartialEq, Message)]
 pub struct Demand {
-    /// The service, by [`name_hash`].
+    /// The [`name_hash`] of the service.
     #[prost(fixed32, tag = "1")]
     pub service: u32,
-    /// The client group: the zone that the clients are in; empty for the node's own.
+    /// The client group, which is the zone of the clients; empty for the node's own zone.
     #[prost(string, tag = "2")]
     pub group: String,
-    /// Requests.
+    /// The number of requests.
     #[prost(uint64, tag = "3")]
     pub count: u64,
 }
 
-/// What a node has observed of a worker.
+/// The results of a worker as observed by a node.
 #[derive(Clone, PartialEq, Message)]
 pub struct WorkerStats {
-    /// The worker, by [`name_hash`].
+    /// The [`name_hash`] of the worker's identifier.
     #[prost(fixed32, tag = "1")]
     pub worker: u32,
-    /// Mean response time, ms.
+    /// Mean response time, in milliseconds.
     #[prost(float, tag = "2")]
     pub response_ms: f32,
-    /// Requests that it answered.
+    /// Number of requests that the worker answered.
     #[prost(uint64, tag = "3")]
     pub served: u64,
-    /// Requests that it failed.
+    /// Number of requests that failed at the worker.
     #[prost(uint64, tag = "4")]
     pub failed: u64,
 }
 
-/// The distance to a site.
+/// The round trip to a site.
 #[derive(Clone, PartialEq, Message)]
 pub struct RoundTrip {
-    /// The site, by [`name_hash`].
+    /// The [`name_hash`] of the site.
     #[prost(fixed32, tag = "1")]
     pub site: u32,
-    /// Round trip, ms.
+    /// Round-trip time, in milliseconds.
     #[prost(float, tag = "2")]
     pub rtt_ms: f32,
 }
 
-/// Requests for the keys of a service, by bucket of neighbouring keys.
+/// The number of requests for the keys of a service, by bucket of adjacent keys.
 #[derive(Clone, PartialEq, Message)]
 pub struct KeyCounts {
-    /// The service, by [`name_hash`].
+    /// The [`name_hash`] of the service.
     #[prost(fixed32, tag = "1")]
     pub service: u32,
-    /// The buckets with requests, ascending.
+    /// Numbers of the buckets with requests, ascending.
     #[prost(uint32, repeated, tag = "2")]
     pub buckets: Vec<u32>,
-    /// The requests of each.
+    /// Number of requests for each of these buckets.
     #[prost(uint32, repeated, tag = "3")]
     pub counts: Vec<u32>,
 }
 
 impl Report {
-    /// Adds what another node of the same region reports: a voter passes on the sum of what
-    /// its learners have counted.
+    /// Adds the report of another node in the same region. A voter forwards the sum of its
+    /// learners' reports.
     pub fn merge(&mut self, other: Report) {
         self.merge_demand(&other.zone, other.demand);
         self.merge_workers(other.workers);
@@ -133,11 +134,11 @@
             if other.group.is_empty() {
                 other.group = zone.to_string();
             }
-            let own = other.group == self.zone;
-            let same = |d: &Demand| {
-                d.service == other.service && (d.group == other.group || own && d.group.is_empty())
+            let is_own_zone = other.group == self.zone;
+            let is_same = |d: &Demand| {
+                d.service == other.service && (d.group == other.group || is_own_zone && d.group.is_empty())
             };
-            match self.demand.iter_mut().find(|d| same(d)) {
+            match self.demand.iter_mut().find(|d| is_same(d)) {
                 Some(known) => known.count += other.count,
                 None => self.demand.push(other),
             }
--- a/crates/protocol/tests/correlation.rs
+++ b/crates/protocol/tests/correlation.rs
@@ -1,5 +1,5 @@
-//! Answers that are late, doubled, lost, out of order or from a life before
-//! reach only the caller that asked, and at most once.
+//! Answers that are late, duplicated, lost, reordered or meant for an earlier incarnation reach only
+//! the caller of their call, and at most once.
 
 use proptest::prelude::*;
 use proptest::sample::Index;
@@ -8,21 +8,25 @@
 use protocol::{CallId, Incarnation, PendingCalls};
 use std::collections::BTreeMap;
 
-const WAIT: u64 = 100;
+const TIMEOUT_MS: u64 = 100;
 
 #[test]
-fn an_answer_ends_the_call_that_it_belongs_to() {
-    let mut calls = PendingCalls::new(Incarnation(7), WAIT);
+fn answer_finishes_the_call_that_it_belongs_to() {
+    let mut calls = PendingCalls::new(Incarnation(7), TIMEOUT_MS);
     let first = calls.begin("a", 0, "first");
     let second = calls.begin("a", 0, "second");
     assert_eq!(calls.finish(&"a", second, 1), Some("second"));
     assert_eq!(calls.finish(&"a", second, 1), None, "a second answer");
-    assert_eq!(calls.finish(&"b", first, 1), None, "another peer's");
-    let earlier = CallId {
+    assert_eq!(calls.finish(&"b", first, 1), None, "an answer of another peer");
+    let of_earlier_incarnation = CallId {
         incarnation: Incarnation(6),
         ..first
     };
-    assert_eq!(calls.finish(&"a", earlier, 1), None, "another life's");
+    assert_eq!(
+        calls.finish(&"a", of_earlier_incarnation, 1),
+        None,
+        "an answer to another incarnation"
+    );
     assert_eq!(calls.finish(&"a", first, 1), Some("first"));
     let unmatched = calls.unmatched();
     assert_eq!(
@@ -36,156 +40,158 @@
 }
 
 #[test]
-fn what_is_not_answered_in_time_is_dropped() {
-    let mut calls = PendingCalls::new(Incarnation(7), WAIT);
-    for now in 0..10 * WAIT {
+fn expired_calls_are_removed() {
+    let mut calls = PendingCalls::new(Incarnation(7), TIMEOUT_MS);
+    for now in 0..10 * TIMEOUT_MS {
         calls.begin("a", now, ());
-        assert!(calls.pending() as u64 <= WAIT);
+        assert!(calls.pending() as u64 <= TIMEOUT_MS);
     }
-    let late = calls.begin("a", 10 * WAIT, ());
-    assert_eq!(calls.finish(&"a", late, 11 * WAIT), None);
+    let late = calls.begin("a", 10 * TIMEOUT_MS, ());
+    assert_eq!(calls.finish(&"a", late, 11 * TIMEOUT_MS), None);
     assert_eq!((calls.pending(), calls.unmatched().not_pending), (0, 1));
 }
 
-/// What may be wrong in a pairing, planted to see that the search finds it.
+/// Faults in the correlation, injected to verify that the checks detect them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// Numbers alone tell calls apart, from 1 in each life.
-    LifeIgnored,
-    /// Whoever answers is taken for the one that was asked.
+    /// Calls are identified by number alone, counted from 1 in each incarnation.
+    IncarnationIgnored,
+    /// An answer is accepted from any peer.
     PeerIgnored,
-    /// A call stays open after its answer.
+    /// A call stays pending after its answer.
     AnsweredTwice,
 }
 
 const NODES: usize = 3;
 
-/// Every node asks and answers; what is on its way may arrive at any time, any
-/// number of times, and at a node that it was not sent to.
+/// One step of the simulation. Every node makes and answers calls. A call or answer in transit may
+/// arrive at any time, any number of times, and at a node that it was not sent to.
 #[derive(Clone, Debug)]
 enum Step {
-    Ask { from: usize, peer: usize },
-    Arrive(Index, Option<usize>),
-    Answer(Index, Option<usize>),
+    Call { from: usize, peer: usize },
+    DeliverCall(Index, Option<usize>),
+    DeliverAnswer(Index, Option<usize>),
     Restart(usize),
     Wait(u64),
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct SentCall {
     id: CallId,
     from: usize,
-    /// The how many-th life of the caller.
+    /// Ordinal number of the caller's incarnation, from 1.
     incarnation: u64,
     peer: usize,
-    /// Tells this call from all others of all lives: what the checker goes by.
-    name: u64,
+    /// Number that is unique among the calls of all nodes and incarnations, used by the checks.
+    serial: u64,
 }
 
-struct World {
+struct Simulation {
     fault: Fault,
     now: u64,
-    lives: [u64; NODES],
+    incarnations: [u64; NODES],
     calls: Vec<PendingCalls<usize, u64>>,
-    asked: Vec<Asked>,
-    answers: Vec<(Asked, usize)>,
+    sent: Vec<SentCall>,
+    answers: Vec<(SentCall, usize)>,
     answered: BTreeMap<CallId, u64>,
 }
 
-impl World {
+impl Simulation {
     fn start(&mut self, node: usize) -> PendingCalls<usize, u64> {
-        self.lives[node] += 1;
-        let drawn = (self.lives[node] << 8) + node as u64;
-        let incarnation = if self.fault == Fault::LifeIgnored {
+        self.incarnations[node] += 1;
+        let unique = (self.incarnations[node] << 8) + node as u64;
+        let incarnation = if self.fault == Fault::IncarnationIgnored {
             1
         } else {
-            drawn
+            unique
         };
-        PendingCalls::new(Incarnation(incarnation), WAIT)
+        PendingCalls::new(Incarnation(incarnation), TIMEOUT_MS)
     }
 
-    fn ask(&mut self, from: usize, peer: usize) -> Result<(), String> {
-        let name = self.asked.len() as u64 + 1;
-        let id = self.calls[from].begin(peer, self.now, name);
-        let incarnation = self.lives[from];
-        if self.asked.iter().any(|a| a.id == id) && self.fault == Fault::None {
+    fn call(&mut self, from: usize, peer: usize) -> Result<(), String> {
+        let serial = self.sent.len() as u64 + 1;
+        let id = self.calls[from].begin(peer, self.now, serial);
+        let incarnation = self.incarnations[from];
+        if self.sent.iter().any(|call| call.id == id) && self.fault == Fault::None {
             return Err(format!("{id:?} was used before"));
         }
-        self.asked.push(Asked {
+        self.sent.push(SentCall {
             id,
             from,
             incarnation,
             peer,
-            name,
+            serial,
         });
         Ok(())
     }
 
-    fn answer(&mut self, (call, by): (Asked, usize), to: usize) -> Result<(), String> {
-        let seen = if self.fault == Fault::PeerIgnored {
+    fn deliver_answer(&mut self, (call, answerer): (SentCall, usize), to: usize) -> Result<(), String> {
+        let apparent_peer = if self.fault == Fault::PeerIgnored {
             call.peer
         } else {
-            by
+            answerer
         };
-        let mut got = self.calls[to].finish(&seen, call.id, self.now);
+        let mut finished = self.calls[to].finish(&apparent_peer, call.id, self.now);
         if self.fault == Fault::AnsweredTwice {
-            got = got.or(self.answered.get(&call.id).copied());
+            finished = finished.or(self.answered.get(&call.id).copied());
         }
-        let Some(name) = got else { return Ok(()) };
-        let right = name == call.name && call.incarnation == self.lives[to];
-        let twice = self.answered.insert(call.id, name).is_some();
-        if !right || call.from != to || call.peer != by || twice {
-            return Err(format!("{call:?}, answered by {by}, reached {name} at {to}"));
+        let Some(serial) = finished else { return Ok(()) };
+        let is_right_call = serial == call.serial && call.incarnation == self.incarnations[to];
+        let is_duplicate = self.answered.insert(call.id, serial).is_some();
+        if !is_right_call || call.from != to || call.peer != answerer || is_duplicate {
+            return Err(format!(
+                "the answer of node {answerer} to {call:?} finished call {serial} on node {to}"
+            ));
         }
         Ok(())
     }
 }
 
-/// Plays steps: how many calls were answered, or the first thing that is wrong.
+/// Runs the steps and returns the number of answered calls, or the first violation.
 fn run_steps(steps: &[Step], fault: Fault) -> Result<usize, String> {
-    let mut world = World {
+    let mut simulation = Simulation {
         fault,
         now: 0,
-        lives: [0; NODES],
+        incarnations: [0; NODES],
         calls: Vec::new(),
-        asked: Vec::new(),
+        sent: Vec::new(),
         answers: Vec::new(),
         answered: BTreeMap::new(),
     };
     for node in 0..NODES {
-        let calls = world.start(node);
-        world.calls.push(calls);
+        let calls = simulation.start(node);
+        simulation.calls.push(calls);
     }
     for step in steps {
         match step {
-            Step::Ask { from, peer } => world.ask(*from, *peer)?,
-            Step::Arrive(call, at) if !world.asked.is_empty() => {
-                let call = *call.get(&world.asked);
+            Step::Call { from, peer } => simulation.call(*from, *peer)?,
+            Step::DeliverCall(call, at) if !simulation.sent.is_empty() => {
+                let call = *call.get(&simulation.sent);
                 let answer = (call, at.unwrap_or(call.peer));
-                world.answers.push(answer);
+                simulation.answers.push(answer);
             }
-            Step::Answer(answer, to) if !world.answers.is_empty() => {
-                let answer = *answer.get(&world.answers);
-                world.answer(answer, to.unwrap_or(answer.0.from))?;
+            Step::DeliverAnswer(answer, to) if !simulation.answers.is_empty() => {
+                let answer = *answer.get(&simulation.answers);
+                simulation.deliver_answer(answer, to.unwrap_or(answer.0.from))?;
             }
-            Step::Restart(node) => world.calls[*node] = world.start(*node),
-            Step::Wait(ms) => world.now += ms,
-            Step::Arrive(..) | Step::Answer(..) => {}
+            Step::Restart(node) => simulation.calls[*node] = simulation.start(*node),
+            Step::Wait(ms) => simulation.now += ms,
+            Step::DeliverCall(..) | Step::DeliverAnswer(..) => {}
         }
     }
-    Ok(world.answered.len())
+    Ok(simulation.answered.len())
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let (index, node) = (any::<Index>, || 0..NODES);
-    let astray = || prop::option::weighted(0.3, node());
+    let wrong_node = || prop::option::weighted(0.3, node());
     let step = prop_oneof![
-        4 => (node(), node()).prop_map(|(from, peer)| Step::Ask { from, peer }),
-        5 => (index(), astray()).prop_map(|(call, at)| Step::Arrive(call, at)),
-        6 => (index(), astray()).prop_map(|(answer, to)| Step::Answer(answer, to)),
+        4 => (node(), node()).prop_map(|(from, peer)| Step::Call { from, peer }),
+        5 => (index(), wrong_node()).prop_map(|(call, at)| Step::DeliverCall(call, at)),
+        6 => (index(), wrong_node()).prop_map(|(answer, to)| Step::DeliverAnswer(answer, to)),
         1 => node().prop_map(Step::Restart),
-        1 => (1..WAIT).prop_map(Step::Wait),
+        1 => (1..TIMEOUT_MS).prop_map(Step::Wait),
     ];
     prop::collection::vec(step, 1..60)
 }
@@ -195,22 +201,29 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: CASES, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn an_answer_reaches_only_who_asked_and_once(steps in steps()) {
+    fn answer_reaches_only_its_caller_and_only_once(steps in steps()) {
         let outcome = run_steps(&steps, Fault::None);
         prop_assert!(outcome.is_ok(), "{outcome:?}");
     }
 }
 
 #[test]
-fn planted_faults_are_found_and_the_right_answers_arrive() {
+fn injected_faults_are_detected_and_correct_answers_are_delivered() {
     let mut runner = TestRunner::deterministic();
-    let worlds: Vec<_> = (0..CASES)
+    let cases: Vec<_> = (0..CASES)
         .filter_map(|_| Some(steps().new_tree(&mut runner).ok()?.current()))
         .collect();
-    for fault in [Fault::LifeIgnored, Fault::PeerIgnored, Fault::AnsweredTwice] {
-        let found = worlds.iter().any(|steps| run_steps(steps, fault).is_err());
-        assert!(found, "{fault:?} was not found");
+    for fault in [
+        Fault::IncarnationIgnored,
+        Fault::PeerIgnored,
+        Fault::AnsweredTwice,
+    ] {
+        let is_detected = cases.iter().any(|steps| run_steps(steps, fault).is_err());
+        assert!(is_detected, "{fault:?} was not detected");
     }
-    let answered: usize = worlds.iter().filter_map(|w| run_steps(w, Fault::None).ok()).sum();
-    assert!(answered > worlds.len() / 2, "{answered} calls were answered");
+    let answered: usize = cases
+        .iter()
+        .filter_map(|steps| run_steps(steps, Fault::None).ok())
+        .sum();
+    assert!(answered > cases.len() / 2, "{answered} calls were answered");
 }
--- a/crates/protocol/tests/report.rs
+++ b/crates/protocol/tests/report.rs
@@ -1,4 +1,4 @@
-//! Sums of reports.
+//! Merging of reports.
 
 use protocol::{Demand, KeyCounts, Report, WorkerStats};
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn merged_reports_add_up() {
+fn merged_report_holds_the_sums() {
     let mut sum = report("a", 7, 10, 100.0, 3);
     sum.merge(report("a", 7, 30, 200.0, 4));
     sum.merge(report("b", 8, 5, 50.0, 3));
