--- a/crates/config/src/configuration/parse.rs
+++ b/crates/config/src/configuration/parse.rs
@@ -1,4 +1,4 @@
-//! The JSON form of a configuration, and its checks.
+//! The JSON form of a configuration and its validation.
 
 use super::{ClientLimits, Configuration, Route, RouteKind, Service, WeightedService};
 use crate::duration_text::DurationText;
@@ -105,8 +105,8 @@
     "/health".into()
 }
 
-/// Reads a configuration, with everything that is wrong with it; none if it is no JSON of the
-/// expected form.
+/// Parses a configuration and returns it with all its errors. Returns no configuration if the body
+/// is not JSON of the expected form.
 pub(super) fn parse(body: &[u8]) -> (Option<Configuration>, Vec<ConfigurationError>) {
     let wire: WireConfiguration = match serde_json::from_slice(body) {
         Ok(wire) => wire,
@@ -199,13 +199,13 @@
     if !prefix.starts_with('/') || !prefix.ends_with('/') {
         return Err(error("Condition.PathPrefix", "must start and end with a slash"));
     }
-    let wanted = match (rule.treatment.split, rule.treatment.service) {
+    let requested_split = match (rule.treatment.split, rule.treatment.service) {
         (Some(split), None) => split,
         (None, Some(service)) => vec![WireSplit { service, weight: 1.0 }],
         _ => return Err(error("Treatment", "must hold either Service or Split")),
     };
-    let mut split = Vec::with_capacity(wanted.len());
-    for WireSplit { service, weight } in wanted {
+    let mut split = Vec::with_capacity(requested_split.len());
+    for WireSplit { service, weight } in requested_split {
         let Some(known) = services.get(service.as_str()) else {
             return Err(error("Treatment.Service", &format!("`{service}` is unknown")));
         };
--- a/crates/config/src/constants.rs
+++ b/crates/config/src/constants.rs
@@ -1,6 +1,6 @@
-//! Every constant that crates share, with its unit and its reason. What a deployment settles
-//! (bounds, limits, addresses) is not here: that comes from the settings file, the operator
-//! and the workers.
+//! The constants that several crates share. Values that depend on the deployment (bounds, limits,
+//! addresses) are not defined here: they come from the settings file, the operator and the
+//! workers.
 
 mod balancing;
 mod control;
--- a/crates/config/src/constants/balancing.rs
+++ b/crates/config/src/constants/balancing.rs
@@ -1,45 +1,50 @@
-//! Choice of a worker, subsets, retry budgets.
+//! Worker selection, subsets and retry budgets.
 
-/// What a worker in another zone of the region must be quicker by, as a part
-/// of the route's target: bytes between zones are priced.
+/// Penalty for a worker in another zone of the region, as a fraction of the route's target.
+/// Traffic between zones is charged for.
 pub const ZONE_PENALTY: f64 = 0.1;
-/// The same for a worker in another region, on top of the round trip.
+/// Penalty for a worker in another region, as a fraction of the route's target, in addition to the
+/// round trip.
 pub const REGION_PENALTY: f64 = 0.5;
-/// Connections to each worker that this node should be able to have if it is
-/// to use all of them, connections: with fewer it uses a part of the workers.
+/// Smallest number of connections per worker with which a node uses all workers of a service. If
+/// its share of a worker's connections is smaller, the node uses a subset of the workers.
 pub const MIN_CONNECTIONS_PER_WORKER: u32 = 4;
-/// Workers of a service above which a node uses a part of them, workers: its
-/// requests are few, and each would meet a worker that it has no connection to
-/// and knows nothing of.
+/// Number of workers of a service above which a node uses a subset. A node with few requests
+/// would otherwise send each to a worker that it has no connection to and no statistics for.
 pub const SUBSET_THRESHOLD: usize = 175;
-/// Workers of its own zone that a node uses if it does not use all, workers:
-/// enough to even out, few enough that connections are used again.
+/// Number of workers in the node's own zone that a subset contains: enough to balance the load, and
+/// few enough that connections are reused.
 pub const LOCAL_SUBSET: usize = 12;
-/// The same in each other zone, for when its own has no room, workers.
+/// Number of workers in each other zone that a subset contains, for use when the node's own zone
+/// has no capacity left.
 pub const REMOTE_SUBSET: usize = 4;
-/// Part of a worker's connections for the nodes of its own zone; what neither this nor the
-/// next one covers is for nodes that count each other differently meanwhile.
+/// Fraction of a worker's connections reserved for the nodes of its own zone. The remainder beside
+/// this and [`REMOTE_CONNECTION_PART`] covers nodes whose views of the membership temporarily
+/// differ.
 pub const LOCAL_CONNECTION_PART: f64 = 0.6;
-/// The same for all other nodes.
+/// Fraction of a worker's connections reserved for the nodes of other zones.
 pub const REMOTE_CONNECTION_PART: f64 = 0.3;
 /// Weight of the newest answer in a worker's mean response time.
 pub const RESPONSE_SMOOTHING: f64 = 0.1;
-/// A worker that failed in a row is left alone for this long at first, ms.
+/// First ejection time of a worker after consecutive failures, in milliseconds, decided by one node
+/// alone.
 pub const LOCAL_EJECTION_MS: u64 = 500;
-/// Longest time a worker is left alone, ms.
+/// Longest ejection time of a worker after consecutive failures, in milliseconds.
 pub const LOCAL_EJECTION_MAX_MS: u64 = 4000;
-/// A worker whose address another one has is left alone for this long, ms: the
-/// list drops it within some seconds.
+/// Ejection time of a worker whose address now belongs to another worker, in milliseconds. The
+/// platform's list drops the worker within some seconds.
 pub const REUSED_ADDRESS_MS: u64 = 6000;
-/// A worker that turned a request away is left alone for this long, ms.
+/// Ejection time of a worker that rejected a request, in milliseconds.
 pub const OVERLOAD_PAUSE_MS: u64 = 40;
-/// Part of the ratio of the retry budget that is used: the rest covers windows
-/// that nodes see at different moments.
+/// Fraction of the retry budget's ratio that is used. The remainder covers differences between the
+/// time windows of the nodes.
 pub const RETRY_BUDGET_PART: f64 = 0.8;
-/// Part of the slack of the retry budget that is shared out.
+/// Fraction of the retry budget's slack that is distributed to the nodes.
 pub const RETRY_SLACK_PART: f64 = 0.5;
-/// A request is refused at once if a worker is expected to take more than this
-/// times the time it has left: estimates are rough, an attempt is worth it.
+/// A request is refused at once if the expected response time of a worker exceeds this multiple of
+/// the request's remaining time. The factor is above 1 because the estimates are rough and an
+/// attempt is worthwhile.
 pub const DEADLINE_SLACK_FACTOR: f64 = 2.5;
-/// How much sooner each rank of `Priority` below the highest makes room.
+/// Increase of the divisor of [`DEADLINE_SLACK_FACTOR`] for each rank of `Priority` below the
+/// highest, so that requests of lower priority are refused sooner.
 pub const PRIORITY_STEP: f64 = 0.25;
--- a/crates/config/src/constants/control.rs
+++ b/crates/config/src/constants/control.rs
@@ -1,37 +1,39 @@
-//! Commands of the operator, contact between nodes, and repair of the membership of voters.
+//! Commands of the operator, contact between nodes, and replacement of unresponsive voters.
 
-/// Wait for the nodes in contact to apply a change before it is acknowledged
-/// all the same, ms: well under the second of silence after which callers move on.
+/// Time that the leader waits for the nodes in contact to apply a change before it acknowledges the
+/// change anyway, in milliseconds: well below the second after which a caller without an answer
+/// tries another node.
 pub const APPLY_WAIT_MS: u64 = 400;
-/// A call passed on to the leader is given up after this time, ms: the caller
-/// moves on after a second of silence.
+/// Timeout of a call that is forwarded to the leader, in milliseconds. A caller without an answer
+/// tries another node after a second.
 pub const COMMAND_TIMEOUT_MS: u64 = 900;
-/// A command without a base that comes again as it was within this time is taken for
-/// the same command, ms: callers resend after a second of silence and a growing pause.
+/// Time within which an identical command without a base version counts as the same command, in
+/// milliseconds. Callers without an answer resend after a second and a growing pause.
 pub const REPEATED_COMMAND_MS: u64 = 3000;
-/// Accepted configuration commands that the command history remembers, commands: a command under way
-/// for longer than so many changes later gets no clear answer. Eight may be under way
-/// at once; some 25 bytes each.
+/// Number of accepted configuration commands in the command history. A command that is still
+/// pending after as many later changes gets an indefinite answer. Eight commands may be pending at
+/// once, and each takes some 25 bytes.
 pub const ACCEPTED_REMEMBERED: usize = 256;
-/// Rejected configuration commands on bases that are not there yet which the command history
-/// remembers, commands: no proper operator sends one.
+/// Number of rejected configuration commands on future base versions in the command history. A
+/// well-behaved operator sends none.
 pub const REJECTED_AHEAD_REMEMBERED: usize = 16;
-/// Other commands that the command history remembers, commands: far more than a node passes on
-/// within [`COMMAND_TIMEOUT_MS`]; some 50 bytes each.
+/// Number of commands without a base version in the command history: far more than a node forwards
+/// within [`COMMAND_TIMEOUT_MS`]. Each takes some 50 bytes.
 pub const TAGGED_REMEMBERED: usize = 64;
-/// A node that has heard nothing of a majority for this long answers commands at once and
-/// names nodes that may know better, ms: an election takes less.
+/// Time without contact to a majority after which a node answers commands at once and names other
+/// nodes that may be in contact, in milliseconds. An election takes less.
 pub const OUT_OF_CONTACT_MS: u64 = 1500;
-/// Pause between two searches for a leader while a call waits, ms.
+/// Interval between two searches for a leader while a call waits, in milliseconds.
 pub const COMMAND_RETRY_MS: u64 = 100;
-/// A node that has heard no leader for this long after its start looks for the
-/// newest copy among its peers, ms: an election on all nodes at once takes less.
+/// Time after its start after which a node that has not heard from a leader looks for the newest
+/// copy among its peers, in milliseconds. An election on all nodes at once takes less.
 pub const PEER_CATCH_UP_MS: u64 = 2500;
-/// Silence of a node after which the leader does not wait for it, ms.
+/// Time after which the leader no longer waits for an unresponsive node, in milliseconds.
 pub const CONTACT_TIMEOUT_MS: u64 = 1000;
-/// A voter silent for this long may be replaced, ms: longer than a restart.
+/// Time after which an unresponsive voter may be replaced, in milliseconds: longer than a restart.
 pub const VOTER_REMOVAL_MS: u64 = 5000;
-/// The same for a voter that announced its shutdown, and where the others would tolerate a loss that
-/// they do not tolerate with it, ms: a process that is only restarted is back in half of that,
-/// and an election, this and the changes of the membership fit into the time that a loss has.
+/// Time after which an unresponsive voter may be replaced if it announced its shutdown, or if the
+/// remaining voters would tolerate a loss that they do not tolerate with it, in milliseconds. A
+/// process that only restarts is back in half of this time. An election, this time and the changes
+/// of the membership fit into the time allowed after a loss.
 pub const VOTER_URGENT_REMOVAL_MS: u64 = 2000;
--- a/crates/config/src/constants/discovery.rs
+++ b/crates/config/src/constants/discovery.rs
@@ -1,13 +1,13 @@
 //! Reading the platform's list of workers.
 
-/// Pause between readings of the platform's list, ms: the list, the log and a
-/// change of leader together stay inside the shortest `Drain`.
+/// Interval between readings of the platform's list, in milliseconds. A reading, a log entry and a
+/// leader change together take less than the shortest `Drain`.
 pub const LIST_INTERVAL_MS: u64 = 500;
-/// Pause for each page of a long list, ms: a list of twenty pages is read less
-/// often, still thrice within the shortest `Drain`.
+/// Interval between readings per page of a long list, in milliseconds. A list of twenty pages is
+/// read less often, but still three times within the shortest `Drain`.
 pub const LIST_PAGE_INTERVAL_MS: u64 = 40;
-/// Readings in a row that must leave a worker out before it is taken for ended, if the list has
-/// several pages, readings.
+/// Number of consecutive readings without a worker after which it counts as terminated, if the list
+/// has several pages.
 pub const ABSENT_READINGS: u32 = 3;
-/// Wait for an answer of the platform, ms.
+/// Timeout of a call to the platform, in milliseconds.
 pub const LIST_TIMEOUT_MS: u64 = 1000;
--- a/crates/config/src/constants/outlier.rs
+++ b/crates/config/src/constants/outlier.rs
@@ -1,27 +1,27 @@
-//! Outlier detection: workers that fail or lag.
+//! Outlier detection: workers that fail or are slow.
 
-/// Pause between two checks of which workers fail, ms.
+/// Interval between two checks for outliers, in milliseconds.
 pub const OUTLIER_CHECK_INTERVAL_MS: u64 = 500;
-/// What is kept of a worker's outcomes from one look to the next: some two
-/// seconds count.
+/// Weight that a worker's earlier outcomes keep at each check, so that about two seconds count.
 pub const OUTLIER_RETENTION: f64 = 0.8;
-/// How long a new leader judges nobody, ms: after a loss of many nodes all that
-/// was held up comes at once, and who is full looks unhealthy.
+/// Time after a leader change in which no further worker is ejected, in milliseconds. After many
+/// nodes are lost, all delayed requests arrive at once, and overloaded workers look unhealthy.
 pub const OUTLIER_SETTLE_MS: u64 = 6000;
-/// Outcomes before a worker is judged.
+/// Number of outcomes required before a worker is evaluated.
 pub const OUTLIER_MIN_OUTCOMES: f64 = 4.0;
-/// Part of failures above what is usual in its service that ejects a worker.
+/// Excess of a worker's failure rate over the usual rate of its service that causes ejection.
 pub const OUTLIER_EXCESS_FAILURES: f64 = 0.2;
-/// How many times slower than is usual in its service ejects a worker.
+/// Multiple of the usual response time of its service that causes a worker's ejection.
 pub const OUTLIER_SLOWNESS: f64 = 4.0;
-/// Most workers of a service ejected, part of them: what strikes more is
-/// no fault of single workers.
+/// Largest fraction of the workers of a service that is ejected. A failure of more workers is not a
+/// fault of individual workers.
 pub const MAX_EJECTED_PART: f64 = 0.3;
-/// How long a worker is ejected at first, ms; twice that the next time.
+/// First ejection time of a worker, in milliseconds. It doubles with the next ejection.
 pub const EJECTION_MS: u64 = 3000;
-/// Longest time ejected, ms.
+/// Longest ejection time of a worker, in milliseconds.
 pub const EJECTION_MAX_MS: u64 = 12_000;
-/// How long a worker that has come back is preferred less, ms.
+/// Time after its ejection during which a worker is selected with lower preference, in
+/// milliseconds.
 pub const PROBATION_MS: u64 = 2000;
-/// How many times dearer it is at first.
+/// Factor on the selection cost of a worker at the beginning of this time.
 pub const PROBATION_COST: f64 = 4.0;
--- a/crates/config/src/constants/proxy.rs
+++ b/crates/config/src/constants/proxy.rs
@@ -1,38 +1,37 @@
-//! The forwarding path.
+//! Forwarding of requests to workers.
 
-/// Unacknowledged bytes to a worker end the connection after this time plus
-/// two round trips, ms: workers of one region are near, and a dark one must
-/// not keep requests.
+/// Time after which unacknowledged bytes to a worker end the connection, in milliseconds, not
+/// counting two round trips. Workers of one region are near, and an unreachable worker must not
+/// hold requests.
 pub const WORKER_USER_TIMEOUT_MS: u64 = 500;
-/// Connecting to a worker is given up after this time plus two round trips, ms.
+/// Timeout for connecting to a worker, in milliseconds, not counting two round trips.
 pub const WORKER_CONNECT_TIMEOUT_MS: u64 = 250;
-/// An idle connection to a worker is not used again after this time, ms, nor
-/// within a second of the end that the worker announced.
+/// Longest idle time after which a connection to a worker is reused, in milliseconds. A connection
+/// is also not reused within a second of the idle timeout that the worker announced.
 pub const IDLE_REUSE_MS: u64 = 4000;
-/// The same for requests that must not run twice, ms.
+/// Longest idle time after which a connection is reused for a request that must not run twice, in
+/// milliseconds.
 pub const IDLE_REUSE_NON_IDEMPOTENT_MS: u64 = 2000;
-/// How long a node avoids rested connections once a peer has forgotten
-/// one, ms: such phases last some seconds.
+/// Time for which a node avoids idle connections after a peer has lost the state of one, in
+/// milliseconds. Such phases last some seconds.
 pub const STALE_CONNECTION_CAUTION_MS: u64 = 10_000;
-/// What a refused client is told to wait, ms.
+/// Wait that a refused client is told, in milliseconds.
 pub const RETRY_AFTER_MS: u64 = 200;
-/// What a client is told to wait whose key is being handed over, ms: a release
-/// waits for what runs.
+/// Wait that a client is told while its key is handed over, in milliseconds. A release waits for
+/// the running requests.
 pub const RETRY_AFTER_HANDOVER_MS: u64 = 400;
-/// What a client is told to wait whose key's holder does not answer, ms: its
-/// lease must run out; clients wait a third of their time at the most.
+/// Wait that a client is told if the holder of its key does not answer, in milliseconds. The
+/// holder's lease must expire first, and clients wait at most a third of their time.
 pub const RETRY_AFTER_HOLDER_LOST_MS: u64 = 900;
-/// What a client is told to wait by a node that is not current yet, ms: an
-/// election and the catching up after a restart of everything take that long,
-/// and clients ask again a few times only.
+/// Wait that a client is told by a node that is not up to date yet, in milliseconds. After a restart
+/// of all nodes, an election and catching up take that long, and clients retry only a few times.
 pub const RETRY_AFTER_NOT_CURRENT_MS: u64 = 600;
-/// Bodies up to this size are buffered before they are forwarded, bytes:
-/// such requests can be sent again, such answers are complete or not sent at all.
+/// Largest body that is buffered before it is forwarded, in bytes. A buffered request can be sent
+/// again, and a buffered answer is sent completely or not at all.
 pub const BUFFERED_BODY_BYTES: usize = 64 * 1024;
-/// Responses to another request that are skipped before a connection is given
-/// up, answers.
+/// Number of responses to other requests that are skipped before a connection is closed.
 pub const MAX_UNMATCHED_RESPONSES: u32 = 4;
-/// Most idle connections kept to one worker, connections.
+/// Largest number of idle connections kept to one worker.
 pub const MAX_IDLE_CONNECTIONS: usize = 8;
-/// Pause between two checks of idle connections, ms.
+/// Interval between two checks of idle connections, in milliseconds.
 pub const IDLE_SWEEP_INTERVAL_MS: u64 = 1000;
--- a/crates/config/src/duration_text.rs
+++ b/crates/config/src/duration_text.rs
@@ -10,12 +10,12 @@
 }
 
 impl DurationText {
-    /// A duration of so many milliseconds.
+    /// Creates a duration from a number of milliseconds.
     pub const fn from_ms(ms: u64) -> DurationText {
         DurationText { ms }
     }
 
-    /// Reads a duration from its text; `None` if it is no such text.
+    /// Parses a duration, or returns `None` if the text is not a valid duration.
     pub fn parse(text: &str) -> Option<DurationText> {
         let text = text.trim();
         let (number, scale) = match text.strip_suffix("ms") {
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,13 +1,13 @@
-//! Errors of the settings file and of the operator's configuration. Their texts are what a
-//! reader of the log, or the operator, is told.
+//! Errors in the settings file and in the operator's configuration. Their texts appear in the log
+//! or are shown to the operator.
 
-/// Why a configuration is invalid: the field at fault and what is wrong with it.
+/// The reason why a configuration is invalid: the field at fault and the problem with it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigurationError {
-    /// The body is no JSON of the expected form; the reason names line and column.
+    /// The body is not JSON of the expected form. The reason names the line and column.
     #[error("the body cannot be read: {0}")]
     Unreadable(String),
-    /// A field breaks a rule of its own; the text names it.
+    /// A field has an invalid value. The text names the field.
     #[error("{0}")]
     Field(String),
     /// A field of a route is invalid.
@@ -17,26 +17,26 @@
         route: String,
         /// The field.
         field: &'static str,
-        /// What is wrong with it.
+        /// The problem with the field.
         problem: String,
     },
     /// Two routes have the same host and prefix.
     #[error("AccessPoints.Rules `{route}`: Host {host} and PathPrefix {prefix} are taken by another route")]
     DuplicateRoute {
-        /// The later one.
+        /// Name of the later route.
         route: String,
-        /// Their host.
+        /// Host of both routes.
         host: String,
-        /// Their prefix.
+        /// Path prefix of both routes.
         prefix: String,
     },
-    /// A change names a list that is not there.
+    /// A modification names an unknown list.
     #[error("{0} is no list of named items")]
     UnknownList(String),
-    /// A list is something else.
+    /// The value of a list field is not a list.
     #[error("{0} is no list")]
     NotAList(String),
-    /// A list holds something that is no item.
+    /// A list holds a value that is not an item.
     #[error("{0} holds something that is no item")]
     NotAnItem(&'static str),
     /// An item lacks the field that names it.
@@ -44,25 +44,25 @@
     Unnamed {
         /// The list.
         list: String,
-        /// What kind of item.
+        /// The kind of item.
         item: &'static str,
-        /// The field.
+        /// The missing field.
         field: &'static str,
     },
 }
 
-/// Why a settings file is refused.
+/// The reason why a settings file is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// The text is no TOML of the expected form.
+    /// The text is not TOML of the expected form.
     #[error("settings line {line}: {reason}")]
     Unreadable {
-        /// The line, from 1; 0 if it is not known.
+        /// Number of the line, from 1, or 0 if it is not known.
         line: usize,
-        /// What is wrong there.
+        /// The problem in this line.
         reason: String,
     },
-    /// A field breaks a rule; the text names it.
+    /// A field has an invalid value. The text names the field.
     #[error("settings: {0}")]
     Field(String),
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,15 +1,15 @@
-//! What a deployment and its operator say: the settings file, the configuration of routes and
-//! services, and the constants that several crates share.
+//! Configuration of pebblepond: the settings file of a node, the operator's configuration of routes
+//! and services, and the constants that several crates share.
 
 mod configuration;
-/// Constants that several crates share, with unit and reason.
+/// Constants that several crates share.
 pub mod constants;
 mod duration_text;
 mod error;
 mod modification;
 /// The settings file of a node.
 pub mod settings;
-/// Times of Raft and of the membership protocol.
+/// Timeouts and intervals of Raft and of the membership protocol.
 pub mod timing;
 
 pub use configuration::{
--- a/crates/config/src/modification.rs
+++ b/crates/config/src/modification.rs
@@ -1,6 +1,6 @@
-//! Changes to named items of a configuration: what `modify` makes of the
-//! configuration in force. The result is a complete configuration, which is then
-//! judged and logged just as one that was sent as a whole.
+//! Changes to named items of a configuration: the effect of `modify` on the configuration in force.
+//! The result is a complete configuration, which is then checked and logged like one that was sent
+//! in full.
 
 use crate::error::ConfigurationError;
 use serde::Deserialize;
@@ -22,9 +22,9 @@
 const RULES: &str = "Rules";
 const GROUPS: &str = "Groups";
 
-/// The configuration that a modification makes of `current`. Removing a
-/// name that is not there changes nothing; whether the result is valid is for
-/// [`crate::Configuration::parse`] to say.
+/// Applies a modification to the configuration `current` and returns the resulting configuration.
+/// Removing a name that does not exist has no effect. The result is validated by
+/// [`crate::Configuration::parse`], not here.
 pub fn apply_modification(current: &[u8], modification: &[u8]) -> Result<Vec<u8>, ConfigurationError> {
     let unreadable = |e: serde_json::Error| ConfigurationError::Unreadable(e.to_string());
     let modification: Modification = serde_json::from_slice(modification).map_err(unreadable)?;
@@ -32,9 +32,9 @@
     for (list, names) in &modification.remove {
         let names: BTreeSet<&str> = names.iter().map(String::as_str).collect();
         match list.as_str() {
-            "Routes" | RULES => drop_rules(items(&mut configuration, POINTS)?, &names)?,
-            "Services" | GROUPS => drop_named(items(&mut configuration, GROUPS)?, "Name", &names),
-            POINTS => drop_named(items(&mut configuration, POINTS)?, "Host", &names),
+            "Routes" | RULES => remove_rules(items(&mut configuration, POINTS)?, &names)?,
+            "Services" | GROUPS => remove_named(items(&mut configuration, GROUPS)?, "Name", &names),
+            POINTS => remove_named(items(&mut configuration, POINTS)?, "Host", &names),
             other => return Err(ConfigurationError::UnknownList(format!("Remove.{other}"))),
         }
     }
@@ -64,8 +64,12 @@
     }
 }
 
-fn items<'a>(of: &'a mut Map<String, Value>, list: &str) -> Result<&'a mut Vec<Value>, ConfigurationError> {
-    of.entry(list)
+fn items<'a>(
+    object: &'a mut Map<String, Value>,
+    list: &str,
+) -> Result<&'a mut Vec<Value>, ConfigurationError> {
+    object
+        .entry(list)
         .or_insert_with(|| Value::Array(Vec::new()))
         .as_array_mut()
         .ok_or_else(|| ConfigurationError::NotAList(list.to_string()))
@@ -82,17 +86,17 @@
     items(point, RULES)
 }
 
-fn drop_named(list: &mut Vec<Value>, field: &str, names: &BTreeSet<&str>) {
+fn remove_named(list: &mut Vec<Value>, field: &str, names: &BTreeSet<&str>) {
     list.retain(|item| !text(item, field).is_some_and(|n| names.contains(n)));
 }
 
-/// Takes rules away wherever they stand; a host without rules goes as well.
-fn drop_rules(points: &mut Vec<Value>, names: &BTreeSet<&str>) -> Result<(), ConfigurationError> {
+/// Removes the named rules under every host, and each host that has no rules left as a result.
+fn remove_rules(points: &mut Vec<Value>, names: &BTreeSet<&str>) -> Result<(), ConfigurationError> {
     let mut kept = Vec::with_capacity(points.len());
     for mut point in points.drain(..) {
-        let before = rules(&mut point)?.len();
-        drop_named(rules(&mut point)?, "Name", names);
-        if before == 0 || !rules(&mut point)?.is_empty() {
+        let count_before = rules(&mut point)?.len();
+        remove_named(rules(&mut point)?, "Name", names);
+        if count_before == 0 || !rules(&mut point)?.is_empty() {
             kept.push(point);
         }
     }
@@ -100,7 +104,7 @@
     Ok(())
 }
 
-/// Replaces the item of that name in its place, or adds it.
+/// Replaces the item of the same name at its position, or appends the item.
 fn put_named(list: &mut Vec<Value>, item: Value) -> Result<(), ConfigurationError> {
     let name = text(&item, "Name").ok_or_else(|| unnamed("Upsert", "an item", "Name"))?;
     match list.iter_mut().find(|old| text(old, "Name") == Some(name)) {
@@ -110,8 +114,8 @@
     Ok(())
 }
 
-fn put_points(points: &mut Vec<Value>, fresh: Vec<Value>) -> Result<(), ConfigurationError> {
-    for mut point in fresh {
+fn put_points(points: &mut Vec<Value>, new_points: Vec<Value>) -> Result<(), ConfigurationError> {
+    for mut point in new_points {
         let host = text(&point, "Host").map(str::to_string);
         let host = host.ok_or_else(|| unnamed(&format!("Upsert.{POINTS}"), "an item", "Host"))?;
         for rule in std::mem::take(rules(&mut point)?) {
@@ -121,18 +125,18 @@
     Ok(())
 }
 
-/// A rule of that name under another host moves to this one.
+/// Replaces or adds a rule under a host. A rule of the same name under another host is removed.
 fn put_rule(points: &mut Vec<Value>, host: &str, rule: Value) -> Result<(), ConfigurationError> {
     let name = text(&rule, "Name").ok_or_else(|| unnamed("Upsert", "a rule", "Name"))?;
-    let elsewhere = points.iter().any(|p| {
-        let here = |r: &Value| text(r, "Name") == Some(name);
+    let is_under_another_host = points.iter().any(|p| {
+        let has_name = |r: &Value| text(r, "Name") == Some(name);
         text(p, "Host") != Some(host)
             && p.get(RULES)
                 .and_then(Value::as_array)
-                .is_some_and(|r| r.iter().any(here))
+                .is_some_and(|r| r.iter().any(has_name))
     });
-    if elsewhere {
-        drop_rules(points, &BTreeSet::from([name]))?;
+    if is_under_another_host {
+        remove_rules(points, &BTreeSet::from([name]))?;
     }
     match points.iter_mut().find(|p| text(p, "Host") == Some(host)) {
         Some(point) => put_named(rules(point)?, rule),
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file that a process is told about. Unknown fields are ignored.
+//! The settings file of a node. Unknown fields are ignored.
 
 use crate::duration_text::DurationText;
 use crate::error::SettingsError;
@@ -7,122 +7,122 @@
 use std::net::SocketAddrV4;
 use validator::Validate;
 
-/// The name of the environment variable that holds the settings file's path.
+/// Name of the environment variable that holds the path of the settings file.
 pub const SETTINGS_ENV: &str = "PEBBLEPOND_CONFIG";
 
 /// The settings of one node.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "PascalCase")]
 pub struct Settings {
-    /// The node itself.
+    /// Properties of the node itself.
     #[validate(nested)]
     pub own_entity: OwnEntity,
-    /// Addresses and places.
+    /// Addresses, ports and zones.
     #[validate(nested)]
     pub network: Network,
-    /// What it runs on.
+    /// The platform that the node runs on.
     #[validate(nested)]
     pub platform: Platform,
-    /// What the operator has laid down.
+    /// Requirements that the operator has set for the system.
     #[validate(nested)]
     pub terms: Terms,
 }
 
-/// What the node itself is.
+/// Properties of the node itself.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "PascalCase")]
 pub struct OwnEntity {
     /// Name of the node, unique in the system.
     #[validate(length(min = 1))]
     pub node_name: String,
-    /// Duties named in the deploy file; for the reader.
+    /// Roles of the node in the deploy file, for information only.
     #[serde(default)]
     pub serves: Vec<String>,
-    /// Address that other nodes reach it at.
+    /// Address at which other nodes reach this node.
     pub ip_address: std::net::Ipv4Addr,
-    /// Zone that it is in.
+    /// Zone of the node.
     #[validate(length(min = 1))]
     pub zone: String,
-    /// Region that it is in.
+    /// Region of the node.
     #[validate(length(min = 1))]
     pub region: String,
-    /// Its loss counts against the tolerance.
+    /// Whether the loss of the node counts against the tolerance.
     #[serde(default)]
     pub loss_counted: bool,
-    /// The whole system starts for the first time; default `false`.
+    /// Whether the complete system starts for the first time; default `false`.
     #[serde(default)]
     pub initial_start: bool,
-    /// Where it stores its data; without one it does not vote.
+    /// Directory for the node's data. A node without one does not vote.
     pub data_directory: Option<String>,
-    /// What it may use of its machine.
+    /// Limits on the node's use of its machine.
     #[validate(nested)]
     pub limits: MachineLimits,
 }
 
-/// What the node may use of its machine.
+/// Limits on the node's use of its machine.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "PascalCase")]
 pub struct MachineLimits {
-    /// Part of a core; more than 1 for several cores.
+    /// Fraction of a core, above 1 for several cores.
     #[validate(range(min = 0.001, max = 1024.0))]
     pub cpu_fraction: f64,
-    /// Memory, MB; 0 if not given.
+    /// Memory, in MB; 0 if not given.
     #[serde(default)]
     pub memory_mb: u64,
-    /// Open files and connections; 0 if not given.
+    /// Number of open files and connections; 0 if not given.
     #[serde(default)]
     pub file_descriptors: u64,
-    /// Disk space, MB; 0 if not given.
+    /// Disk space, in MB; 0 if not given.
     #[serde(default)]
     pub disk_mb: u64,
 }
 
-/// Addresses and places.
+/// Addresses, ports and zones.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "PascalCase")]
 pub struct Network {
-    /// First and last of the ports for other nodes; the first is used, for TCP and UDP.
+    /// First and last port for other nodes. The first is used, for TCP and UDP.
     pub internal_ports: [u16; 2],
-    /// Addresses of nodes to join by.
+    /// Addresses of the nodes that a new node contacts to join.
     #[serde(default)]
     pub seed_nodes: Vec<SocketAddrV4>,
-    /// Where it listens for others than nodes.
+    /// Addresses at which the node listens for clients and operators.
     pub listen_points: ListenPoints,
     /// Region of each zone.
     #[validate(length(min = 1))]
     pub zones: BTreeMap<String, String>,
 }
 
-/// Where the node listens; a point that is not given is not served.
+/// Addresses at which the node listens. An interface without an address is not served.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ListenPoints {
-    /// For requests of clients.
+    /// Address for the requests of clients.
     pub front: Option<SocketAddrV4>,
-    /// For questions whether it is ready.
+    /// Address for readiness checks.
     pub readiness: Option<SocketAddrV4>,
-    /// For operators.
+    /// Address for operators.
     pub control: Option<SocketAddrV4>,
-    /// For clients that look for a node.
+    /// Address for clients that look up a node.
     pub directory: Option<SocketAddrV4>,
 }
 
-/// What the node runs on.
+/// The platform that the node runs on.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "PascalCase")]
 pub struct Platform {
-    /// The interface that lists the workers.
+    /// The platform's interface for listing workers.
     #[validate(nested)]
     pub cloud_api: CloudApi,
-    /// How clients arrive: by the `directory`, or at an address of the platform.
+    /// How clients find a node: through the `directory`, or at an address of the platform.
     #[serde(default = "directory")]
     pub entry: String,
-    /// The kind of deployment.
+    /// The kind of deployment: `global` or `api`; default `global`.
     #[serde(default = "global")]
     pub rollout: String,
 }
 
-/// The kinds of deployment that this program serves.
+/// The supported kinds of deployment.
 const DEPLOYMENT_KINDS: [&str; 2] = ["global", "api"];
 
 fn directory() -> String {
@@ -133,37 +133,38 @@
     "global".into()
 }
 
-/// The interface that lists the workers.
+/// The platform's interface for listing workers.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "PascalCase")]
 pub struct CloudApi {
-    /// Its address.
+    /// Address of the interface.
     pub address: SocketAddrV4,
-    /// Calls that it allows, calls/s.
+    /// Allowed rate of calls, in calls per second.
     #[validate(range(min = 0.01, max = 1e6))]
     pub rate_per_s: f64,
-    /// How far its list is behind; default 0.
+    /// Delay of the list behind the actual state; default 0.
     #[serde(default)]
     pub lag: DurationText,
 }
 
-/// What the operator has laid down for the system.
+/// Requirements that the operator has set for the system.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "PascalCase")]
 pub struct Terms {
-    /// Contracts that the system is run under; for the reader.
+    /// Contracts that the system is run under, for information only.
     #[serde(default)]
     pub contracts: Vec<String>,
-    /// Losses that the system bears.
+    /// Losses that the system must tolerate.
     #[serde(default)]
     pub tolerance: Tolerance,
-    /// Bounds of what it may do.
+    /// Bounds on the behaviour of the system.
     #[serde(default)]
     #[validate(nested)]
     pub bounds: Bounds,
 }
 
-/// What may be lost at the same time while every rule still holds.
+/// The numbers of machines, zones and regions that may be lost at the same time while every rule
+/// still holds.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Tolerance {
@@ -172,8 +173,8 @@
     pub regions: u32,
 }
 
-/// Figures of the rules; those that a deployment leaves out take the mildest
-/// value that is safe.
+/// Bounds on the behaviour of the system. A bound that is not given takes the mildest value that is
+/// safe.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Bounds {
@@ -193,8 +194,8 @@
     #[validate(range(min = 0.0))]
     pub cold_slack: f64,
     pub evacuation: DurationText,
-    /// Part of a service's requests that a bad version may get, and how soon it
-    /// must have lost them.
+    /// Fraction of a service's requests that a bad version may get. [`Bounds::rollback`] is the time
+    /// within which it must lose them.
     #[validate(range(min = 0.0, max = 1.0))]
     pub exposure_share: f64,
     #[validate(range(min = 0.0))]
@@ -232,7 +233,7 @@
 }
 
 impl Settings {
-    /// Reads settings from text; the error is one line that names the field.
+    /// Parses settings. The text of the error is one line that names the field.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let settings: Settings = toml::from_str(text).map_err(|e| {
             let start = e.span().map(|s| s.start.min(text.len()));
@@ -268,14 +269,14 @@
         }
     }
 
-    /// Whether the placement's sites are zones rather than regions: without a
-    /// directory the nodes themselves point each request at a site, and the
-    /// sites are the zones that its workers are in.
+    /// Returns whether the sites of the placement are zones rather than regions. Without a directory
+    /// the nodes themselves direct each request to a site, and the sites are the zones of the
+    /// workers.
     pub fn zones_are_sites(&self) -> bool {
         self.platform.entry != directory()
     }
 
-    /// The site of a zone in a region.
+    /// Returns the site of a zone in a region.
     pub fn site<'a>(&self, zone: &'a str, region: &'a str) -> &'a str {
         if self.zones_are_sites() {
             zone
@@ -284,7 +285,7 @@
         }
     }
 
-    /// The site of every zone.
+    /// Returns the site of every zone, by zone.
     pub fn sites(&self) -> BTreeMap<String, String> {
         let zones = self.network.zones.iter();
         zones
@@ -292,12 +293,13 @@
             .collect()
     }
 
-    /// The address on which this node speaks to the other nodes.
+    /// Returns the address of this node for communication with other nodes.
     pub fn internal_address(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.own_entity.ip_address, self.network.internal_ports[0])
     }
 
-    /// The addresses on which the seeds speak to other nodes, in their order.
+    /// Returns the addresses of the seed nodes for communication with other nodes, in the order of
+    /// the settings.
     pub fn seed_addresses(&self) -> Vec<SocketAddrV4> {
         let port = self.network.internal_ports[0];
         self.network
--- a/crates/config/src/timing.rs
+++ b/crates/config/src/timing.rs
@@ -1,9 +1,9 @@
-//! The times of the protocols, put together from the constants: the program and its simulation
-//! run on the same.
+//! The timeouts and intervals of the protocols, composed from the constants. The program and its
+//! simulation use the same values.
 
 use crate::constants as c;
 
-/// Raft's times and sizes.
+/// Timeouts, intervals and sizes of Raft.
 pub const RAFT: raft::Config = raft::Config {
     heartbeat_ms: c::HEARTBEAT_MS,
     learner_heartbeat_ms: c::LEARNER_HEARTBEAT_MS,
@@ -17,20 +17,20 @@
     retained_bytes: c::LOG_RETAINED_BYTES,
 };
 
-/// How long a leader bears the silence of a voter.
+/// Timeouts after which a leader acts on an unresponsive voter.
 pub const VOTER_SILENCE: raft::SilenceTimeouts = raft::SilenceTimeouts {
     contact_ms: c::CONTACT_TIMEOUT_MS,
     removal_ms: c::VOTER_REMOVAL_MS,
     urgent_removal_ms: c::VOTER_URGENT_REMOVAL_MS,
 };
 
-/// How long a learner bears the silence of its upstream.
+/// Timeouts after which a learner acts on an unresponsive upstream.
 pub const UPSTREAM: raft::UpstreamTimeouts = raft::UpstreamTimeouts {
     silence_ms: c::UPSTREAM_SILENCE_MS,
     avoid_ms: c::UPSTREAM_AVOID_MS,
 };
 
-/// The membership protocol's times and sizes.
+/// Timeouts, intervals and sizes of the membership protocol.
 pub const GOSSIP: gossip::Config = gossip::Config {
     probe_interval_ms: c::PROBE_INTERVAL_MS,
     probe_timeout_ms: c::PROBE_TIMEOUT_MS,
--- a/crates/config/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Reading the operator's configuration.
+//! Parsing of the operator's configuration.
 
 use config::Configuration;
 
@@ -17,16 +17,22 @@
 }
 
 #[test]
-fn the_longest_prefix_wins_and_unknown_fields_pass() {
-    let c = Configuration::parse(sample(&[]).as_bytes()).expect("valid");
-    assert_eq!(c.route("a.example", "/x/1").expect("route").name, "r1");
-    assert_eq!(c.route("A.example", "/x/y/1").expect("route").name, "r2");
-    assert!(c.route("a.example", "/z").is_none());
-    assert!(c.route("b.example", "/x/").is_none());
+fn longest_prefix_wins_and_unknown_fields_are_ignored() {
+    let configuration = Configuration::parse(sample(&[]).as_bytes()).expect("valid");
+    assert_eq!(
+        configuration.route("a.example", "/x/1").expect("route").name,
+        "r1"
+    );
+    assert_eq!(
+        configuration.route("A.example", "/x/y/1").expect("route").name,
+        "r2"
+    );
+    assert!(configuration.route("a.example", "/z").is_none());
+    assert!(configuration.route("b.example", "/x/").is_none());
 }
 
 #[test]
-fn everything_invalid_is_refused_with_its_field() {
+fn invalid_configuration_is_rejected_and_the_error_names_the_field() {
     let cases: &[(&str, &str, &str)] = &[
         ("\"Notes\":{}}", "", "cannot be read"),
         (
@@ -46,7 +52,7 @@
         ),
     ];
     for (from, to, field) in cases {
-        let fault = Configuration::parse(sample(&[(from, to)]).as_bytes()).expect_err(from);
-        assert!(fault.to_string().contains(field), "{from}: {fault}");
+        let error = Configuration::parse(sample(&[(from, to)]).as_bytes()).expect_err(from);
+        assert!(error.to_string().contains(field), "{from}: {error}");
     }
 }
--- a/crates/config/tests/modification.rs
+++ b/crates/config/tests/modification.rs
@@ -11,17 +11,17 @@
         {"Name":"r3","RouteType":"idempotent","Condition":{"PathPrefix":"/"},"Treatment":{"Service":"one","Timeout":"1s"}}]}],
     "Groups":[{"Name":"one","ColdRateS":6.0},{"Name":"two"}],"Notes":{"kept":true}}"#;
 
-fn made(order: &str) -> Result<Configuration, ConfigurationError> {
-    let whole = apply_modification(CURRENT.as_bytes(), order.as_bytes())?;
+fn modified(modification: &str) -> Result<Configuration, ConfigurationError> {
+    let body = apply_modification(CURRENT.as_bytes(), modification.as_bytes())?;
     assert!(
-        String::from_utf8_lossy(&whole).contains("kept"),
-        "what nobody named stays"
+        String::from_utf8_lossy(&body).contains("kept"),
+        "a field that the modification does not name was removed"
     );
-    Configuration::parse(&whole)
+    Configuration::parse(&body)
 }
 
-fn services(c: &Configuration, host: &str, path: &str) -> Vec<String> {
-    let route = c.route(host, path).into_iter();
+fn services(configuration: &Configuration, host: &str, path: &str) -> Vec<String> {
+    let route = configuration.route(host, path).into_iter();
     route
         .flat_map(|r| r.split.iter().map(|s| format!("{}*{}", s.service, s.weight)))
         .collect()
@@ -29,7 +29,7 @@
 
 #[test]
 fn named_items_are_added_replaced_moved_and_removed() {
-    let c = made(
+    let configuration = modified(
         r#"{"Version":9,"Upsert":{"AccessPoints":[
             {"Host":"a.example","Rules":[{"Name":"r1","RouteType":"idempotent","Condition":{"PathPrefix":"/x/"},"Treatment":{"Split":[{"Service":"one","Weight":90},{"Service":"new","Weight":10}],"Timeout":"2s"}}]},
             {"Host":"c.example","Rules":[{"Name":"r3","RouteType":"idempotent","Condition":{"PathPrefix":"/"},"Treatment":{"Service":"one","Timeout":"1s"}}]}],
@@ -37,16 +37,22 @@
             "Remove":{"Routes":["r2","never-there"],"Services":["two"]}}"#,
     )
     .expect("valid");
-    assert_eq!(c.version, 9);
-    assert_eq!(services(&c, "a.example", "/x/"), ["one*90", "new*10"]);
-    assert!(c.route("a.example", "/y/").is_none(), "removed");
-    assert!(c.route("b.example", "/").is_none(), "moved with its name");
-    assert_eq!(services(&c, "c.example", "/"), ["one*1"]);
-    assert!(!c.services.contains_key("two"));
+    assert_eq!(configuration.version, 9);
+    assert_eq!(services(&configuration, "a.example", "/x/"), ["one*90", "new*10"]);
+    assert!(
+        configuration.route("a.example", "/y/").is_none(),
+        "a removed route is still there"
+    );
+    assert!(
+        configuration.route("b.example", "/").is_none(),
+        "a moved route is still under its old host"
+    );
+    assert_eq!(services(&configuration, "c.example", "/"), ["one*1"]);
+    assert!(!configuration.services.contains_key("two"));
 }
 
 #[test]
-fn what_cannot_stand_is_refused_whole() {
+fn invalid_modification_is_rejected_completely() {
     let cases = [
         (
             r#"{"Version":9,"Remove":{"Services":["one"]}}"#,
@@ -69,8 +75,8 @@
             "taken by another route",
         ),
     ];
-    for (order, what) in cases {
-        let fault = made(order).expect_err(order);
-        assert!(fault.to_string().contains(what), "{order}: {fault}");
+    for (modification, expected) in cases {
+        let error = modified(modification).expect_err(modification);
+        assert!(error.to_string().contains(expected), "{modification}: {error}");
     }
 }
