--- a/crates/pebblepond/src/control/commands.rs
+++ b/crates/pebblepond/src/control/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of the operator: taken on any node, forwarded to the leader.
+//! Operator commands: accepted on any node and forwarded to the leader.
 
 use super::driver::RaftDriver;
 use super::error::{is_not_leader, response, CommandError};
@@ -13,17 +13,17 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Nodes named by a node that is out of contact, nodes.
-const NAMED_NODES: usize = 3;
+/// Maximum number of alternative nodes in the response of a node that is out of contact.
+const MAX_SUGGESTED_NODES: usize = 3;
 
-/// A command of the operator, from this node's control address. Carried out here, or passed to
-/// the leader, until the caller would move on.
+/// Executes an operator command that arrived at this node's control address. The command is
+/// executed here or forwarded to the leader, and retried until `COMMAND_TIMEOUT_MS` has passed.
 #[derive(Message)]
 #[rtype(result = "CommandResponse")]
 pub struct ExecuteCommand {
-    /// What to do.
+    /// The command.
     pub command: Command,
-    /// Who wants it.
+    /// The connection that the command came from.
     pub caller: Caller,
 }
 
@@ -38,47 +38,47 @@
         let deadline = context.now() + c::COMMAND_TIMEOUT_MS;
         let is_status = matches!(command, Command::Status(_));
         Box::pin(async move {
-            // The process may have stood still meanwhile: the caller has gone on.
-            let is_over = || context.now() >= deadline;
+            // The process may have been paused; by the deadline the caller has stopped waiting.
+            let has_timed_out = || context.now() >= deadline;
             let route = RouteCommand { command, tag, caller };
-            let attempts = try_until_answered(&driver, route, is_over);
-            let answered = tokio::time::timeout(Duration::from_millis(c::COMMAND_TIMEOUT_MS), attempts).await;
-            let answered = answered.unwrap_or(Err(CommandError::NoLeader));
-            let answered = answered.unwrap_or_else(|error| error.response());
-            if is_status && answered.status != 200 {
-                // What this node itself knows, marked with its age.
+            let attempts = send_until_answered(&driver, route, has_timed_out);
+            let response = tokio::time::timeout(Duration::from_millis(c::COMMAND_TIMEOUT_MS), attempts).await;
+            let response = response.unwrap_or(Err(CommandError::NoLeader));
+            let response = response.unwrap_or_else(|error| error.response());
+            if is_status && response.status != 200 {
+                // Falls back to the status as this node knows it, which includes its age.
                 return own_status(&driver).await.unwrap_or_else(|error| error.response());
             }
-            answered
+            response
         })
     }
 }
 
-/// Sends a command to whoever leads until one answers that does.
-async fn try_until_answered(
+/// Sends a command to the presumed leader until a node that leads answers it.
+async fn send_until_answered(
     driver: &Addr<RaftDriver>,
     route: RouteCommand,
-    is_over: impl Fn() -> bool,
+    has_timed_out: impl Fn() -> bool,
 ) -> Result<CommandResponse, CommandError> {
     loop {
         let sent = driver.send(route.clone()).await;
-        let answered = match sent.map_err(|_| CommandError::Ending)? {
+        let response = match sent.map_err(|_| CommandError::Ending)? {
             Route::Here(tag) => Some(execute(driver.clone(), route.command.clone(), tag).await),
             Route::Forwarded(response) => response.await.ok(),
             Route::Unknown => None,
             Route::Rejected(error) => return Err(error),
         };
-        match answered {
-            Some(answered) if !is_not_leader(&answered) => return Ok(answered),
+        match response {
+            Some(response) if !is_not_leader(&response) => return Ok(response),
             _ => actix_rt::time::sleep(Duration::from_millis(c::COMMAND_RETRY_MS)).await,
         }
-        if is_over() {
+        if has_timed_out() {
             return Err(CommandError::NoLeader);
         }
     }
 }
 
-/// What this node itself knows of the system.
+/// Returns the status of the system as this node knows it.
 pub(super) fn own_status(
     driver: &Addr<RaftDriver>,
 ) -> impl Future<Output = Result<CommandResponse, CommandError>> {
@@ -89,7 +89,7 @@
     }
 }
 
-/// Reads what this node knows of the system, as JSON.
+/// Reads the status of the system as this node knows it, as JSON.
 #[derive(Message)]
 #[rtype(result = "Vec<u8>")]
 struct ReadStatus;
@@ -101,15 +101,15 @@
     }
 }
 
-/// Where a command goes.
+/// Where a command is executed.
 enum Route {
-    /// This node leads; the tag as it is now.
+    /// This node leads and executes the command with this tag.
     Here(Option<CommandTag>),
-    /// To the leader; its response.
+    /// The command was sent to the leader; the receiver yields the response.
     Forwarded(oneshot::Receiver<CommandResponse>),
-    /// Nobody is known to lead.
+    /// No leader is known.
     Unknown,
-    /// Nobody has been known to lead for so long that the caller is told at once.
+    /// The command is rejected without a retry.
     Rejected(CommandError),
 }
 
@@ -129,7 +129,8 @@
             mut tag,
             caller,
         } = route;
-        // A command that names its base can come late: the log knows it by that.
+        // Only tagged commands are checked: a command with a base version may arrive late,
+        // because the log recognises it by its base.
         if let Some(tag) = &mut tag {
             tag.awaited_at = self.state.index;
             if !caller.is_waiting() {
@@ -147,7 +148,7 @@
 }
 
 impl RaftDriver {
-    /// The tag of a command that names no base version.
+    /// Creates the tag of a command that has no base version; returns `None` for other commands.
     fn tag(&mut self, command: &Command) -> Option<CommandTag> {
         let digests = command_digests(command)?;
         self.last_command += 1;
@@ -159,15 +160,16 @@
             digest: digests.command,
             repeats: 0,
             awaited_at: 0,
-            // A zone evacuated for too long costs work; one restored too soon breaks a promise.
+            // Ending an evacuation too late only costs work; ending it too early breaks the
+            // guarantee given to the operator.
             cautious: matches!(command, Command::Evacuate(change) if !change.begin),
         })
     }
 
     fn route(&mut self, command: Command, tag: Option<CommandTag>) -> Route {
         let silent_ms = self.silent_ms();
-        let has_begun = !self.raft.membership().voters.is_empty();
-        if has_begun && silent_ms >= c::OUT_OF_CONTACT_MS {
+        let is_bootstrapped = !self.raft.membership().voters.is_empty();
+        if is_bootstrapped && silent_ms >= c::OUT_OF_CONTACT_MS {
             self.context.counters.add("commands_out_of_contact");
             return Route::Rejected(self.out_of_contact(silent_ms));
         }
@@ -195,14 +197,15 @@
         Route::Forwarded(response)
     }
 
-    /// How long this node has had no word of a majority, ms, by the clock at this moment:
-    /// after a pause of the process the first thing that runs may be a command.
+    /// Returns the time since this node last heard from a majority, in milliseconds. It reads
+    /// the clock itself, because a command may be the first thing that runs after a pause of
+    /// the process.
     pub(super) fn silent_ms(&self) -> u64 {
         let now = self.context.now();
         now.saturating_sub(self.raft.majority_heard_at(now))
     }
 
-    /// What a node that is out of contact says at once: it names nodes that may know better.
+    /// Creates the error of a node that is out of contact. It lists nodes that may be in contact.
     fn out_of_contact(&self, silent_ms: u64) -> CommandError {
         let settings = self.context.settings.get();
         let port = settings.network.listen_points.control.map_or(0, |a| a.port());
@@ -212,15 +215,15 @@
         };
         let own_id = self.raft.id();
         let members = self.context.members.get();
-        let able = members
+        let ready_members = members
             .iter()
             .filter(|m| m.id != own_id && m.is_alive() && m.is_ready);
-        let mut nodes: Vec<String> = able.map(|m| control_address(&m.address)).collect();
+        let mut nodes: Vec<String> = ready_members.map(|m| control_address(&m.address)).collect();
         nodes.shuffle(&mut rand::thread_rng());
-        nodes.truncate(NAMED_NODES);
+        nodes.truncate(MAX_SUGGESTED_NODES);
         let are_alive = !nodes.is_empty();
         if !are_alive {
-            // Nobody who could be in contact is in reach from here.
+            // No reachable node is ready, so the voters are listed instead.
             let voters = self.raft.membership().voters.iter().filter(|v| v.id != own_id);
             nodes.extend(voters.map(|v| control_address(&v.address)));
         }
--- a/crates/pebblepond/src/control/driver.rs
+++ b/crates/pebblepond/src/control/driver.rs
@@ -1,9 +1,9 @@
-//! The owner of Raft, the store and the control state.
+//! The actor that owns Raft, the store and the control state.
 
 use super::loaded::Loaded;
-use super::peers::{FromPeer, Introduced};
-use super::persistence::Writes;
-use super::proposals::{Proposal, Settled};
+use super::peers::{PeerMessageReceived, ReplyAddresses};
+use super::persistence::WriteProgress;
+use super::proposals::{Proposal, ProposalResult};
 use crate::gossip_driver::UpdateOwnMember;
 use crate::kernel::{Component, NodeContext, NodeStatus, StartError};
 use crate::peer_transport::PayloadKind;
@@ -21,18 +21,18 @@
 
 inventory::submit! { Component { name: "control", order: 40, start } }
 
-/// Messages that wait for the driver, messages.
-const MAILBOX: usize = 1024;
-/// Pause between two rounds of maintenance, ms.
+/// Capacity of the driver's mailbox, in messages.
+const MAILBOX_CAPACITY: usize = 1024;
+/// Interval between two maintenance rounds, in milliseconds.
 const MAINTENANCE_INTERVAL_MS: u64 = 300;
-/// Shortest and longest pause between two ticks of Raft, ms.
+/// Shortest and longest interval between two Raft ticks, in milliseconds.
 const TICK_MS: (u64, u64) = (10, 200);
 
 fn start(context: &Rc<NodeContext>) -> Result<(), StartError> {
     let settings = context.settings.get();
     let (events, storage_events) = mpsc::unbounded_channel();
     let loaded = match &settings.own_entity.data_directory {
-        Some(folder) => Loaded::from_disk(folder, events)?,
+        Some(directory) => Loaded::from_disk(directory, events)?,
         None => Loaded::without_disk(),
     };
     let is_new_system = loaded.is_empty && loaded.storage.is_some() && settings.own_entity.initial_start;
@@ -61,79 +61,81 @@
         PayloadKind::Repair,
     ];
     let handler = driver.clone();
-    context
-        .payload_handlers
-        .register(&kinds, move |message| handler.do_send(FromPeer(message)));
+    context.payload_handlers.register(&kinds, move |message| {
+        handler.do_send(PeerMessageReceived(message))
+    });
     actix_rt::spawn(forward_events(storage_events, driver));
     Ok(())
 }
 
 async fn forward_events(mut events: mpsc::UnboundedReceiver<StorageEvent>, driver: Addr<RaftDriver>) {
     while let Some(event) = events.recv().await {
-        driver.do_send(FromStorage(event));
+        driver.do_send(StorageEventReceived(event));
     }
 }
 
 #[derive(Message)]
 #[rtype(result = "()")]
-struct FromStorage(StorageEvent);
+struct StorageEventReceived(StorageEvent);
 
-/// Puts a change into the log; the outcome once it is applied, or `None` if that failed or is
-/// not known.
+/// Proposes a change. Returns its outcome once it is applied, or `None` if the proposal failed
+/// or its outcome is unknown.
 #[derive(Message)]
 #[rtype(result = "Option<Outcome>")]
 pub struct Propose(pub ChangeKind);
 
-/// Whether the duties of the leader may be done now, and since when it leads, ms.
+/// Returns the time at which this node became the leader, in milliseconds, if it holds the leader
+/// lease and is not shutting down.
 #[derive(Message)]
 #[rtype(result = "Option<u64>")]
 pub struct LeaderLease;
 
-/// This node is about to end: leadership is transferred, and the others are told. The answer
-/// says whether they go on with all that this node holds; asked until they do.
+/// Announces that this node is shutting down: it transfers leadership and notifies the other
+/// nodes. Returns whether the other nodes can continue with everything that this node holds; the
+/// caller repeats the message until they can.
 #[derive(Message)]
 #[rtype(result = "bool")]
 pub struct AnnounceShutdown;
 
-/// The owner of Raft, the store and the control state.
+/// The actor that owns Raft, the store and the control state.
 pub struct RaftDriver {
     pub(super) context: Rc<NodeContext>,
     pub(super) raft: RaftNode,
     pub(super) state: ControlState,
     pub(super) storage: Option<Storage>,
     pub(super) joined_cluster: u64,
-    /// The disk was empty at the first start of the whole system.
+    /// Whether the disk was empty at the initial start of the whole system.
     pub(super) is_new_system: bool,
-    pub(super) writes: Writes,
+    pub(super) writes: WriteProgress,
     pub(super) proposals: HashMap<u64, Proposal>,
-    /// Reads that wait for a round of heartbeats, by token.
+    /// Reads that wait for a heartbeat round to confirm leadership, by token.
     pub(super) reads: HashMap<u64, oneshot::Sender<bool>>,
     pub(super) last_read_token: u64,
-    /// Commands that were passed on, by the node that was asked.
+    /// Commands forwarded to other nodes, by the ID of the receiving node.
     pub(super) calls: PendingCalls<u64, oneshot::Sender<CommandResponse>>,
-    /// Peers asked for what this copy lacks, and the digests that they were sent.
+    /// Repair requests sent to peers, by peer ID, with the digests that were sent.
     pub(super) repairs: PendingCalls<u64, RangeDigests>,
-    /// The last number given to a command that reached this process.
+    /// The number given to the last command that this process tagged.
     pub(super) last_command: u64,
-    /// When the commands of the history were first seen here.
+    /// The times at which this process first saw the commands of the history.
     pub(super) recent_commands: RecentCommands,
-    /// Whom this node has chosen to bootstrap the cluster; 0 for nobody.
+    /// ID of the node that this node has chosen to bootstrap the cluster; 0 for none.
     pub(super) appointed: u64,
-    /// What others were last told of this node.
-    pub(super) told: Option<UpdateOwnMember>,
+    /// The last update of this node's own member entry that was sent to gossip.
+    pub(super) last_sent_update: Option<UpdateOwnMember>,
     pub(super) started_at: u64,
     pub(super) asked_peers_at: u64,
-    /// The state was taken from a peer, without Raft.
+    /// Whether the state was repaired from a peer, outside Raft.
     pub(super) is_repaired: bool,
     pub(super) storage_failing: bool,
-    /// Whether a majority was heard of lately, as the log was last told.
+    /// Whether this node was in contact with a majority when that was last logged.
     pub(super) in_contact: bool,
-    /// A change of the membership is not committed yet.
+    /// Whether a membership change is not committed yet.
     pub(super) membership_pending: bool,
     role: Role,
-    /// Which voter this node takes the log from, if it has no disk.
+    /// Selects the voter that this node follows, if it has no disk.
     pub(super) upstream_selector: UpstreamSelector,
-    pub(super) introduced: Introduced,
+    pub(super) reply_addresses: ReplyAddresses,
 }
 
 impl RaftDriver {
@@ -150,7 +152,7 @@
             storage: loaded.storage,
             joined_cluster: loaded.identity.cluster,
             is_new_system,
-            writes: Writes::default(),
+            writes: WriteProgress::default(),
             proposals: HashMap::new(),
             reads: HashMap::new(),
             last_read_token: 0,
@@ -159,7 +161,7 @@
             last_command: 0,
             recent_commands: RecentCommands::default(),
             appointed: 0,
-            told: None,
+            last_sent_update: None,
             started_at: now,
             asked_peers_at: 0,
             is_repaired: false,
@@ -168,12 +170,12 @@
             membership_pending: false,
             role: Role::Follower,
             upstream_selector: UpstreamSelector::default(),
-            introduced: Introduced::default(),
+            reply_addresses: ReplyAddresses::default(),
         }
     }
 
     fn schedule_tick(&self, actor: &mut Context<Self>) {
-        // Who cannot vote and knows where it stands has nothing to wait for here.
+        // A node that does not vote and is current has no timers to wait for.
         let is_idle = self.storage.is_none() && self.context.status.get().is_current;
         let wait = if is_idle {
             c::CONTACT_TIMEOUT_MS
@@ -183,7 +185,7 @@
         };
         actor.run_later(Duration::from_millis(wait), |driver, actor| {
             let now = driver.context.now();
-            driver.watch_storage(now);
+            driver.check_storage(now);
             if !driver.context.status.get().is_current {
                 driver.select_upstream(now);
             }
@@ -193,14 +195,14 @@
         });
     }
 
-    /// Carries out whatever Raft wants done.
+    /// Performs all work that Raft has ready.
     pub(super) fn flush(&mut self) {
         if self.raft.role() != self.role {
             self.role = self.raft.role();
             log::debug!("event=role role={:?} term={}", self.role, self.raft.term());
         }
         if self.raft.is_leader() && !self.context.status.get().is_leader {
-            // Whoever waits for a leader hears of it at once.
+            // Learners are set now so that they hear from the new leader without delay.
             self.raft.set_learners(&self.learners());
         }
         while self.flush_once() || self.continue_membership_change() {}
@@ -208,7 +210,7 @@
         self.publish();
     }
 
-    /// Carries out what is ready now; whether more may have become so.
+    /// Performs the work that is ready now. Returns whether this may have produced more work.
     fn flush_once(&mut self) -> bool {
         let ready = self.raft.take_ready();
         self.send_raft(ready.messages);
@@ -231,7 +233,7 @@
     }
 
     fn install(&mut self, snapshot: &Snapshot) {
-        // Raft installs none that cannot be read.
+        // Raft rejects unreadable snapshots before they get here.
         if let Ok(state) = ControlState::from_snapshot(snapshot.index, &snapshot.data) {
             if state.index > self.state.index {
                 self.replace_state(state, "snapshot");
@@ -240,7 +242,7 @@
         self.raft.on_applied(self.state.index);
     }
 
-    /// Puts another copy in the place of this one.
+    /// Replaces the control state with another copy.
     pub(super) fn replace_state(&mut self, state: ControlState, source: &'static str) {
         let before = std::mem::replace(&mut self.state, state);
         log_changes(&before, &self.state, source);
@@ -259,9 +261,9 @@
         self.context.state.set(self.state.clone());
         self.raft.on_applied(entry.index);
         if let Some(proposal) = self.proposals.remove(&entry.index) {
-            // Another leader's entry may have taken the place.
+            // The entry at this index may be from another leader.
             let outcome = outcome.filter(|_| proposal.term == entry.term);
-            proposal.settle(&outcome.map(|outcome| Settled {
+            proposal.complete(&outcome.map(|outcome| ProposalResult {
                 outcome,
                 index: entry.index,
             }));
@@ -269,10 +271,10 @@
     }
 
     fn compact_log(&mut self) {
-        let most_bytes = c::LOG_MAX_BYTES.max(self.raft.snapshot_bytes());
-        if self.raft.log_len() > c::LOG_MAX_ENTRIES || self.raft.log_bytes() > most_bytes {
-            // Only voters pass the state on; for all others its image would cost memory and
-            // time for nobody.
+        let max_log_bytes = c::LOG_MAX_BYTES.max(self.raft.snapshot_bytes());
+        if self.raft.log_len() > c::LOG_MAX_ENTRIES || self.raft.log_bytes() > max_log_bytes {
+            // Only voters send snapshots to other nodes; on other nodes a snapshot would use
+            // memory and time without need.
             let is_voter = self.storage.is_some();
             let image = is_voter.then(|| self.state.to_snapshot());
             self.raft.compact(image.unwrap_or_default());
@@ -280,8 +282,8 @@
     }
 }
 
-/// Says which configuration and which evacuations are in force now, if that has changed: what
-/// this node goes by from here on, and at which index of the log.
+/// Logs the configuration version and the evacuations in force, with the log index, if they
+/// have changed.
 fn log_changes(before: &ControlState, now: &ControlState, source: &'static str) {
     let (version, index) = (now.version(), now.index);
     if version != before.version() {
@@ -304,15 +306,17 @@
     type Context = Context<Self>;
 
     fn started(&mut self, actor: &mut Self::Context) {
-        actor.set_mailbox_capacity(MAILBOX);
+        actor.set_mailbox_capacity(MAILBOX_CAPACITY);
         let interval = Duration::from_millis(MAINTENANCE_INTERVAL_MS);
         actor.run_interval(interval, |driver, _| driver.maintain());
         self.schedule_tick(actor);
         self.maintain();
-        // Connections to the other voters are there before an election needs them; those that
-        // start at the same moment may not listen yet.
+        // Connects to the other voters before an election needs the connections. It is repeated
+        // because voters that start at the same time may not listen yet.
         for pause in (0..c::ELECTION_TIMEOUT_MS).step_by(c::COMMAND_RETRY_MS as usize) {
-            actor.run_later(Duration::from_millis(pause), |driver, _| driver.greet_voters());
+            actor.run_later(Duration::from_millis(pause), |driver, _| {
+                driver.connect_to_voters()
+            });
         }
     }
 }
@@ -320,8 +324,8 @@
 impl Handler<Propose> for RaftDriver {
     type Result = ResponseFuture<Option<Outcome>>;
     fn handle(&mut self, Propose(kind): Propose, _: &mut Self::Context) -> Self::Result {
-        let settled = self.propose(kind, None);
-        Box::pin(async move { settled.await.ok().flatten().map(|s| s.outcome) })
+        let result = self.propose(kind, None);
+        Box::pin(async move { result.await.ok().flatten().map(|s| s.outcome) })
     }
 }
 
@@ -340,12 +344,12 @@
     }
 }
 
-impl Handler<FromStorage> for RaftDriver {
+impl Handler<StorageEventReceived> for RaftDriver {
     type Result = ();
-    fn handle(&mut self, FromStorage(event): FromStorage, _: &mut Self::Context) {
+    fn handle(&mut self, StorageEventReceived(event): StorageEventReceived, _: &mut Self::Context) {
         match event {
             StorageEvent::Persisted(number) => self.on_persisted(number),
-            StorageEvent::Failed(what) => self.on_storage_failure(&what),
+            StorageEvent::Failed(reason) => self.on_storage_failure(&reason),
         }
         self.flush();
     }
--- a/crates/pebblepond/src/control/error.rs
+++ b/crates/pebblepond/src/control/error.rs
@@ -1,55 +1,56 @@
-//! Why a command is not carried out, with the HTTP status and the text that its caller gets.
+//! The errors of commands, with the HTTP status and the text that the caller receives.
 
 use config::constants as c;
 use control_state::{InvalidChange, Outcome};
 use protocol::CommandResponse;
 use rollout::{Refusal, State};
 
-/// Status of a response that says: this node does not lead. Never leaves the nodes.
+/// Status of a response by a node that does not lead. It is used between nodes only and never
+/// reaches a client.
 const NOT_LEADER: u32 = 0;
 
-/// Why a command is not carried out.
+/// The reason why a command was not executed or not acknowledged.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub(super) enum CommandError {
-    /// This node does not lead; the command is for another.
+    /// This node does not lead; the command has to be sent to another node.
     #[error("")]
     NotLeader,
-    /// A newer command on the same subject has come before it; to be routed again if its caller
-    /// still waits. Never leaves the nodes.
+    /// A newer command on the same subject was ordered before this one. The command is routed
+    /// again if its caller still waits. This error never reaches a client.
     #[error("")]
     Overtaken,
-    /// The process ends.
+    /// The process is shutting down.
     #[error("ending")]
     Ending,
-    /// No leader was found while the caller waits.
+    /// No leader was found before the command timed out.
     #[error("no leader could be reached in time")]
     NoLeader,
-    /// Nobody waits for the command any more: its caller may have sent it again elsewhere.
+    /// The caller has closed its connection; it may have sent the command to another node.
     #[error("the caller has closed its connection")]
     CallerGone,
-    /// This node has lost the majority; others may have it.
+    /// This node has lost contact with the majority; other nodes may still have it.
     #[error("no word of a majority for {silent_ms} ms")]
     OutOfContact {
-        /// Since when, ms.
+        /// Time without contact to a majority, in milliseconds.
         silent_ms: u64,
-        /// Control addresses of nodes that may know better.
+        /// Control addresses of nodes that may be in contact.
         nodes: Vec<String>,
-        /// Whether these are known to live.
+        /// Whether the listed nodes are known to be alive.
         are_alive: bool,
     },
-    /// No loss could be tolerated whatever is done.
+    /// The voters are too few to tolerate the losses given in `Tolerance`.
     #[error("too few voters yet to bear the losses of Tolerance")]
     TooFewVoters,
-    /// It was done, and may be lost with the next loss.
+    /// The change was accepted but is not durable yet: a tolerated loss may still remove it.
     #[error("taken, but on too few disks yet to bear the losses of Tolerance")]
     NotDurable,
-    /// The history says nothing of it.
+    /// The command history no longer reaches back far enough to tell the outcome.
     #[error("the order may have been judged, longer ago than is remembered")]
     Forgotten,
-    /// Nothing to read.
+    /// There is no configuration to read.
     #[error("there is no configuration yet")]
     NoConfiguration,
-    /// Another version is in force.
+    /// The base version is not the version in force.
     #[error("Base-Version is not the current version {0}")]
     Conflict(u64),
     /// The change is invalid.
@@ -61,7 +62,7 @@
     /// The configuration has no such service.
     #[error("Service: the configuration has no such service")]
     UnknownService,
-    /// The watchdog does not let a rollout pass.
+    /// The watchdog does not allow the rollout action.
     #[error("the gate is closed: {0}")]
     GateClosed(rollout::GateClosed),
     /// Another rollout of the service is active.
@@ -69,19 +70,19 @@
     RolloutActive {
         /// The service.
         service: String,
-        /// The version that it moves to.
+        /// The target version of the active rollout.
         target: String,
     },
-    /// The rollout is another version by now.
+    /// The rollout has a different version than the command expects.
     #[error("Expected: the rollout has changed; its version is {0}")]
     RolloutChanged(u64),
-    /// The rollout's state does not allow it.
+    /// The state of the rollout does not allow the action.
     #[error("the rollout is {}, which does not allow this", .0.name())]
     RolloutState(State),
-    /// There is no rollout.
+    /// The service has no rollout.
     #[error("Service: there is no rollout of it")]
     NoRollout,
-    /// The change of a rollout is malformed.
+    /// The rollout change is malformed.
     #[error("the order cannot be read")]
     Undecodable,
 }
@@ -99,10 +100,10 @@
 }
 
 impl CommandError {
-    /// The HTTP status of the response.
+    /// Returns the HTTP status of the response.
     fn status(&self) -> u32 {
         match self {
-            // Both are routed again, as long as the caller waits.
+            // Both are routed again while the caller waits.
             CommandError::NotLeader | CommandError::Overtaken => NOT_LEADER,
             CommandError::OutOfContact { are_alive: true, .. } => 307,
             CommandError::Invalid(_) | CommandError::InvalidField(_) | CommandError::Undecodable => 400,
@@ -121,7 +122,7 @@
         }
     }
 
-    /// What the caller gets.
+    /// Returns the response for the caller.
     pub(super) fn response(&self) -> CommandResponse {
         let body = match self {
             CommandError::NotLeader => return response(NOT_LEADER, ""),
@@ -133,7 +134,7 @@
         response(self.status(), body.to_string())
     }
 
-    /// The error of an outcome, unless the change is in force.
+    /// Returns the error of an outcome, or `None` if the change is in force.
     pub(super) fn of(outcome: Outcome) -> Option<CommandError> {
         match outcome {
             Outcome::Applied | Outcome::AlreadyApplied => None,
@@ -144,7 +145,7 @@
         }
     }
 
-    /// A bypass without a reason.
+    /// Returns the error of a bypass whose reason is missing or too short.
     pub(super) fn bypass_without_reason() -> CommandError {
         CommandError::InvalidField(format!(
             "Why: a bypass wants a reason of {} letters or more",
@@ -153,12 +154,12 @@
     }
 }
 
-/// Whether a response says that its sender does not lead.
+/// Returns whether a response says that its sender does not lead.
 pub(super) fn is_not_leader(response: &CommandResponse) -> bool {
     response.status == NOT_LEADER
 }
 
-/// A response with a body of JSON.
+/// Creates a response with a JSON body.
 pub(super) fn response(status: u32, body: impl Into<Vec<u8>>) -> CommandResponse {
     CommandResponse {
         status,
--- a/crates/pebblepond/src/control/execution.rs
+++ b/crates/pebblepond/src/control/execution.rs
@@ -1,9 +1,9 @@
-//! Commands carried out on the leader.
+//! Execution of commands on the leader.
 
 use super::commands::own_status;
 use super::driver::RaftDriver;
 use super::error::{response, CommandError};
-use super::proposals::Settled;
+use super::proposals::ProposalResult;
 use super::rollout_commands;
 use actix::prelude::*;
 use config::constants as c;
@@ -13,13 +13,13 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Pause between two checks of how durable a command is, ms.
+/// Interval between two checks of a command's durability, in milliseconds.
 const DURABILITY_CHECK_MS: u64 = 10;
 
-/// What carrying out a command comes to.
+/// The result of executing a command.
 pub(super) type CommandResult = Result<CommandResponse, CommandError>;
 
-/// Carries a command out on the leader.
+/// Executes a command on the leader.
 pub(super) async fn execute(
     driver: Addr<RaftDriver>,
     command: Command,
@@ -29,7 +29,8 @@
         Command::Status(_) => own_status(&driver).await,
         Command::ReadConfiguration(_) => read_configuration(&driver).await,
         Command::Replace(command) => configure(&driver, command).await,
-        // The log holds what changes; what it comes to is worked out where it is applied.
+        // The log entry holds the modification; the resulting configuration is computed when
+        // the entry is applied.
         Command::Modify(command) => {
             let command = ConfigurationCommand {
                 base: command.base,
@@ -42,8 +43,10 @@
         Command::ReadRollout(service) => rollout_commands::read_one(&driver, &service).await,
         Command::ReadRollouts(_) => rollout_commands::read_all(&driver).await,
         Command::ChangeRollout(change) => rollout_commands::change(&driver, change, tag).await,
-        Command::KillSwitch(switch) => settle(&driver, ChangeKind::KillSwitch(switch), tag).await,
-        Command::Evacuate(change) => settle(&driver, ChangeKind::Evacuate(change), tag).await,
+        Command::KillSwitch(switch) => {
+            commit_and_acknowledge(&driver, ChangeKind::KillSwitch(switch), tag).await
+        }
+        Command::Evacuate(change) => commit_and_acknowledge(&driver, ChangeKind::Evacuate(change), tag).await,
     };
     result.unwrap_or_else(|error| error.response())
 }
@@ -60,8 +63,8 @@
     Ok(response(200, body))
 }
 
-/// Whether this node leads and its copy holds all that was ever acknowledged, confirmed by a
-/// majority now.
+/// Confirms with a majority that this node still leads and that its copy of the state holds
+/// everything that was ever acknowledged.
 pub(super) async fn confirm_leadership(driver: &Addr<RaftDriver>) -> Result<(), CommandError> {
     let Ok(Some(confirmation)) = driver.send(BeginRead).await else {
         return Err(CommandError::NotLeader);
@@ -73,19 +76,19 @@
     }
 }
 
-/// Carries out a configuration command. Whatever is rejected or confirmed without a new entry
-/// is said out of a copy that a majority has confirmed since the command came.
+/// Executes a configuration command. A command is rejected, or acknowledged without a new log
+/// entry, only by a copy of the state that a majority has confirmed since the command arrived.
 async fn configure(driver: &Addr<RaftDriver>, command: ConfigurationCommand) -> CommandResult {
-    let mut judgement = judge(driver, &command, Confirmation::Unconfirmed).await?;
-    if judgement == Judgement::Confirm {
+    let mut decision = decide(driver, &command, Confirmation::Unconfirmed).await?;
+    if decision == Judgement::Confirm {
         confirm_leadership(driver).await?;
-        judgement = judge(driver, &command, Confirmation::Confirmed).await?;
+        decision = decide(driver, &command, Confirmation::Confirmed).await?;
     }
-    match judgement {
-        Judgement::Log => settle(driver, ChangeKind::Replace(command), None).await,
+    match decision {
+        Judgement::Log => commit_and_acknowledge(driver, ChangeKind::Replace(command), None).await,
         Judgement::Final(outcome) => match CommandError::of(outcome) {
             Some(error) => Err(error),
-            // Accepted before: it stands at or below what is committed.
+            // The command was accepted before; its entry is at or below the commit index.
             None => {
                 let index = driver.send(CommitIndex).await.map_err(|_| CommandError::Ending)?;
                 acknowledge(driver, index).await
@@ -95,35 +98,35 @@
     }
 }
 
-async fn judge(
+async fn decide(
     driver: &Addr<RaftDriver>,
     command: &ConfigurationCommand,
     confirmation: Confirmation,
 ) -> Result<Judgement, CommandError> {
-    let message = JudgeCommand {
+    let message = DecideConfigurationCommand {
         command: command.clone(),
         confirmation,
     };
     driver.send(message).await.unwrap_or(Err(CommandError::NotLeader))
 }
 
-/// Logs a change and waits until it may be acknowledged.
-pub(super) async fn settle(
+/// Proposes a change and waits until it can be acknowledged.
+pub(super) async fn commit_and_acknowledge(
     driver: &Addr<RaftDriver>,
     kind: ChangeKind,
     tag: Option<CommandTag>,
 ) -> CommandResult {
     let proposed = driver.send(ProposeCommand(kind, tag)).await;
-    let settled = proposed.unwrap_or(Err(CommandError::NotLeader))?;
-    let Settled { outcome, index } = settled.ok_or(CommandError::NotLeader)?;
+    let result = proposed.unwrap_or(Err(CommandError::NotLeader))?;
+    let ProposalResult { outcome, index } = result.ok_or(CommandError::NotLeader)?;
     match CommandError::of(outcome) {
         Some(error) => Err(error),
         None => acknowledge(driver, index).await,
     }
 }
 
-/// The acknowledgement of what stands at `index`: once it rests on copies that outlast any
-/// loss inside `Tolerance`, and nodes in contact have applied it or have had their time.
+/// Acknowledges the log entry at `index` once its copies survive any loss within `Tolerance`, and
+/// the nodes in contact have applied it or `APPLY_WAIT_MS` has passed.
 async fn acknowledge(driver: &Addr<RaftDriver>, index: u64) -> CommandResult {
     let mut waited = 0;
     while waited < c::COMMAND_TIMEOUT_MS {
@@ -131,8 +134,8 @@
         match durability.map_err(|_| CommandError::Ending)? {
             Durability::Applied => return Ok(response(200, "{}")),
             Durability::Durable if waited >= c::APPLY_WAIT_MS => return Ok(response(200, "{}")),
-            Durability::Durable | Durability::Weak => {}
-            // The next leader has it, and tells whoever asks again.
+            Durability::Durable | Durability::NotDurable => {}
+            // A new leader answers the command when it is sent again.
             Durability::NotLeader => return Err(CommandError::NotLeader),
         }
         actix_rt::time::sleep(Duration::from_millis(DURABILITY_CHECK_MS)).await;
@@ -141,14 +144,14 @@
     Err(CommandError::NotDurable)
 }
 
-/// How firmly what the log holds up to an index stands.
+/// The durability of the log up to an index.
 enum Durability {
-    /// It outlasts any tolerated loss, and the nodes in contact have applied it.
+    /// It survives any tolerated loss, and the nodes in contact have applied it.
     Applied,
-    /// It outlasts any tolerated loss; some have not applied it yet.
+    /// It survives any tolerated loss, but some nodes in contact have not applied it yet.
     Durable,
-    /// A tolerated loss may take it, or the majority.
-    Weak,
+    /// It does not survive every tolerated loss, or such a loss may leave no majority.
+    NotDurable,
     /// This node no longer leads.
     NotLeader,
 }
@@ -164,7 +167,7 @@
         MessageResult(if !self.raft.is_established_leader() {
             Durability::NotLeader
         } else if !is_durable(&self.raft, index, now, self.tolerance(), c::CONTACT_TIMEOUT_MS) {
-            Durability::Weak
+            Durability::NotDurable
         } else if self.is_anyone_behind(index) {
             Durability::Durable
         } else {
@@ -173,13 +176,13 @@
     }
 }
 
-/// Puts a command into the log, unless none can be taken now.
+/// Proposes a command, unless commands cannot be accepted now.
 #[derive(Message)]
-#[rtype(result = "Result<Option<Settled>, CommandError>")]
+#[rtype(result = "Result<Option<ProposalResult>, CommandError>")]
 struct ProposeCommand(ChangeKind, Option<CommandTag>);
 
 impl Handler<ProposeCommand> for RaftDriver {
-    type Result = ResponseFuture<Result<Option<Settled>, CommandError>>;
+    type Result = ResponseFuture<Result<Option<ProposalResult>, CommandError>>;
     fn handle(&mut self, ProposeCommand(kind, tag): ProposeCommand, _: &mut Self::Context) -> Self::Result {
         if let Err(error) = self.check_voters() {
             return Box::pin(async { Err(error) });
@@ -188,12 +191,12 @@
             self.context.counters.add("commands_overtaken");
             return Box::pin(async { Err(CommandError::Overtaken) });
         }
-        let settlement = self.propose_command(kind, tag);
-        Box::pin(async move { Ok(settlement.await.ok().flatten()) })
+        let receiver = self.propose_command(kind, tag);
+        Box::pin(async move { Ok(receiver.await.ok().flatten()) })
     }
 }
 
-/// Whether a command is most likely one that was accepted a moment ago.
+/// Returns whether a command most likely repeats one that was accepted recently.
 #[derive(Message)]
 #[rtype(result = "bool")]
 pub(super) struct IsRepeated(pub(super) Option<CommandTag>);
@@ -205,7 +208,7 @@
     }
 }
 
-/// Reads the configuration of this copy; empty if there is none.
+/// Reads the configuration of this node's copy of the state; empty if there is none.
 #[derive(Message)]
 #[rtype(result = "Vec<u8>")]
 struct ReadConfiguration;
@@ -217,7 +220,8 @@
     }
 }
 
-/// Asks a majority whether this node still leads; `None` if it does not as far as it knows.
+/// Asks a majority to confirm that this node still leads. Returns `None` if this node already
+/// knows that it is not an established leader.
 #[derive(Message)]
 #[rtype(result = "Option<oneshot::Receiver<bool>>")]
 struct BeginRead;
@@ -229,17 +233,17 @@
     }
 }
 
-/// Judges a configuration command before it is logged.
+/// Decides what becomes of a configuration command before it is proposed.
 #[derive(Message)]
 #[rtype(result = "Result<Judgement, CommandError>")]
-struct JudgeCommand {
+struct DecideConfigurationCommand {
     command: ConfigurationCommand,
     confirmation: Confirmation,
 }
 
-impl Handler<JudgeCommand> for RaftDriver {
+impl Handler<DecideConfigurationCommand> for RaftDriver {
     type Result = Result<Judgement, CommandError>;
-    fn handle(&mut self, message: JudgeCommand, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, message: DecideConfigurationCommand, _: &mut Self::Context) -> Self::Result {
         self.check_leadership()?;
         Ok(self.state.judge(&message.command, message.confirmation))
     }
@@ -256,7 +260,7 @@
     }
 }
 
-/// Whether nodes in contact have not applied what the log says up to an index.
+/// Returns whether any node in contact has not applied the log up to an index.
 #[derive(Message)]
 #[rtype(result = "bool")]
 pub struct IsBehind(pub u64);
@@ -269,7 +273,7 @@
 }
 
 impl RaftDriver {
-    /// Whether this node may carry commands out.
+    /// Returns an error unless this node may execute commands.
     pub(super) fn check_leadership(&self) -> Result<(), CommandError> {
         if !self.raft.is_established_leader() {
             return Err(CommandError::NotLeader);
@@ -277,7 +281,8 @@
         self.check_voters()
     }
 
-    /// Whether the voters tolerate a loss, so that anything may be acknowledged.
+    /// Returns an error unless the voters tolerate the losses given in `Tolerance`; otherwise
+    /// nothing can be acknowledged.
     fn check_voters(&self) -> Result<(), CommandError> {
         if tolerates_faults(self.raft.membership(), self.tolerance()) {
             Ok(())
@@ -295,12 +300,12 @@
         confirmation
     }
 
-    /// Whether nodes in contact have not applied up to an index yet.
+    /// Returns whether any node in contact has not applied the log up to an index.
     fn is_anyone_behind(&self, index: u64) -> bool {
         let now = self.context.now();
         let members = self.context.members.get();
         let alive = members.iter().filter(|m| m.is_alive());
-        let mut known = alive.filter_map(|m| self.raft.progress(m.id));
-        known.any(|p| now.saturating_sub(p.last_heard) < c::CONTACT_TIMEOUT_MS && p.applied < index)
+        let mut progresses = alive.filter_map(|m| self.raft.progress(m.id));
+        progresses.any(|p| now.saturating_sub(p.last_heard) < c::CONTACT_TIMEOUT_MS && p.applied < index)
     }
 }
--- a/crates/pebblepond/src/control/loaded.rs
+++ b/crates/pebblepond/src/control/loaded.rs
@@ -1,13 +1,13 @@
-//! What a node starts with: what its disk holds, or nothing.
+//! The initial state of a node: loaded from its disk, or empty for a node without a disk.
 
 use crate::kernel::StartError;
-use crate::storage::{Identity, Opened, Storage, StorageEvent};
+use crate::storage::{Identity, OpenedStore, Storage, StorageEvent};
 use control_state::ControlState;
 use raft::PersistentState;
 use rand::Rng;
 use tokio::sync::mpsc;
 
-/// What a node starts with.
+/// The initial state of a node.
 pub(super) struct Loaded {
     pub(super) identity: Identity,
     pub(super) saved: PersistentState,
@@ -18,16 +18,16 @@
 
 impl Loaded {
     pub(super) fn from_disk(
-        folder: &str,
+        directory: &str,
         events: mpsc::UnboundedSender<StorageEvent>,
     ) -> Result<Loaded, StartError> {
-        let opened = Storage::open(folder, events)?;
+        let opened = Storage::open(directory, events)?;
         if let Some(why) = &opened.damage {
             log::error!(
-                "event=store_damaged folder={folder} why=\"{why}\": set aside as prompter.redb.damaged, joining as a new node"
+                "event=store_damaged folder={directory} why=\"{why}\": set aside as prompter.redb.damaged, joining as a new node"
             );
         }
-        let Opened {
+        let OpenedStore {
             identity,
             saved,
             state,
--- a/crates/pebblepond/src/control/maintenance.rs
+++ b/crates/pebblepond/src/control/maintenance.rs
@@ -1,5 +1,5 @@
-//! What the driver does at a slow pace: bootstrapping a cluster, choosing an upstream, looking
-//! for newer copies among peers.
+//! The driver's periodic work: bootstrapping a cluster, selecting an upstream, and asking peers
+//! for newer copies of the state.
 
 use super::driver::RaftDriver;
 use config::{constants as c, timing};
@@ -10,7 +10,7 @@
 use rand::Rng;
 
 impl RaftDriver {
-    /// One round of maintenance.
+    /// Performs one maintenance round.
     pub(super) fn maintain(&mut self) {
         let now = self.context.now();
         self.log_contact();
@@ -21,11 +21,11 @@
         } else {
             self.ask_peers_for_repair(now);
         }
-        self.tell_members();
+        self.publish_own_member();
         self.flush();
     }
 
-    /// A line when the majority falls silent, and one when it is heard again.
+    /// Logs when this node loses contact with the majority, and when contact is restored.
     fn log_contact(&mut self) {
         let silent_ms = self.silent_ms();
         let term = self.raft.term();
@@ -41,10 +41,10 @@
         }
     }
 
-    /// Begins a new cluster, if that is for this node. The first seed in the list chooses who
-    /// does: itself if it has a disk, else the node with a disk and the lowest name that it
-    /// knows. The one chosen begins only if its own disk was empty at the first start of the
-    /// whole system and nobody belongs to a cluster yet.
+    /// Bootstraps a new cluster, if this node is the one to do so. The first seed node in the list
+    /// chooses the node: itself if it has a disk, otherwise the node with a disk and the lowest
+    /// name that it knows. The chosen node bootstraps only if its own disk was empty at the
+    /// initial start of the whole system and no known node belongs to a cluster yet.
     fn bootstrap(&mut self) {
         let members = self.context.members.get();
         if self.context.status.get().cluster != 0 || members.iter().any(|m| m.cluster != 0) {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Whom the first seed chooses; 0 while it knows nobody.
+    /// Returns the ID of the node that the first seed node chooses; 0 while it knows none.
     fn appoint(&self, members: &[Member]) -> u64 {
         if self.is_new_system {
             return self.raft.id();
@@ -77,11 +77,11 @@
         if self.storage.is_some() || !has_waited {
             return 0;
         }
-        let able = members.iter().filter(|m| m.is_new_system && m.is_alive());
-        able.min_by(|a, b| a.name.cmp(&b.name)).map_or(0, |m| m.id)
+        let candidates = members.iter().filter(|m| m.is_new_system && m.is_alive());
+        candidates.min_by(|a, b| a.name.cmp(&b.name)).map_or(0, |m| m.id)
     }
 
-    /// This node as a voter.
+    /// Returns this node as a voter.
     fn as_voter(&self) -> Voter {
         let settings = self.context.settings.get();
         Voter {
@@ -92,8 +92,8 @@
         }
     }
 
-    /// A node without a disk takes the log from a voter near it; the leader replicates to the
-    /// voters only.
+    /// Selects the upstream of a node without a disk: a nearby voter from which it receives the
+    /// log, so that the leader does not replicate to every node.
     pub(super) fn select_upstream(&mut self, now: u64) {
         if self.storage.is_some() {
             return;
@@ -123,41 +123,46 @@
         let settings = self.context.settings.get();
         let cluster = self.context.status.get().cluster;
         let members = self.context.members.get();
-        let is_ours = |m: &Member| m.cluster != 0 && (cluster == 0 || m.cluster == cluster);
-        let able: Vec<&Member> = members
+        let is_in_cluster = |m: &Member| m.cluster != 0 && (cluster == 0 || m.cluster == cluster);
+        let candidates: Vec<&Member> = members
             .iter()
-            .filter(|m| m.has_disk && m.id != 0 && m.is_alive() && is_ours(m))
+            .filter(|m| m.has_disk && m.id != 0 && m.is_alive() && is_in_cluster(m))
             .collect();
-        // The membership of a node that was cut off for long may be out of date.
+        // After a long network partition this node's membership may be out of date. If it contains
+        // none of the candidates, all of them are kept.
         let voters = self.raft.membership();
-        let any_votes = able.iter().any(|m| voters.contains(m.id));
-        let able = able.into_iter().filter(|m| voters.contains(m.id) || !any_votes);
-        // The log names a voter sooner than word of it comes among hundreds; until then all
-        // would take the log from the first, most of them from afar.
-        let is_unheard = |v: &&Voter| members.iter().all(|m| m.address != v.address);
-        let named = voters.voters.iter().filter(is_unheard);
+        let any_is_voter = candidates.iter().any(|m| voters.contains(m.id));
+        let candidates = candidates
+            .into_iter()
+            .filter(|m| voters.contains(m.id) || !any_is_voter);
+        // The log may name a voter before gossip among hundreds of nodes has spread it. Without
+        // such voters all learners would follow the first voter, most of them over a long
+        // distance.
+        let is_missing_from_gossip = |v: &&Voter| members.iter().all(|m| m.address != v.address);
+        let missing_voters = voters.voters.iter().filter(is_missing_from_gossip);
         let own = &settings.own_entity;
         let candidate = |id, zone: &str, region: &str| UpstreamCandidate {
             id,
             same_zone: zone == own.zone,
             same_region: region == own.region,
         };
-        able.map(|m| candidate(m.id, &m.zone, &m.region))
-            .chain(named.map(|v| candidate(v.id, &v.zone, &v.region)))
+        candidates
+            .map(|m| candidate(m.id, &m.zone, &m.region))
+            .chain(missing_voters.map(|v| candidate(v.id, &v.zone, &v.region)))
             .collect()
     }
 
-    /// Tells the others that this process is about to end; whether they go on without it.
-    /// Without a vote, or with nobody to hand anything to, nothing is to be waited for.
+    /// Notifies the other nodes that this process is shutting down. Returns whether they can
+    /// continue without it. A node that does not vote, or is the only voter, has nothing to wait for.
     pub(super) fn announce_shutdown(&mut self) -> bool {
         self.raft.announce_shutdown(self.context.now());
-        self.tell_members();
+        self.publish_own_member();
         self.flush();
-        let is_alone = self.raft.membership().voters.len() < 2;
-        self.storage.is_none() || is_alone || self.raft.is_shutdown_safe()
+        let is_only_voter = self.raft.membership().voters.len() < 2;
+        self.storage.is_none() || is_only_voter || self.raft.is_shutdown_safe()
     }
 
-    /// What may be lost at the same time.
+    /// Returns the simultaneous losses that the settings require the cluster to tolerate.
     pub(super) fn tolerance(&self) -> FaultTolerance {
         let tolerance = self.context.settings.get().terms.tolerance;
         FaultTolerance {
@@ -167,8 +172,8 @@
         }
     }
 
-    /// A node that finds no leader after its start takes the newest copy that its peers have: a
-    /// copy that serves is better than none.
+    /// Asks peers for newer parts of the state if this node is not current some time after its
+    /// start: serving from a peer's copy is better than not serving.
     fn ask_peers_for_repair(&mut self, now: u64) {
         if self.context.status.get().is_current
             || now < self.started_at + c::PEER_CATCH_UP_MS
@@ -180,15 +185,16 @@
         let members = self.context.members.get();
         let own_id = self.raft.id();
         let settings = self.context.settings.get();
-        let able = members
+        let candidates = members
             .iter()
             .filter(|m| m.id != own_id && m.is_ready && m.is_alive());
-        let (near, far): (Vec<_>, Vec<_>) = able.partition(|m| m.zone == settings.own_entity.zone);
-        // After a loss all ask at the same time: not all the same peers.
+        let (near, far): (Vec<_>, Vec<_>) = candidates.partition(|m| m.zone == settings.own_entity.zone);
+        // After an outage all nodes ask at the same time; random choice spreads the load over the
+        // peers.
         let mut rng = rand::thread_rng();
-        let asked = near.choose(&mut rng).into_iter().chain(far.choose(&mut rng));
+        let selected = near.choose(&mut rng).into_iter().chain(far.choose(&mut rng));
         let digests = anti_entropy::digests(&self.state);
-        for member in asked {
+        for member in selected {
             let call = self.repairs.begin(member.id, now, digests.clone());
             let digests = RangeDigests {
                 incarnation: call.incarnation.0,
--- a/crates/pebblepond/src/control/membership.rs
+++ b/crates/pebblepond/src/control/membership.rs
@@ -1,4 +1,4 @@
-//! The leader's care for learners and voters.
+//! The leader's management of learners and voters.
 
 use super::driver::RaftDriver;
 use config::timing;
@@ -7,17 +7,17 @@
 use std::collections::BTreeSet;
 
 impl RaftDriver {
-    /// Every other node with a disk that may belong to this cluster.
+    /// Returns the IDs of all other nodes with a disk that may belong to this cluster.
     pub(super) fn learners(&self) -> BTreeSet<u64> {
         let status = self.context.status.get();
         let members = self.context.members.get();
-        let is_ours = |m: &&Member| m.cluster == 0 || m.cluster == status.cluster;
-        let ours = members.iter().filter(|m| m.has_disk).filter(is_ours);
-        let ids = ours.map(|m| m.id);
+        let may_be_in_cluster = |m: &&Member| m.cluster == 0 || m.cluster == status.cluster;
+        let members_with_disk = members.iter().filter(|m| m.has_disk).filter(may_be_in_cluster);
+        let ids = members_with_disk.map(|m| m.id);
         ids.filter(|id| *id != 0 && *id != status.id).collect()
     }
 
-    /// Proposes the next membership, if another one is better: one voter at a time.
+    /// Proposes the next membership if a better one exists. Membership changes one voter at a time.
     pub(super) fn change_membership(&mut self, now: u64) {
         self.raft.set_learners(&self.learners());
         let peers = self.peer_observations();
@@ -33,7 +33,7 @@
     fn peer_observations(&self) -> Vec<PeerObservation> {
         let status = self.context.status.get();
         let members = self.context.members.get();
-        // Who has answered the log has joined, whether word of it came or not.
+        // A node that has acknowledged log entries has joined, even if gossip does not show it yet.
         let has_joined = |m: &Member| {
             let answered = self.raft.progress(m.id).is_some_and(|p| p.matched > 0);
             m.cluster == status.cluster || m.cluster == 0 && answered
@@ -54,8 +54,8 @@
             .collect()
     }
 
-    /// Once a change of the membership is committed the next one need not wait for its turn.
-    /// `true` if there is one.
+    /// Proposes the next membership change as soon as the previous one is committed, without
+    /// waiting for the next maintenance round. Returns whether a new change was proposed.
     pub(super) fn continue_membership_change(&mut self) -> bool {
         let is_pending = self.raft.is_leader() && self.raft.is_membership_pending();
         let is_done = std::mem::replace(&mut self.membership_pending, is_pending) && !is_pending;
--- a/crates/pebblepond/src/control/mod.rs
+++ b/crates/pebblepond/src/control/mod.rs
@@ -1,10 +1,10 @@
-//! The control side: drives Raft and the store, takes the operator's commands, and publishes
-//! the control state and this node's part in it.
+//! The control component: drives Raft and the store, accepts operator commands, and publishes
+//! the control state and this node's status.
 //!
-//! The way of a command: `admin_http` hands [`ExecuteCommand`] to the [`RaftDriver`], which
-//! forwards it to the leader or judges it (`commands`); the leader proposes a change
-//! (`proposals`), every node applies it once it is committed (`driver`), and the leader
-//! answers once it outlasts any tolerated loss (`execution`).
+//! A command is processed as follows: `admin_http` sends [`ExecuteCommand`] to the
+//! [`RaftDriver`], which forwards it to the leader or executes it (`commands`); the leader
+//! proposes a change (`proposals`), every node applies it once it is committed (`driver`), and
+//! the leader answers once the change survives any tolerated loss (`execution`).
 
 mod commands;
 mod driver;
--- a/crates/pebblepond/src/control/peers.rs
+++ b/crates/pebblepond/src/control/peers.rs
@@ -12,29 +12,29 @@
 };
 use std::collections::HashMap;
 
-/// Nodes that are remembered although the membership may not show them yet, nodes.
-const INTRODUCED_REMEMBERED: usize = 256;
+/// Maximum number of reply addresses that are remembered.
+const MAX_REPLY_ADDRESSES: usize = 256;
 
-/// Where nodes can be answered that the membership may not show yet.
+/// Reply addresses, by node ID, of nodes that gossip and the membership may not show yet.
 #[derive(Default)]
-pub(super) struct Introduced(HashMap<u64, String>);
+pub(super) struct ReplyAddresses(HashMap<u64, String>);
 
-impl Introduced {
+impl ReplyAddresses {
     fn add(&mut self, id: u64, address: String) {
         if address.is_empty() {
             return;
         }
-        if self.0.len() >= INTRODUCED_REMEMBERED {
+        if self.0.len() >= MAX_REPLY_ADDRESSES {
             self.0.clear();
         }
         self.0.insert(id, address);
     }
 }
 
-/// A message of another node, from the transport.
+/// A message from another node, passed on by the transport.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(super) struct FromPeer(pub(super) PeerMessage);
+pub(super) struct PeerMessageReceived(pub(super) PeerMessage);
 
 impl RaftDriver {
     pub(super) fn send_to_peer(&self, to: String, payload: Payload) {
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Opens connections to the other voters.
-    pub(super) fn greet_voters(&self) {
+    /// Opens connections to the other voters by sending each a hello message.
+    pub(super) fn connect_to_voters(&self) {
         let own_id = self.raft.id();
         let voters = self.raft.membership().voters.iter();
         for voter in voters.filter(|v| v.id != own_id) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The internal address of a node.
+    /// Returns the internal address of a node.
     pub(super) fn address_of(&self, id: u64) -> Option<String> {
         let members = self.context.members.get();
         let member = members.iter().find(|m| m.id == id).map(|m| m.address.clone());
@@ -70,7 +70,7 @@
         };
         member
             .or_else(voter)
-            .or_else(|| self.introduced.0.get(&id).cloned())
+            .or_else(|| self.reply_addresses.0.get(&id).cloned())
     }
 
     fn receive_raft(&mut self, from: u64, cluster: u64, reply_to: String, bytes: &[u8]) {
@@ -79,7 +79,7 @@
             return;
         };
         self.join_cluster(cluster);
-        self.introduced.add(from, reply_to);
+        self.reply_addresses.add(from, reply_to);
         let before = self.raft.unreadable_snapshots();
         self.raft.step(self.context.now(), from, message);
         if self.raft.unreadable_snapshots() > before {
@@ -89,7 +89,7 @@
         self.flush();
     }
 
-    /// A command that another node has passed on to this one as the leader.
+    /// Executes a command that another node has forwarded to this node as the leader.
     fn receive_request(&self, request: CommandRequest, reply_to: String, driver: Addr<RaftDriver>) {
         let CommandRequest {
             number,
@@ -98,10 +98,10 @@
             tag,
         } = request;
         let Some(command) = command else { return };
-        let leads = self.raft.is_leader() && self.silent_ms() < c::ELECTION_TIMEOUT_MS;
+        let is_leading = self.raft.is_leader() && self.silent_ms() < c::ELECTION_TIMEOUT_MS;
         let context = self.context.clone();
         actix_rt::spawn(async move {
-            let response = if leads {
+            let response = if is_leading {
                 execute(driver, command, tag).await
             } else {
                 CommandError::NotLeader.response()
@@ -133,30 +133,30 @@
         }
     }
 
-    /// A peer asks for what its copy of the state lacks.
-    fn receive_digests(&self, reply_to: String, theirs: &RangeDigests) {
+    /// Answers a peer that asks for the parts that its copy of the state lacks.
+    fn receive_digests(&self, reply_to: String, peer_digests: &RangeDigests) {
         if !self.context.status.get().is_current {
             return;
         }
-        if let Some(repair) = anti_entropy::repair_for(&self.state, theirs) {
+        if let Some(repair) = anti_entropy::repair_for(&self.state, peer_digests) {
             self.send_to_peer(reply_to, Payload::Repair(Box::new(repair)));
         }
     }
 
-    /// A peer's answer to what this copy lacks.
+    /// Merges a peer's answer to a repair request into this node's copy of the state.
     fn receive_repair(&mut self, from: u64, repair: &Repair) {
         let call = CallId {
             incarnation: Incarnation(repair.incarnation),
             number: repair.number,
         };
-        let Some(asked) = self.repairs.finish(&from, call, self.context.now()) else {
+        let Some(own_digests) = self.repairs.finish(&from, call, self.context.now()) else {
             self.context.counters.add("unmatched_answers");
             return;
         };
         if self.context.status.get().is_current && !self.is_repaired {
             return;
         }
-        if let Some(state) = anti_entropy::repaired_since(&self.state, &asked, repair) {
+        if let Some(state) = anti_entropy::repaired_since(&self.state, &own_digests, repair) {
             log::info!(
                 "event=repaired index={} ranges={}",
                 repair.index,
@@ -170,9 +170,9 @@
     }
 }
 
-impl Handler<FromPeer> for RaftDriver {
+impl Handler<PeerMessageReceived> for RaftDriver {
     type Result = ();
-    fn handle(&mut self, FromPeer(message): FromPeer, actor: &mut Self::Context) {
+    fn handle(&mut self, PeerMessageReceived(message): PeerMessageReceived, actor: &mut Self::Context) {
         let PeerMessage {
             from,
             cluster,
@@ -183,7 +183,7 @@
             Some(Payload::Raft(bytes)) => self.receive_raft(from, cluster, reply_to, &bytes),
             Some(Payload::Request(request)) => self.receive_request(*request, reply_to, actor.address()),
             Some(Payload::Response(response)) => self.receive_response(from, response),
-            Some(Payload::Digests(theirs)) => self.receive_digests(reply_to, &theirs),
+            Some(Payload::Digests(peer_digests)) => self.receive_digests(reply_to, &peer_digests),
             Some(Payload::Repair(repair)) => self.receive_repair(from, &repair),
             Some(Payload::Report(_) | Payload::Hello(_)) | None => {}
         }
--- a/crates/pebblepond/src/control/persistence.rs
+++ b/crates/pebblepond/src/control/persistence.rs
@@ -1,35 +1,35 @@
-//! The writes to the store: what waits for them, and a disk that fails.
+//! Writes to the store: the messages that wait for them, and the detection of a failing disk.
 
 use super::driver::RaftDriver;
 use config::constants as c;
 use raft::{LogPosition, StorageWrite};
 use std::collections::VecDeque;
 
-/// A write that is not on disk yet, and what waits for it.
+/// A write that is not on disk yet, with the messages that wait for it.
 pub(super) struct PendingWrite {
     number: u64,
     messages: Vec<raft::Message>,
     last: LogPosition,
 }
 
-/// The writes to the store.
+/// The progress of the writes to the store.
 #[derive(Default)]
-pub(super) struct Writes {
+pub(super) struct WriteProgress {
     queued: u64,
     persisted: u64,
     pending: VecDeque<PendingWrite>,
-    /// Since when the oldest one waits, ms.
+    /// Time from which the wait of the oldest pending write is counted, in milliseconds.
     pending_since: u64,
 }
 
-impl Writes {
+impl WriteProgress {
     fn is_idle(&self) -> bool {
         self.queued == self.persisted
     }
 }
 
 impl RaftDriver {
-    /// Hands a write to the disk; the messages that need not wait for one.
+    /// Queues a write for the disk. Returns the messages that do not have to wait for a write.
     pub(super) fn write(
         &mut self,
         write: StorageWrite,
@@ -70,18 +70,18 @@
                 self.raft.on_persisted(write.last);
             }
         }
-        self.watch_storage(now);
+        self.check_storage(now);
     }
 
-    /// Sends messages that waited for a write, with what has been applied by now: the leader
-    /// need not wait for the next one to learn that a change is in force here.
+    /// Sends messages that waited for a write, with the current applied index: the leader then
+    /// learns without waiting for a later message that a change is in force here.
     pub(super) fn send_persisted(&self, mut messages: Vec<raft::Message>) {
         self.raft.stamp_applied(&mut messages);
         self.send_raft(messages);
     }
 
-    /// A disk whose oldest write takes too long fails.
-    pub(super) fn watch_storage(&mut self, now: u64) {
+    /// Treats the disk as failing if its oldest write takes longer than `DISK_TIMEOUT_MS`.
+    pub(super) fn check_storage(&mut self, now: u64) {
         if self.writes.is_idle() {
             if self.storage_failing {
                 self.storage_failing = false;
@@ -94,10 +94,10 @@
         }
     }
 
-    pub(super) fn on_storage_failure(&mut self, what: &str) {
+    pub(super) fn on_storage_failure(&mut self, reason: &str) {
         if !self.storage_failing {
             self.storage_failing = true;
-            log::warn!("event=disk_trouble what={what:?}");
+            log::warn!("event=disk_trouble what={reason:?}");
         }
         self.raft.set_storage_failed(true);
     }
--- a/crates/pebblepond/src/control/proposals.rs
+++ b/crates/pebblepond/src/control/proposals.rs
@@ -1,44 +1,44 @@
-//! Changes on their way through the log, and commands that repeat others.
+//! Proposed changes that wait for their log entry, and the detection of repeated commands.
 
 use super::driver::RaftDriver;
 use control_state::{configuration_key, Outcome};
 use protocol::{Change, ChangeKind, CommandTag, ConfigurationKey};
 use tokio::sync::oneshot;
 
-/// What a change came to, and its index in the log.
+/// The outcome of an applied change, and its index in the log.
 #[derive(Clone, Debug)]
-pub(super) struct Settled {
+pub(super) struct ProposalResult {
     pub(super) outcome: Outcome,
     pub(super) index: u64,
 }
 
-/// What became of a proposal: `None` if that is not known.
-pub(super) type Settlement = oneshot::Receiver<Option<Settled>>;
+/// Receives the result of a proposal: `None` if it is unknown.
+pub(super) type ProposalReceiver = oneshot::Receiver<Option<ProposalResult>>;
 
-/// A change of this leader that waits in the log.
+/// A change that this leader has proposed and that is not applied yet.
 pub(super) struct Proposal {
     pub(super) term: u64,
-    /// Of a configuration command, so that the same one sent again joins it.
+    /// The key of a configuration command, by which a repeated command joins this proposal.
     key: Option<ConfigurationKey>,
-    /// Of a command without a base version.
+    /// The tag of a command without a base version.
     tag: Option<CommandTag>,
-    waiters: Vec<oneshot::Sender<Option<Settled>>>,
+    waiters: Vec<oneshot::Sender<Option<ProposalResult>>>,
 }
 
 impl Proposal {
-    /// Tells all that wait.
-    pub(super) fn settle(self, settled: &Option<Settled>) {
+    /// Sends the result to all waiters.
+    pub(super) fn complete(self, result: &Option<ProposalResult>) {
         for waiter in self.waiters {
-            let _ = waiter.send(settled.clone());
+            let _ = waiter.send(result.clone());
         }
     }
 }
 
 impl RaftDriver {
-    /// Puts a change into the log. A configuration command that is on its way already is
-    /// joined: its entry comes to the same, whoever asked.
-    pub(super) fn propose(&mut self, kind: ChangeKind, tag: Option<CommandTag>) -> Settlement {
-        let (sender, settlement) = oneshot::channel();
+    /// Proposes a change. A configuration command joins the pending proposal of an equal command,
+    /// because one entry has the same effect for both callers.
+    pub(super) fn propose(&mut self, kind: ChangeKind, tag: Option<CommandTag>) -> ProposalReceiver {
+        let (sender, receiver) = oneshot::channel();
         let key = match &kind {
             ChangeKind::Replace(command) => Some(configuration_key(command)),
             _ => None,
@@ -46,7 +46,7 @@
         let is_same = |p: &&mut Proposal| key.is_some() && p.key == key;
         if let Some(pending) = self.proposals.values_mut().find(is_same) {
             pending.waiters.push(sender);
-            return settlement;
+            return receiver;
         }
         if self.raft.is_established_leader() {
             let data = Change::encode_tagged(self.state.compact_for_log(kind), tag.clone());
@@ -61,11 +61,11 @@
                 self.flush();
             }
         }
-        settlement
+        receiver
     }
 
-    /// Puts a command into the log; one that seems to be sent again says so there.
-    pub(super) fn propose_command(&mut self, kind: ChangeKind, tag: Option<CommandTag>) -> Settlement {
+    /// Proposes a command; its tag names the index of the command that it seems to repeat.
+    pub(super) fn propose_command(&mut self, kind: ChangeKind, tag: Option<CommandTag>) -> ProposalReceiver {
         let repeated = tag.as_ref().and_then(|tag| self.repeated(tag));
         if let Some(index) = repeated {
             self.recent_commands.note_repeated(self.context.now(), index);
@@ -77,20 +77,21 @@
         self.propose(kind, tag)
     }
 
-    /// The index of the command that this one most likely repeats.
+    /// Returns the index of the command that this one most likely repeats.
     pub(super) fn repeated(&self, tag: &CommandTag) -> Option<u64> {
         let history = &self.state.command_history;
         self.recent_commands
             .repeated(self.context.now(), history, tag, self.pending_commands())
     }
 
-    /// Whether a command comes too late to be ordered behind the newest on its subject.
+    /// Returns whether a command arrived too late to be ordered after the newest command on its
+    /// subject.
     pub(super) fn is_overtaken(&self, tag: &CommandTag) -> bool {
         let history = &self.state.command_history;
         history.is_overtaken(tag, self.pending_commands())
     }
 
-    /// The commands with a tag that wait in the log, by index.
+    /// Returns the pending commands that have a tag, with their log indexes.
     fn pending_commands(&self) -> impl Iterator<Item = (u64, &CommandTag)> {
         let pending = self.proposals.iter();
         pending.filter_map(|(index, p)| Some((*index, p.tag.as_ref()?)))
--- a/crates/pebblepond/src/control/publication.rs
+++ b/crates/pebblepond/src/control/publication.rs
@@ -1,4 +1,4 @@
-//! What the driver publishes: this node's status, and what others are told of it.
+//! Publishes this node's status in the process, and its member entry to the other nodes.
 
 use super::driver::RaftDriver;
 use crate::gossip_driver::{GossipDriver, UpdateOwnMember};
@@ -6,7 +6,7 @@
 use actix::prelude::*;
 
 impl RaftDriver {
-    /// Publishes what has changed.
+    /// Publishes the status, the contact and the member entry of this node if they have changed.
     pub(super) fn publish(&mut self) {
         let now = self.context.now();
         self.recent_commands.note(now, &self.state.command_history);
@@ -34,20 +34,21 @@
         {
             self.context.status.set(status);
         }
-        self.tell_members();
+        self.publish_own_member();
     }
 
-    /// Contact is through an upstream or with the leader itself; asking a voter does not count.
+    /// Publishes the time of the last contact. Contact is through an upstream or with the leader
+    /// itself; repair requests do not count.
     fn publish_contact(&self) {
         let now = self.context.now();
-        let heard = if self.raft.holds_lease(now) {
+        let last_contact_at = if self.raft.holds_lease(now) {
             now
         } else if self.raft.is_leader() {
             self.context.last_contact.get()
         } else {
             self.raft.leader_heard_at()
         };
-        self.context.last_contact.set(heard);
+        self.context.last_contact.set(last_contact_at);
     }
 
     fn on_leadership_change(&mut self, status: &NodeStatus) {
@@ -56,13 +57,13 @@
             log::info!("event=leads term={term}");
         } else {
             log::info!("event=leads_no_more term={term}");
-            // Whether they will stand is not known here: no clear answer.
+            // Their outcome is unknown here, so the callers receive no definite answer.
             self.proposals.clear();
         }
     }
 
-    /// Tells the membership what others should know of this node, if that has changed.
-    pub(super) fn tell_members(&mut self) {
+    /// Sends this node's member entry to gossip, if it has changed.
+    pub(super) fn publish_own_member(&mut self) {
         let status = self.context.status.get();
         let update = UpdateOwnMember {
             id: status.id,
@@ -71,16 +72,16 @@
             appointed: self.appointed,
             is_new_system: self.is_new_system,
         };
-        if self.told == Some(update) {
+        if self.last_sent_update == Some(update) {
             return;
         }
         if let Some(gossip) = self.context.get::<Addr<GossipDriver>>() {
-            self.told = Some(update);
+            self.last_sent_update = Some(update);
             gossip.do_send(update);
         }
     }
 
-    /// Belongs to a cluster from now on, unless it does already.
+    /// Joins a cluster, unless this node already belongs to one.
     pub(super) fn join_cluster(&mut self, cluster: u64) {
         let status = self.context.status.get();
         if status.cluster != 0 || cluster == 0 {
--- a/crates/pebblepond/src/control/rollout_commands.rs
+++ b/crates/pebblepond/src/control/rollout_commands.rs
@@ -1,8 +1,8 @@
-//! Commands about rollouts, carried out on the leader.
+//! Execution of rollout commands on the leader.
 
 use super::driver::RaftDriver;
 use super::error::{response, CommandError};
-use super::execution::{confirm_leadership, settle, CommandResult, IsRepeated};
+use super::execution::{commit_and_acknowledge, confirm_leadership, CommandResult, IsRepeated};
 use crate::rollout_controller::{CheckGate, RolloutController, RolloutFigures};
 use actix::prelude::*;
 use config::constants as c;
@@ -12,10 +12,10 @@
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 
-/// The leader's copy of the control state, and what else a command goes by.
+/// The leader's copy of the control state, and other inputs of a rollout command.
 struct RolloutView {
     state: ControlState,
-    /// Largest part of a service's requests that a bad version may get.
+    /// Largest share of a service's requests that a bad version may receive.
     exposure_share: f64,
     controller: Option<Addr<RolloutController>>,
 }
@@ -36,14 +36,15 @@
     }
 }
 
-/// The leader's copy, once a majority has confirmed it: commands are rejected by it.
-async fn view(driver: &Addr<RaftDriver>) -> Result<RolloutView, CommandError> {
+/// Returns the leader's copy of the state once a majority has confirmed it, so that it can be
+/// used to reject commands.
+async fn confirmed_view(driver: &Addr<RaftDriver>) -> Result<RolloutView, CommandError> {
     confirm_leadership(driver).await?;
     let view = driver.send(ReadRolloutView).await;
     view.unwrap_or(Err(CommandError::NotLeader))
 }
 
-/// Whether a command to begin a rollout is valid, as far as the log would not say so itself.
+/// Checks a command to begin a rollout for errors that applying the log entry does not detect.
 fn check_begin(state: &ControlState, service: &str, create: &Create) -> Result<(), CommandError> {
     if create.target.is_empty() {
         return Err(CommandError::InvalidField("TargetVersion: is empty".into()));
@@ -68,7 +69,7 @@
     workers.filter(move |w| w.service == service && !w.draining)
 }
 
-/// Whether a command is most likely one that was accepted a moment ago.
+/// Returns whether a command most likely repeats one that was accepted recently.
 async fn is_repeated(driver: &Addr<RaftDriver>, tag: &Option<CommandTag>) -> bool {
     driver.send(IsRepeated(tag.clone())).await.unwrap_or(false)
 }
@@ -82,18 +83,19 @@
         state,
         exposure_share,
         ..
-    } = view(driver).await?;
+    } = confirmed_view(driver).await?;
     let create = command.create.unwrap_or_default();
     let is_same =
         |r: &Rollout| r.is_active() && r.target == create.target && r.duration_ms == create.duration_ms;
     let is_running = state.rollouts.get(&command.service).is_some_and(|r| is_same(r));
-    // Sent again it is known by the log, whatever has come of it since.
+    // A repeated command is recognised when its entry is applied, whatever the rollout's state is
+    // by then.
     if !is_repeated(driver, &tag).await && !is_running {
         check_begin(&state, &command.service, &create)?;
     }
     let current = workers(&state, &command.service)
         .filter(|w| state.cohort(w) == Cohort::Old && w.version != create.target);
-    let before: BTreeSet<String> = current.map(|w| w.version.clone()).collect();
+    let previous_versions: BTreeSet<String> = current.map(|w| w.version.clone()).collect();
     let change = RolloutChange {
         service: command.service,
         action: Action::Create as i32,
@@ -101,13 +103,13 @@
         why: command.why,
         stages: rollout::stages(create.duration_ms, exposure_share),
         create: Some(create),
-        previous_versions: before.into_iter().collect(),
+        previous_versions: previous_versions.into_iter().collect(),
         ..Default::default()
     };
-    settle(driver, ChangeKind::Rollout(change), tag).await
+    commit_and_acknowledge(driver, ChangeKind::Rollout(change), tag).await
 }
 
-/// Promotes, pauses, resumes, rolls back or cancels.
+/// Promotes, pauses, resumes, rolls back or cancels a rollout.
 pub(super) async fn change(
     driver: &Addr<RaftDriver>,
     mut change: RolloutChange,
@@ -115,9 +117,9 @@
 ) -> CommandResult {
     let RolloutView {
         state, controller, ..
-    } = view(driver).await?;
+    } = confirmed_view(driver).await?;
     if is_repeated(driver, &tag).await {
-        return settle(driver, ChangeKind::Rollout(change), tag).await;
+        return commit_and_acknowledge(driver, ChangeKind::Rollout(change), tag).await;
     }
     let rollout = state
         .rollouts
@@ -132,27 +134,27 @@
         action: Action::try_from(change.action).unwrap_or(Action::None),
         bypass: change.bypass,
     };
-    let passed = controller.send(gate).await.map_err(|_| CommandError::Ending)?;
-    change.elapsed_ms = passed.map_err(CommandError::GateClosed)?;
+    let gate_result = controller.send(gate).await.map_err(|_| CommandError::Ending)?;
+    change.elapsed_ms = gate_result.map_err(CommandError::GateClosed)?;
     if change.expected == 0 {
         change.expected = rollout.version;
     }
-    settle(driver, ChangeKind::Rollout(change), tag).await
+    commit_and_acknowledge(driver, ChangeKind::Rollout(change), tag).await
 }
 
-/// One rollout as the operator's protocol wants it.
+/// Reads one rollout in the format of the operator's protocol.
 pub(super) async fn read_one(driver: &Addr<RaftDriver>, service: &str) -> CommandResult {
-    let state = view(driver).await?.state;
+    let state = confirmed_view(driver).await?.state;
     let rollout = state.rollouts.get(service).ok_or(CommandError::NoRollout)?;
     let body = json!({"State": rollout.state_now().protocol_name(), "TargetVersion": rollout.target});
     Ok(response(200, body.to_string()))
 }
 
-/// All rollouts with all there is.
+/// Reads all rollouts with their stages, records and figures, and the kill switch.
 pub(super) async fn read_all(driver: &Addr<RaftDriver>) -> CommandResult {
     let RolloutView {
         state, controller, ..
-    } = view(driver).await?;
+    } = confirmed_view(driver).await?;
     let figures = match controller {
         Some(controller) => controller.send(RolloutFigures).await.unwrap_or_default(),
         None => Value::Null,
--- a/crates/pebblepond/src/control/status_report.rs
+++ b/crates/pebblepond/src/control/status_report.rs
@@ -1,12 +1,12 @@
-//! What a node tells of the control side, for operators. The fields' names are kept: tools
-//! read them.
+//! The status report of the control component, for operators. The field names must not change,
+//! because tools read them.
 
 use super::driver::RaftDriver;
 use config::constants as c;
 use serde_json::{json, Value};
 
 impl RaftDriver {
-    /// The answer to `status`, as JSON.
+    /// Returns the response to the `status` command, as JSON.
     pub(super) fn status_report(&self) -> Vec<u8> {
         let silent_ms = self.silent_ms();
         let report = json!({
@@ -62,15 +62,16 @@
             .collect()
     }
 
-    /// The voters and what they tolerate, as far as this node knows: only the leader hears them
-    /// all.
+    /// Reports the voters and the losses that they tolerate, as far as this node knows: only the
+    /// leader hears from all of them.
     fn core_report(&self) -> Value {
         let (raft, now) = (&self.raft, self.context.now());
         let membership = raft.membership();
-        let leads = raft.is_leader();
+        let is_leader = raft.is_leader();
         let is_live = |id: u64| {
-            let heard = |p: &raft::Progress| now.saturating_sub(p.last_heard) < c::CONTACT_TIMEOUT_MS;
-            id == raft.id() || raft.progress(id).is_some_and(heard)
+            let was_heard_recently =
+                |p: &raft::Progress| now.saturating_sub(p.last_heard) < c::CONTACT_TIMEOUT_MS;
+            id == raft.id() || raft.progress(id).is_some_and(was_heard_recently)
         };
         let is_caught_up = |id: u64| {
             let progress = raft.progress(id);
@@ -88,14 +89,14 @@
         let history = self.state.command_history.sizes();
         let silent_ms = self.silent_ms();
         json!({
-            "leads": leads, "leader_id": raft.leader_id(), "term": raft.term(),
+            "leads": is_leader, "leader_id": raft.leader_id(), "term": raft.term(),
             "commit": raft.commit_index(), "last_index": raft.last_index(),
             "silent_ms": silent_ms, "in_contact": silent_ms < c::OUT_OF_CONTACT_MS,
-            "led_for_ms": leads.then(|| now.saturating_sub(raft.leader_since())),
+            "led_for_ms": is_leader.then(|| now.saturating_sub(raft.leader_since())),
             "voters": membership.voters.len(), "majority": membership.majority(),
-            "live": leads.then_some(live.len()), "caught_up": leads.then_some(caught_up),
-            "learning": leads.then(|| learning.count()),
-            "further_losses": leads.then(|| caught_up as i64 - membership.majority() as i64),
+            "live": is_leader.then_some(live.len()), "caught_up": is_leader.then_some(caught_up),
+            "learning": is_leader.then(|| learning.count()),
+            "further_losses": is_leader.then(|| caught_up as i64 - membership.majority() as i64),
             "bears_tolerance": raft::tolerates_faults(membership, self.tolerance()),
             "roll_change_under_way": raft.is_membership_pending(),
             "snapshot_index": raft.last_index() - raft.log_len() as u64,
--- a/crates/pebblepond/src/control_answers_tests.rs
+++ b/crates/pebblepond/src/control_answers_tests.rs
@@ -1,47 +1,48 @@
-//! What control says stays as it is, byte for byte but for values: `control-answers.txt`
-//! holds every answer of a fixed list of calls to a node that leads alone (commit 7a4bca1).
+//! The responses of the control interface stay the same byte for byte, except for values that vary:
+//! `control-answers.txt` holds every response to a fixed list of calls to a single-node system
+//! (commit 7a4bca1).
 
-use crate::control_tests::{control, raw};
+use crate::control_tests::{send_raw, start_single_node};
 use crate::forwarding_tests::CONFIG;
 use serde_json::Value;
 
-const PINNED: &str = include_str!("../tests/data/control-answers.txt");
+const EXPECTED: &str = include_str!("../tests/data/control-answers.txt");
 
-/// Calls whose answers hold values that differ from run to run.
-const VALUES: [&str; 3] = ["/status", "/rollouts/list", "/resolution"];
+/// Paths whose responses contain values that differ from run to run.
+const PATHS_WITH_VARYING_VALUES: [&str; 3] = ["/status", "/rollouts/list", "/resolution"];
 
-/// The fields and their kinds, without the values.
-fn kinds(value: &Value) -> Value {
+/// Returns the fields and their JSON types, without the values.
+fn without_values(value: &Value) -> Value {
     match value {
         Value::Null => Value::Null,
         Value::Bool(_) => Value::Bool(false),
         Value::Number(_) => Value::from(0),
         Value::String(_) => Value::from(""),
-        Value::Array(items) => items.first().map(kinds).into_iter().collect(),
+        Value::Array(items) => items.first().map(without_values).into_iter().collect(),
         Value::Object(fields) => {
             let fields = fields.iter().map(|(name, value)| match name.as_str() {
                 "counters" => (name.clone(), Value::from("counts by name")),
-                _ => (name.clone(), kinds(value)),
+                _ => (name.clone(), without_values(value)),
             });
             Value::Object(fields.collect())
         }
     }
 }
 
-/// An answer as it is compared.
-fn comparable(path: &str, answer: &str) -> String {
-    let (head, body) = answer.split_once("\r\n\r\n").unwrap_or((answer, ""));
-    let differs = VALUES.iter().any(|p| path.starts_with(p));
+/// Returns a response in the form in which it is compared.
+fn comparable(path: &str, response: &str) -> String {
+    let (head, body) = response.split_once("\r\n\r\n").unwrap_or((response, ""));
+    let has_varying_values = PATHS_WITH_VARYING_VALUES.iter().any(|p| path.starts_with(p));
     let header = |line: &str| match line.split_once(": ") {
         Some((name, _)) if name == "date" => format!("{name}: *"),
-        Some((name, _)) if name == "content-length" && differs => format!("{name}: *"),
+        Some((name, _)) if name == "content-length" && has_varying_values => format!("{name}: *"),
         _ => line.to_string(),
     };
     let mut lines: Vec<String> = head.lines().map(header).collect();
-    // Their order differs from run to run.
+    // The order of the headers differs from run to run.
     lines[1..].sort();
     let body = match serde_json::from_str(body) {
-        Ok(value) if differs => kinds(&value).to_string(),
+        Ok(value) if has_varying_values => without_values(&value).to_string(),
         _ => body.to_string(),
     };
     format!("{}\n\n{body}\n", lines.join("\n"))
@@ -60,8 +61,14 @@
     let base = |n: u64| format!("Base-Version: {n}\r\n");
     let get = |path: &str| call("GET", path, "", "");
     let post = |path: &str, body: &str| call("POST", path, "", body);
-    let change =
-        |what: &str, on: u64, body: &str| call("POST", &format!("/configuration/{what}"), &base(on), body);
+    let change = |action: &str, base_version: u64, body: &str| {
+        call(
+            "POST",
+            &format!("/configuration/{action}"),
+            &base(base_version),
+            body,
+        )
+    };
     vec![
         get("/readiness"),
         get("/configuration/read"),
@@ -122,18 +129,25 @@
 }
 
 #[actix_rt::test]
-async fn control_answers_as_it_did() {
-    let (_context, address, _folder) = control().await;
-    let mut told = String::new();
-    for (what, request) in calls() {
-        let path = what.split(' ').nth(1).unwrap_or("").to_string();
-        let answer = raw(address, &request).await;
-        let what: String = what.replace("\r\n", " ").chars().take(120).collect();
-        told += &format!("> {}\n{}\n", what.replace('\n', ""), comparable(&path, &answer));
+async fn control_responses_match_the_recorded_ones() {
+    let (_context, address, _directory) = start_single_node().await;
+    let mut transcript = String::new();
+    for (title, request) in calls() {
+        let path = title.split(' ').nth(1).unwrap_or("").to_string();
+        let response = send_raw(address, &request).await;
+        let title: String = title.replace("\r\n", " ").chars().take(120).collect();
+        transcript += &format!(
+            "> {}\n{}\n",
+            title.replace('\n', ""),
+            comparable(&path, &response)
+        );
     }
-    if told != PINNED {
+    if transcript != EXPECTED {
         let path = std::env::temp_dir().join("control-answers.txt");
-        std::fs::write(&path, &told).expect("written");
-        panic!("the answers have changed; as they are now: {}", path.display());
+        std::fs::write(&path, &transcript).expect("written");
+        panic!(
+            "the responses have changed; the current ones are in {}",
+            path.display()
+        );
     }
 }
--- a/crates/pebblepond/src/control_tests.rs
+++ b/crates/pebblepond/src/control_tests.rs
@@ -1,5 +1,6 @@
-//! Control over HTTP on a node that leads a system of one: answers belong to the
-//! request on their connection, and bad input is refused whole with its field named.
+//! The control interface over HTTP, on a node that is the leader of a single-node system: each
+//! response belongs to the request on its connection, and invalid input is rejected with the name
+//! of the field.
 
 use crate::forwarding_tests::{free_port, status, CONFIG};
 use crate::kernel::{start_all_but, NodeContext};
@@ -10,18 +11,18 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A folder that goes with the test.
-pub(crate) struct Folder(std::path::PathBuf);
+/// A temporary directory that is removed at the end of a test.
+pub(crate) struct TempDirectory(std::path::PathBuf);
 
-impl Drop for Folder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// A node that leads alone, and the address of its control.
-pub(crate) async fn control() -> (Rc<NodeContext>, SocketAddrV4, Folder) {
-    let folder = Folder(std::env::temp_dir().join(format!("control-{:x}", rand::random::<u64>())));
+/// Starts a single-node system. Returns the node once it is the leader, and its control address.
+pub(crate) async fn start_single_node() -> (Rc<NodeContext>, SocketAddrV4, TempDirectory) {
+    let directory = TempDirectory(std::env::temp_dir().join(format!("control-{:x}", rand::random::<u64>())));
     let (internal, port) = (free_port(), free_port());
     let text = format!(
         r#"
@@ -46,11 +47,11 @@
         RatePerS = 1.0
         [Terms]
         "#,
-        folder.0.display()
+        directory.0.display()
     );
     let settings = Settings::parse(&text).expect("settings");
     let node = NodeContext::new(settings, String::new(), 0);
-    let out = [
+    let excluded = [
         "proxy",
         "discovery",
         "key_ownership",
@@ -59,45 +60,45 @@
         "shutdown",
         "counter_log",
     ];
-    start_all_but(&node, &out).expect("starts");
+    start_all_but(&node, &excluded).expect("starts");
     while !node.status.get().is_leader || !node.status.get().is_current {
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
-    (node, SocketAddrV4::new([127, 0, 0, 1].into(), port), folder)
+    (node, SocketAddrV4::new([127, 0, 0, 1].into(), port), directory)
 }
 
-fn replace(headers: &str, body: &str) -> String {
+fn replace_request(headers: &str, body: &str) -> String {
     let length = body.len();
     format!(
         "POST /configuration/replace HTTP/1.1\r\nHost: c\r\n{headers}Content-Length: {length}\r\n\r\n{body}"
     )
 }
 
-fn closing(request: &str) -> String {
+fn with_connection_close(request: &str) -> String {
     request.replacen("Host: c\r\n", "Host: c\r\nConnection: close\r\n", 1)
 }
 
-/// Sends bytes, as far as they are taken, and reads until the other side closes.
-pub(crate) async fn raw(address: SocketAddrV4, text: &str) -> String {
-    let io = TcpStream::connect(address).await.expect("connects");
-    let (mut reading, mut writing) = io.into_split();
+/// Sends as much of a text as the peer accepts, and reads until the peer closes the connection.
+pub(crate) async fn send_raw(address: SocketAddrV4, text: &str) -> String {
+    let stream = TcpStream::connect(address).await.expect("connects");
+    let (mut reader, mut writer) = stream.into_split();
     let text = text.to_string();
-    let sending = actix_rt::spawn(async move {
-        let _ = writing.write_all(text.as_bytes()).await;
-        writing
+    let send_task = actix_rt::spawn(async move {
+        let _ = writer.write_all(text.as_bytes()).await;
+        writer
     });
-    let mut got = Vec::new();
-    let _ = reading.read_to_end(&mut got).await;
-    sending.abort();
-    String::from_utf8_lossy(&got).into_owned()
+    let mut response_bytes = Vec::new();
+    let _ = reader.read_to_end(&mut response_bytes).await;
+    send_task.abort();
+    String::from_utf8_lossy(&response_bytes).into_owned()
 }
 
 const READ: &str = "GET /configuration/read HTTP/1.1\r\nHost: c\r\nConnection: close\r\n\r\n";
 
 #[actix_rt::test]
-async fn bad_input_is_refused_with_its_field_and_nothing_is_taken() {
-    let (node, control, _folder) = control().await;
-    let mut wrong = Vec::new();
+async fn invalid_input_is_rejected_with_its_field_and_changes_nothing() {
+    let (node, control, _directory) = start_single_node().await;
+    let mut failures = Vec::new();
     for base in [
         "",
         "Base-Version:\r\n",
@@ -115,31 +116,39 @@
         &format!("Base-Version: {}0\r\n", "0".repeat(60_000)),
     ] {
         for path in ["replace", "modify"] {
-            let request = closing(&replace(base, CONFIG)).replacen("replace", path, 1);
-            let answer = raw(control, &request).await;
-            if status(&answer) != "400" || !answer.contains("Base-Version") {
+            let request = with_connection_close(&replace_request(base, CONFIG)).replacen("replace", path, 1);
+            let response = send_raw(control, &request).await;
+            if status(&response) != "400" || !response.contains("Base-Version") {
                 let base: String = base.chars().take(60).collect();
-                wrong.push((path, base, answer));
+                failures.push((path, base, response));
             }
         }
     }
-    let big = "x".repeat(9_000_000);
-    let inside = "POST /evacuation/z/begin HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n";
-    for (request, wanted, field) in [
-        (closing(&replace("Base-Version: 0\r\n", &big)), "413", "the body"),
+    let oversized_body = "x".repeat(9_000_000);
+    let embedded_request = "POST /evacuation/z/begin HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n";
+    for (request, expected_status, field) in [
         (
-            replace("Base-Version: 0\r\n", &inside.repeat(130_000)),
+            with_connection_close(&replace_request("Base-Version: 0\r\n", &oversized_body)),
             "413",
             "the body",
         ),
-        (closing(&replace("Base-Version: 0\r\n", "")), "400", "the body"),
         (
-            closing(&replace("Base-Version: 0\r\n", "{\"Version\":1")),
+            replace_request("Base-Version: 0\r\n", &embedded_request.repeat(130_000)),
+            "413",
+            "the body",
+        ),
+        (
+            with_connection_close(&replace_request("Base-Version: 0\r\n", "")),
             "400",
             "the body",
         ),
         (
-            closing(&replace(
+            with_connection_close(&replace_request("Base-Version: 0\r\n", "{\"Version\":1")),
+            "400",
+            "the body",
+        ),
+        (
+            with_connection_close(&replace_request(
                 "Base-Version: 0\r\n",
                 &CONFIG.replace("\"Version\":1,", ""),
             )),
@@ -147,7 +156,7 @@
             "Version",
         ),
         (
-            closing(&replace(
+            with_connection_close(&replace_request(
                 "Base-Version: 0\r\n",
                 &CONFIG.replace(":1,", ":\"one\","),
             )),
@@ -155,90 +164,98 @@
             "invalid type",
         ),
     ] {
-        let answer = raw(control, &request).await;
-        if status(&answer) != wanted || !answer.contains(field) || answer.matches("HTTP/1.1").count() != 1 {
-            wrong.push(("body", request.chars().take(200).collect(), answer));
+        let response = send_raw(control, &request).await;
+        if status(&response) != expected_status
+            || !response.contains(field)
+            || response.matches("HTTP/1.1").count() != 1
+        {
+            failures.push(("body", request.chars().take(200).collect(), response));
         }
     }
-    assert!(wrong.is_empty(), "{wrong:#?}");
+    assert!(failures.is_empty(), "{failures:#?}");
     let state = node.state.get();
     assert_eq!(
         (state.version(), state.evacuated.len()),
         (0, 0),
-        "nothing was taken"
+        "a rejected command changed the state"
     );
-    let good = closing(&replace("Base-Version: 0\r\n", CONFIG));
+    let valid_request = with_connection_close(&replace_request("Base-Version: 0\r\n", CONFIG));
     for _ in 0..2 {
-        assert_eq!(status(&raw(control, &good).await), "200");
+        assert_eq!(status(&send_raw(control, &valid_request).await), "200");
     }
     assert_eq!(node.state.get().version(), 1);
 }
 
 #[actix_rt::test]
-async fn an_answer_belongs_to_the_request_on_its_connection() {
-    let (node, control, _folder) = control().await;
-    // A caller that gives up gets nothing more, and nobody else gets its answer.
-    let mut gone = TcpStream::connect(control).await.expect("connects");
-    let order = replace("Base-Version: 0\r\n", CONFIG);
-    gone.write_all(order.as_bytes()).await.expect("sends");
-    drop(gone);
+async fn a_response_belongs_to_the_request_on_its_connection() {
+    let (node, control, _directory) = start_single_node().await;
+    // A caller that closes its connection receives nothing more, and no other caller receives its
+    // response.
+    let mut connection = TcpStream::connect(control).await.expect("connects");
+    let command = replace_request("Base-Version: 0\r\n", CONFIG);
+    connection.write_all(command.as_bytes()).await.expect("sends");
+    drop(connection);
     for _ in 0..50 {
-        let answer = raw(control, READ).await;
-        assert!(["200", "404"].contains(&status(&answer)), "{answer}");
-        assert_eq!(answer.matches("HTTP/1.1").count(), 1);
+        let response = send_raw(control, READ).await;
+        assert!(["200", "404"].contains(&status(&response)), "{response}");
+        assert_eq!(response.matches("HTTP/1.1").count(), 1);
         assert_eq!(
-            status(&answer) == "200",
-            answer.contains("AccessPoints"),
-            "{answer}"
+            status(&response) == "200",
+            response.contains("AccessPoints"),
+            "{response}"
         );
     }
-    // Orders sent ahead on one connection are answered in turn.
-    let lost = replace(
+    // Pipelined commands on one connection are answered in order.
+    let conflicting = replace_request(
         "Base-Version: 9\r\n",
         &CONFIG.replace("\"Version\":1,", "\"Version\":10,"),
     );
     let evacuate = "POST /evacuation/z/begin HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n";
-    let nowhere = evacuate.replace("/z/", "/nowhere/");
-    let answer = raw(control, &format!("{order}{lost}{nowhere}{evacuate}{READ}")).await;
-    let told: Vec<&str> = answer.split("HTTP/1.1 ").skip(1).map(|a| &a[..3]).collect();
-    assert_eq!(told, ["200", "412", "404", "200", "200"], "{answer}");
-    assert!(answer.ends_with(CONFIG));
+    let unknown_zone = evacuate.replace("/z/", "/nowhere/");
+    let response = send_raw(
+        control,
+        &format!("{command}{conflicting}{unknown_zone}{evacuate}{READ}"),
+    )
+    .await;
+    let statuses: Vec<&str> = response.split("HTTP/1.1 ").skip(1).map(|a| &a[..3]).collect();
+    assert_eq!(statuses, ["200", "412", "404", "200", "200"], "{response}");
+    assert!(response.ends_with(CONFIG));
     let state = node.state.get();
     assert_eq!((state.version(), state.evacuated.len()), (1, 1));
 }
 
-/// A command to begin or to finish the evacuation of a zone.
-fn evacuation(what: &str) -> String {
-    format!("POST /evacuation/z/{what} HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n")
+/// Returns a command to begin or finish the evacuation of a zone.
+fn evacuation(action: &str) -> String {
+    format!("POST /evacuation/z/{action} HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n")
 }
 
-/// A command that reaches a process which stands still, as this thread does meanwhile, from a
-/// caller that has gone on by then.
-fn leave_behind(control: SocketAddrV4, command: &str) {
-    let mut gone = std::net::TcpStream::connect(control).expect("connects");
-    std::io::Write::write_all(&mut gone, command.as_bytes()).expect("sends");
+/// Sends a command and closes the connection before the node reads it: the node runs on this thread,
+/// which is blocked meanwhile, like a paused process.
+fn send_and_disconnect(control: SocketAddrV4, command: &str) {
+    let mut connection = std::net::TcpStream::connect(control).expect("connects");
+    std::io::Write::write_all(&mut connection, command.as_bytes()).expect("sends");
 }
 
-/// Guards against a command that is read late, when its caller has sent it again elsewhere, and
-/// takes back a newer one (EVAC; review case 5).
+/// Guards against a command that is read late, after its caller has sent it again to another node,
+/// and that reverts a newer command (EVAC; review case 5).
 #[actix_rt::test]
-async fn a_command_whose_caller_has_gone_is_not_carried_out() {
-    let (node, control, _folder) = control().await;
-    let first = closing(&replace("Base-Version: 0\r\n", CONFIG));
-    assert_eq!(status(&raw(control, &first).await), "200");
-    for what in ["begin", "finish", "begin"] {
-        let answer = raw(control, &closing(&evacuation(what))).await;
-        assert_eq!(status(&answer), "200", "{what}: {answer}");
+async fn a_command_is_not_executed_after_its_caller_has_closed_the_connection() {
+    let (node, control, _directory) = start_single_node().await;
+    let first = with_connection_close(&replace_request("Base-Version: 0\r\n", CONFIG));
+    assert_eq!(status(&send_raw(control, &first).await), "200");
+    for action in ["begin", "finish", "begin"] {
+        let response = send_raw(control, &with_connection_close(&evacuation(action))).await;
+        assert_eq!(status(&response), "200", "{action}: {response}");
         actix_rt::time::sleep(Duration::from_millis(
             config::constants::REPEATED_COMMAND_MS + 100,
         ))
         .await;
     }
-    leave_behind(control, &evacuation("finish"));
-    leave_behind(control, &evacuation("begin"));
+    send_and_disconnect(control, &evacuation("finish"));
+    send_and_disconnect(control, &evacuation("begin"));
     actix_rt::time::sleep(Duration::from_millis(500)).await;
     assert_eq!(node.state.get().evacuated.get("z"), Some(&1));
-    let answer = raw(control, &closing(&evacuation("finish"))).await;
-    assert_eq!(status(&answer), "200", "{answer}");
+    let response = send_raw(control, &with_connection_close(&evacuation("finish"))).await;
+    assert_eq!(status(&response), "200", "{response}");
     assert!(node.state.get().evacuated.is_empty());
 }
--- a/crates/pebblepond/src/kernel.rs
+++ b/crates/pebblepond/src/kernel.rs
@@ -1,4 +1,4 @@
-//! The kernel: what all components of one process share, and how they are started.
+//! The kernel: the context that all components of one process share, and their start-up.
 
 use crate::peer_transport::PayloadHandlers;
 use crate::reports::ReportHandlers;
@@ -12,82 +12,83 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// A value that its one owner publishes and everybody else only reads.
+/// A value that only its owner publishes and that all other components read.
 pub struct Published<T>(RefCell<Arc<T>>);
 
 impl<T> Published<T> {
-    /// The first value.
+    /// Creates the publication with its first value.
     pub fn new(value: T) -> Self {
         Published(RefCell::new(Arc::new(value)))
     }
 
-    /// The newest value.
+    /// Returns the newest value.
     pub fn get(&self) -> Arc<T> {
         self.0.borrow().clone()
     }
 
-    /// Publishes a value; for its owner only.
+    /// Publishes a value. Only the owner may call this.
     pub fn set(&self, value: impl Into<Arc<T>>) {
         *self.0.borrow_mut() = value.into();
     }
 }
 
-/// What Raft says of this node at the moment.
+/// The current status of this node in Raft.
 #[derive(Clone, Debug, Default)]
 pub struct NodeStatus {
-    /// Its identity.
+    /// The node ID.
     pub id: u64,
-    /// The cluster that it belongs to; 0 for none.
+    /// The cluster that the node belongs to; 0 for none.
     pub cluster: u64,
-    /// Its term.
+    /// The node's current term.
     pub term: u64,
-    /// The leader that it knows; 0 for none.
+    /// ID of the leader known to the node; 0 for none.
     pub leader_id: u64,
-    /// It leads.
+    /// Whether the node is the leader.
     pub is_leader: bool,
-    /// It has caught up, since its start, with what was committed.
+    /// Whether the node has caught up with the committed log since its start.
     pub is_current: bool,
 }
 
-/// Everything that the components of one process share. All run on one thread.
+/// The context that the components of one process share. All components run on one thread.
 pub struct NodeContext {
-    /// Owned by the shutdown component, which reloads them.
+    /// The settings; owned by the shutdown component, which reloads them.
     pub settings: Published<Settings>,
-    /// Where they were read from.
+    /// Path of the settings file.
     pub settings_path: String,
-    /// Pause between two lines of counters in the log, s; 0 for none.
+    /// Interval between two counter lines in the log, in seconds; 0 disables them.
     pub counters_interval_s: u64,
-    /// Owned by the control component.
+    /// The control state; owned by the control component.
     pub state: Published<ControlState>,
-    /// Owned by the gossip component: all nodes that are not removed, this one first.
+    /// All nodes that are not removed, this node first; owned by the gossip component.
     pub members: Published<Vec<gossip::Member>>,
-    /// Mean round trips to sites, ms; owned by the gossip component.
+    /// Mean round-trip times to sites, in milliseconds; owned by the gossip component.
     pub round_trips: Published<BTreeMap<String, f64>>,
-    /// Owned by the control component.
+    /// The status of this node; owned by the control component.
     pub status: Published<NodeStatus>,
-    /// The address of the voter that this learner takes the log from; owned by the control
+    /// Address of the upstream, the voter that this learner follows; owned by the control
     /// component.
     pub upstream: Published<Option<String>>,
-    /// When a leader, or as the leader a majority, was last heard, ms.
+    /// Time of the last contact with the leader, or on the leader with a majority, in
+    /// milliseconds.
     pub last_contact: Cell<u64>,
-    /// Set once the process has been told to end.
+    /// Whether the process is shutting down.
     pub shutting_down: Cell<bool>,
-    /// By when a request must have ended to be taken; set once the process has been told to end.
+    /// Latest deadline that a request may have to be accepted; set when the shutdown begins.
     pub latest_deadline: Cell<Option<Instant>>,
-    /// Set once a process that shuts down can take no more requests.
+    /// Whether a process that is shutting down refuses all further requests.
     pub refusing_requests: Cell<bool>,
-    /// Counts of what happened.
+    /// Event counters.
     pub counters: Counters,
-    /// Who handles which messages of other nodes.
+    /// Handlers of messages from other nodes, by kind of payload.
     pub payload_handlers: PayloadHandlers,
-    /// Who handles which parts of reports.
+    /// Handlers of the parts of reports.
     pub report_handlers: ReportHandlers,
-    started: Instant,
+    started_at: Instant,
     components: RefCell<HashMap<TypeId, Box<dyn Any>>>,
 }
 
 impl NodeContext {
-    /// The context of a process that has just started.
+    /// Creates the context of a process that has just started.
     pub fn new(settings: Settings, settings_path: String, counters_interval_s: u64) -> Rc<NodeContext> {
         Rc::new(NodeContext {
             settings: Published::new(settings),
@@ -105,117 +106,118 @@
             counters: Counters::default(),
             payload_handlers: PayloadHandlers::default(),
             report_handlers: ReportHandlers::default(),
-            started: Instant::now(),
+            started_at: Instant::now(),
             components: RefCell::new(HashMap::new()),
         })
     }
 
-    /// Milliseconds of the monotonic clock since the start, never 0.
+    /// Returns the time since the start on the monotonic clock, in milliseconds; never 0.
     pub fn now(&self) -> u64 {
-        self.started.elapsed().as_millis() as u64 + 1
+        self.started_at.elapsed().as_millis() as u64 + 1
     }
 
-    /// Makes a component known to the others, by its type.
+    /// Registers a component under its type, so that other components can find it.
     pub fn put<T: 'static>(&self, component: T) {
         self.components
             .borrow_mut()
             .insert(TypeId::of::<T>(), Box::new(component));
     }
 
-    /// What another component has put.
+    /// Returns the component registered under a type.
     pub fn get<T: Clone + 'static>(&self) -> Option<T> {
         let components = self.components.borrow();
         let component = components.get(&TypeId::of::<T>())?;
         component.downcast_ref::<T>().cloned()
     }
 
-    /// Whether this node may ever lead: only those with a disk vote, and the duties of a
-    /// leader wake nobody else.
+    /// Returns whether this node can ever become leader: only nodes with a disk vote. On other
+    /// nodes the timers of leader duties do not run.
     pub fn may_lead(&self) -> bool {
         self.settings.get().own_entity.data_directory.is_some()
     }
 
-    /// Whether this node takes clients: it is current, it has a configuration and it does not
-    /// shut down.
+    /// Returns whether this node accepts clients: it is current, has a configuration and is not
+    /// shutting down.
     pub fn is_ready(&self) -> bool {
         !self.shutting_down.get() && self.can_serve()
     }
 
-    /// Whether this node can serve a request that has reached it.
+    /// Returns whether this node can serve a request that it has received: it is current and has
+    /// a configuration.
     pub fn can_serve(&self) -> bool {
         self.status.get().is_current && self.state.get().configuration.is_some()
     }
 }
 
-/// Counts of what happened, by name; read by `status` and the log.
+/// Event counters by name, shown by `status` and in the log.
 #[derive(Default)]
 pub struct Counters(RefCell<BTreeMap<&'static str, u64>>);
 
 impl Counters {
-    /// Counts one.
+    /// Increments a counter.
     pub fn add(&self, name: &'static str) {
         *self.0.borrow_mut().entry(name).or_default() += 1;
     }
 
-    /// All counts so far.
+    /// Returns all counters.
     pub fn all(&self) -> BTreeMap<&'static str, u64> {
         self.0.borrow().clone()
     }
 }
 
-/// Why a component cannot start.
+/// The reason why a component cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// A TCP address cannot be listened on.
+    /// Listening on a TCP address failed.
     #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddrV4,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// A UDP address cannot be listened on.
+    /// Listening on a UDP address failed.
     #[error("cannot listen on udp {address}: {source}")]
     ListenUdp {
         /// The address.
         address: SocketAddrV4,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The clients' address cannot be listened on.
+    /// Listening on the address for clients failed.
     #[error("Network.ListenPoints.Front {address}: {source}")]
     ListenClients {
         /// The address.
         address: SocketAddrV4,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// Another component has to start first.
-    #[error("the {0} is not there")]
+    /// A component that must start earlier is missing.
+    #[error("the {0} component has not been started")]
     Missing(&'static str),
-    /// A signal cannot be handled.
+    /// A signal handler cannot be installed.
     #[error("{0}")]
     Signal(#[source] std::io::Error),
     /// The store cannot be opened.
     #[error(transparent)]
     Storage(#[from] crate::storage::OpenError),
-    /// A component of this name has failed.
+    /// The named component failed to start.
     #[error("{name}: {source}")]
     Component {
-        /// Its name.
+        /// The component's name.
         name: &'static str,
-        /// Why.
+        /// The cause.
         source: Box<StartError>,
     },
 }
 
 /// A component of the program; each registers itself with `inventory::submit!`.
 pub struct Component {
-    /// Its name, in errors.
+    /// The component's name, used in errors.
     pub name: &'static str,
-    /// Components start in this order.
+    /// Position in the start-up order; lower values start first.
     pub order: u32,
-    /// Starts it.
+    /// Starts the component.
     pub start: fn(&Rc<NodeContext>) -> Result<(), StartError>,
 }
 
@@ -226,11 +228,11 @@
     start_all_but(context, &[])
 }
 
-/// Starts every registered component but those named.
-pub fn start_all_but(context: &Rc<NodeContext>, left_out: &[&str]) -> Result<(), StartError> {
+/// Starts every registered component except those named in `excluded`.
+pub fn start_all_but(context: &Rc<NodeContext>, excluded: &[&str]) -> Result<(), StartError> {
     let mut components: Vec<&Component> = inventory::iter::<Component>.into_iter().collect();
     components.sort_by_key(|c| c.order);
-    for component in components.into_iter().filter(|c| !left_out.contains(&c.name)) {
+    for component in components.into_iter().filter(|c| !excluded.contains(&c.name)) {
         (component.start)(context).map_err(|source| StartError::Component {
             name: component.name,
             source: Box::new(source),
--- a/crates/pebblepond/src/peer_transport.rs
+++ b/crates/pebblepond/src/peer_transport.rs
@@ -1,7 +1,8 @@
-//! Connections between nodes. Each node dials those that it has something to tell; a frame is
-//! a length (four bytes, big-endian) and an encoded [`PeerMessage`].
+//! Connections between nodes. Each node connects to the nodes that it sends messages to. A frame
+//! consists of a length (four bytes, big-endian) and an encoded [`PeerMessage`].
 //!
-//! The transport knows no other component: each registers for the payloads that it handles.
+//! The transport does not depend on other components: each of them registers for the payloads
+//! that it handles.
 
 use crate::kernel::{Component, NodeContext, StartError};
 use crate::sockets;
@@ -20,9 +21,9 @@
 
 inventory::submit! { Component { name: "peer_transport", order: 20, start } }
 
-/// Messages that wait for the transport, messages.
-const MAILBOX: usize = 1024;
-/// Bytes of a frame's length.
+/// Capacity of the transport's mailbox, in messages.
+const MAILBOX_CAPACITY: usize = 1024;
+/// Size of the length field of a frame, in bytes.
 const LENGTH_BYTES: usize = 4;
 
 fn start(context: &Rc<NodeContext>) -> Result<(), StartError> {
@@ -48,17 +49,17 @@
 /// The kinds of payload that a component can register for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PayloadKind {
-    /// Messages of Raft.
+    /// Raft messages.
     Raft,
-    /// Commands, passed on by other nodes.
+    /// Commands forwarded by other nodes.
     Request,
-    /// The answers to such.
+    /// Responses to forwarded commands.
     Response,
-    /// What other nodes have counted.
+    /// Counters reported by other nodes.
     Report,
-    /// Questions for a repair.
+    /// Repair requests.
     Digests,
-    /// The answers to such.
+    /// Responses to repair requests.
     Repair,
 }
 
@@ -76,16 +77,16 @@
     }
 }
 
-/// What becomes of a message of another node.
+/// Processes a message from another node.
 type PayloadHandler = Rc<dyn Fn(PeerMessage)>;
 
-/// Who handles which kind of payload; one handler each.
+/// The handlers by kind of payload, one for each kind.
 #[derive(Default)]
 pub struct PayloadHandlers(RefCell<HashMap<PayloadKind, PayloadHandler>>);
 
 impl PayloadHandlers {
-    /// Registers a handler for some kinds. It runs on the transport's turn, and hands on what
-    /// takes time.
+    /// Registers a handler for some kinds of payload. The handler runs in the transport's actor
+    /// and must pass on any work that takes time.
     pub fn register(&self, kinds: &[PayloadKind], handler: impl Fn(PeerMessage) + 'static) {
         let handler: PayloadHandler = Rc::new(handler);
         let mut handlers = self.0.borrow_mut();
@@ -99,42 +100,42 @@
     }
 }
 
-/// Tells a node something; lost if the node cannot be reached.
+/// Sends a payload to a node. The payload is lost if the node cannot be reached.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct SendToPeer {
-    /// Its internal address.
+    /// Internal address of the receiving node.
     pub to: String,
-    /// What it is told.
+    /// The payload to send.
     pub payload: Payload,
 }
 
-/// A message of another node has come in.
+/// A message that was received from another node.
 #[derive(Message)]
 #[rtype(result = "()")]
-struct PeerReceived(PeerMessage);
+struct MessageReceived(PeerMessage);
 
-/// The owner of the connections to other nodes.
+/// The actor that owns the connections to other nodes.
 pub struct PeerTransport {
     context: Rc<NodeContext>,
-    /// Frames to send, by address.
+    /// Queues of frames to send, by address.
     connections: HashMap<String, mpsc::Sender<Vec<u8>>>,
 }
 
 impl Actor for PeerTransport {
     type Context = Context<Self>;
     fn started(&mut self, actor: &mut Self::Context) {
-        actor.set_mailbox_capacity(MAILBOX);
+        actor.set_mailbox_capacity(MAILBOX_CAPACITY);
     }
 }
 
 impl PeerTransport {
-    /// The message around a payload. Others may not know a node yet that is not current, so
-    /// that names the address to answer.
+    /// Creates the message that carries a payload. Other nodes may not know a node that is not
+    /// current yet, so its messages carry the address to reply to.
     fn message(&self, payload: Payload) -> PeerMessage {
         let status = self.context.status.get();
-        let wants_answer = matches!(payload, Payload::Request(_) | Payload::Digests(_));
-        let reply_to = if wants_answer || !status.is_current {
+        let expects_response = matches!(payload, Payload::Request(_) | Payload::Digests(_));
+        let reply_to = if expects_response || !status.is_current {
             self.context.settings.get().internal_address().to_string()
         } else {
             String::new()
@@ -164,16 +165,16 @@
             actix_rt::spawn(write_frames(to, frames, context.clone()));
             sender
         });
-        // A full queue drops the newest: whatever matters is sent again.
+        // A full queue drops the newest frame; senders repeat whatever matters.
         if connection.try_send(frame).is_err() {
             self.context.counters.add("messages_dropped");
         }
     }
 }
 
-impl Handler<PeerReceived> for PeerTransport {
+impl Handler<MessageReceived> for PeerTransport {
     type Result = ();
-    fn handle(&mut self, PeerReceived(message): PeerReceived, _: &mut Self::Context) {
+    fn handle(&mut self, MessageReceived(message): MessageReceived, _: &mut Self::Context) {
         let cluster = self.context.status.get().cluster;
         if cluster != 0 && message.cluster != 0 && message.cluster != cluster {
             self.context.counters.add("messages_of_another_cluster");
@@ -186,30 +187,32 @@
     }
 }
 
-/// Sends what is queued for a node, as long as the process runs.
+/// Sends the frames queued for a node, for as long as the process runs.
 async fn write_frames(to: String, mut frames: mpsc::Receiver<Vec<u8>>, context: Rc<NodeContext>) {
     let mut stream: Option<TcpStream> = None;
-    // A dark peer is dialled anew at once, so that it is met when it is back. After some tries
-    // it may be the own link that is full: then a longer wait is needed.
+    // Connecting to an unreachable peer is retried with a short timeout, so that the connection
+    // succeeds soon after the peer is back. After several failures the cause may be that this
+    // node's own link is saturated, which requires a longer timeout.
     let mut failures = 0;
     while let Some(mut frame) = frames.recv().await {
-        // What has queued up is sent in one write.
+        // All queued frames are sent in one write.
         while let Ok(more) = frames.try_recv() {
             frame.extend_from_slice(&more);
         }
-        // The peer never speaks on a connection that we dialled: it has ended.
+        // The peer never sends on a connection that this node opened, so pending input means that
+        // the connection has ended.
         if stream.as_ref().is_some_and(|s| !sockets::is_quiet(s)) {
             stream = None;
         }
         if stream.is_none() {
-            let wait_ms = c::PEER_CONNECT_TIMEOUT_MS << (failures / c::PEER_CONNECT_TRIES).min(2);
-            match sockets::connect(&to, wait_ms).await {
+            let timeout_ms = c::PEER_CONNECT_TIMEOUT_MS << (failures / c::PEER_CONNECT_TRIES).min(2);
+            match sockets::connect(&to, timeout_ms).await {
                 Ok(connected) => {
                     stream = Some(connected);
                     failures = 0;
                 }
                 Err(_) => {
-                    // Voters are waited for by elections.
+                    // A node that may vote keeps the short timeout, because elections wait for it.
                     failures = if context.may_lead() { 0 } else { failures + 1 };
                     context.counters.add("peer_connects_failed");
                     actix_rt::time::sleep(Duration::from_millis(c::RECONNECT_PAUSE_MS)).await;
@@ -226,7 +229,7 @@
     }
 }
 
-/// Reads what a node sends, until it ends or sends something malformed.
+/// Reads the frames of a node until the connection ends or a frame is malformed.
 async fn read_frames(mut stream: TcpStream, transport: Addr<PeerTransport>, context: Rc<NodeContext>) {
     let mut buffer = BytesMut::with_capacity(4096);
     loop {
@@ -244,7 +247,7 @@
                 context.counters.add("malformed_frames");
                 return;
             };
-            transport.do_send(PeerReceived(message));
+            transport.do_send(MessageReceived(message));
         }
         match stream.read_buf(&mut buffer).await {
             Ok(read) if read > 0 => {}
--- a/crates/pebblepond/src/sockets.rs
+++ b/crates/pebblepond/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Sockets with the options that every connection here has.
+//! Creates sockets with the options that all connections of this program use.
 
 use config::constants as c;
 use socket2::{Domain, Protocol, SockRef, Socket, TcpKeepalive, Type};
@@ -8,17 +8,17 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Sets what all TCP connections have: no delay, and an end to silence.
+/// Sets the options of all TCP connections: no delay, a user timeout and keep-alive.
 fn set_options(stream: &TcpStream) -> io::Result<()> {
     set_options_for(stream, u64::from(c::TCP_USER_TIMEOUT_MS))
 }
 
-fn set_options_for(stream: &TcpStream, silence_ms: u64) -> io::Result<()> {
+fn set_options_for(stream: &TcpStream, user_timeout_ms: u64) -> io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
-    socket.set_tcp_user_timeout(Some(Duration::from_millis(silence_ms)))?;
-    let every = Duration::from_secs(c::TCP_KEEPALIVE_S);
-    socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(every).with_interval(every))
+    socket.set_tcp_user_timeout(Some(Duration::from_millis(user_timeout_ms)))?;
+    let interval = Duration::from_secs(c::TCP_KEEPALIVE_S);
+    socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(interval).with_interval(interval))
 }
 
 /// Listens on a TCP address.
@@ -31,8 +31,8 @@
     TcpListener::from_std(socket.into())
 }
 
-/// The next connection that comes in, with the options of all; `retry_ms` is the pause after one
-/// that could not be accepted, ms.
+/// Accepts the next connection and sets the common options. `retry_ms` is the pause after a failed
+/// accept, in milliseconds.
 pub async fn accept(listener: &TcpListener, retry_ms: u64) -> TcpStream {
     loop {
         match listener.accept().await {
@@ -43,35 +43,47 @@
     }
 }
 
-/// Connects to a peer within a time.
-pub async fn connect(address: &str, wait_ms: u64) -> io::Result<TcpStream> {
-    open(address, wait_ms, u64::from(c::TCP_USER_TIMEOUT_MS)).await
+/// Connects to a peer within `connect_timeout_ms`.
+pub async fn connect(address: &str, connect_timeout_ms: u64) -> io::Result<TcpStream> {
+    connect_with_user_timeout(address, connect_timeout_ms, u64::from(c::TCP_USER_TIMEOUT_MS)).await
 }
 
-/// Connects within a time, to somebody whose silence is borne for another. What has not
-/// been delivered when the connection is dropped never will be: it is reset, not closed.
-/// Bytes that a cut holds up would else arrive when the link is back, long after the call
-/// was given up.
-pub async fn connect_for(address: &str, wait_ms: u64, silence_ms: u64) -> io::Result<TcpStream> {
-    let stream = open(address, wait_ms, silence_ms).await?;
+/// Connects within `connect_timeout_ms`, with a TCP user timeout of `user_timeout_ms`. Dropping the
+/// connection resets it instead of closing it, so that undelivered data is discarded. Otherwise
+/// bytes held up by a network partition would arrive once the link is restored, long after the
+/// call was abandoned.
+pub async fn connect_for(
+    address: &str,
+    connect_timeout_ms: u64,
+    user_timeout_ms: u64,
+) -> io::Result<TcpStream> {
+    let stream = connect_with_user_timeout(address, connect_timeout_ms, user_timeout_ms).await?;
     SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
     Ok(stream)
 }
 
-async fn open(address: &str, wait_ms: u64, silence_ms: u64) -> io::Result<TcpStream> {
+async fn connect_with_user_timeout(
+    address: &str,
+    connect_timeout_ms: u64,
+    user_timeout_ms: u64,
+) -> io::Result<TcpStream> {
     let address: SocketAddr = address
         .parse()
-        .map_err(|_| io::Error::new(io::ErrorKind::InvalidInput, "no address"))?;
-    let stream = tokio::time::timeout(Duration::from_millis(wait_ms), TcpStream::connect(address))
-        .await
-        .map_err(|_| io::Error::new(io::ErrorKind::TimedOut, "connecting took too long"))??;
-    set_options_for(&stream, silence_ms)?;
+        .map_err(|_| io::Error::new(io::ErrorKind::InvalidInput, "not a socket address"))?;
+    let stream = tokio::time::timeout(
+        Duration::from_millis(connect_timeout_ms),
+        TcpStream::connect(address),
+    )
+    .await
+    .map_err(|_| io::Error::new(io::ErrorKind::TimedOut, "connection timed out"))??;
+    set_options_for(&stream, user_timeout_ms)?;
     Ok(stream)
 }
 
-/// Nothing has come in that was not read: no end, no stray bytes. The kernel is
-/// asked: what the runtime knows is as old as its last look.
+/// Returns whether the connection has no unread input: neither its end nor unexpected bytes. The
+/// operating system is asked, because the runtime's readiness state is only as recent as its last
+/// poll.
 pub fn is_quiet(stream: &TcpStream) -> bool {
-    let seen = SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]);
-    matches!(seen, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+    let peeked = SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]);
+    matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
 }
--- a/crates/pebblepond/src/storage.rs
+++ b/crates/pebblepond/src/storage.rs
@@ -1,9 +1,9 @@
-//! The node's own state on disk, in a store with a thread of its own: a disk that hangs must
-//! not hold up traffic.
+//! The node's persistent state on disk. The store has its own thread, so that a hanging disk does
+//! not block traffic.
 //!
-//! What is acknowledged is on disk, and stays the least that this identity promises: a store
-//! that holds less of it than was acknowledged is set aside, and the node begins with a new
-//! identity, without a vote.
+//! Everything that was acknowledged under a node's identity must be in its store. A store that
+//! holds less than was acknowledged is set aside, and the node starts with a new identity, without
+//! a vote.
 
 mod error;
 mod high_water;
@@ -25,28 +25,28 @@
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Identity, cluster, term, vote, snapshot and the count of commits, by name.
+/// Table of identity, cluster, term, vote, snapshot and commit count, by name.
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
-/// The entries of the log, by index.
+/// Table of the log entries, by index.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-/// Cache of the store, bytes: the log is read at the start only.
+/// Size of the store's cache, in bytes. It is small because the log is read only at the start.
 const CACHE_BYTES: usize = 256 * 1024;
-/// Stack of the disk's thread, bytes.
+/// Stack size of the storage thread, in bytes.
 const STACK_BYTES: usize = 256 * 1024;
 
-/// The files of a store. Their names are kept: earlier versions wrote them.
+/// The files of a store. Their names must not change, because earlier versions wrote them.
 struct Paths {
     store: PathBuf,
-    /// A store that is being made.
+    /// A store whose creation is not complete.
     unfinished: PathBuf,
-    /// The last one that was found damaged.
+    /// The store that was most recently found damaged.
     damaged: PathBuf,
     high_water: PathBuf,
 }
 
 impl Paths {
-    fn new(folder: &str) -> Paths {
-        let file = |name: &str| Path::new(folder).join(name);
+    fn new(directory: &str) -> Paths {
+        let file = |name: &str| Path::new(directory).join(name);
         Paths {
             store: file("prompter.redb"),
             unfinished: file("prompter.redb.new"),
@@ -56,55 +56,55 @@
     }
 }
 
-/// Who this node is, as its disk knows.
+/// The identity of this node, as stored on its disk.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Identity {
-    /// Drawn at random when the store is made.
+    /// The node ID, chosen at random when the store is created.
     pub id: u64,
     /// The cluster that the node belongs to; 0 for none.
     pub cluster: u64,
 }
 
-/// What the disk held at the start.
-pub struct Opened {
-    /// Who this node is.
+/// An opened store, with the content that it had at the start.
+pub struct OpenedStore {
+    /// The identity of this node.
     pub identity: Identity,
-    /// What Raft had kept.
+    /// The persistent state of Raft.
     pub saved: PersistentState,
-    /// The state of the snapshot.
+    /// The control state of the snapshot.
     pub state: ControlState,
-    /// The disk held no store.
+    /// Whether the disk held no store.
     pub is_empty: bool,
-    /// Why the store before this one was set aside, if it was.
+    /// The reason why the previous store was set aside, if it was.
     pub damage: Option<String>,
     /// The open store.
     pub storage: Storage,
 }
 
-/// A job for the disk.
+/// A job for the storage thread.
 enum Job {
     Write { number: u64, write: StorageWrite },
     Cluster(u64),
 }
 
-/// What the disk's thread tells.
+/// An event reported by the storage thread.
 #[derive(Debug)]
 pub enum StorageEvent {
-    /// Everything up to the write of this number is on disk.
+    /// All writes up to and including this number are on disk.
     Persisted(u64),
-    /// A write has failed and is tried again.
+    /// A write failed, for the given reason, and will be retried.
     Failed(String),
 }
 
-/// An open store. Its thread ends when this is dropped.
+/// Handle of an open store. Dropping it ends the storage thread.
 pub struct Storage {
     jobs: mpsc::Sender<Job>,
 }
 
 impl Storage {
-    /// Opens the store in a folder, or begins one with a fresh identity.
-    pub fn open(folder: &str, events: UnboundedSender<StorageEvent>) -> Result<Opened, OpenError> {
-        let paths = Paths::new(folder);
+    /// Opens the store in a directory, or creates one with a new identity.
+    pub fn open(directory: &str, events: UnboundedSender<StorageEvent>) -> Result<OpenedStore, OpenError> {
+        let paths = Paths::new(directory);
         let loaded = load::load(&paths).map_err(|source| OpenError::Load {
             store: paths.store.clone(),
             source,
@@ -122,7 +122,7 @@
             .stack_size(STACK_BYTES)
             .spawn(move || disk.work(&queue, &events))
             .map_err(OpenError::Thread)?;
-        Ok(Opened {
+        Ok(OpenedStore {
             identity: loaded.identity,
             saved: loaded.saved,
             state: loaded.state,
@@ -132,20 +132,20 @@
         })
     }
 
-    /// Queues a write; [`StorageEvent::Persisted`] tells when it is on disk.
+    /// Queues a write; [`StorageEvent::Persisted`] reports when it is on disk.
     pub fn write(&self, number: u64, write: StorageWrite) {
         // The thread ends only with the process.
         let _ = self.jobs.send(Job::Write { number, write });
     }
 
-    /// Queues the cluster that the node has joined.
+    /// Queues a write of the cluster that the node has joined.
     pub fn set_cluster(&self, cluster: u64) {
         let _ = self.jobs.send(Job::Cluster(cluster));
     }
 }
 
-/// Opens a store with all of its pages checked: redb trusts one that was closed in order
-/// otherwise, and may panic on damage.
+/// Opens a store and checks all of its pages. Without this check redb trusts a store that was
+/// closed cleanly, and may panic if it is damaged.
 fn open_store(
     open: impl FnOnce(&mut Builder) -> Result<Database, redb::DatabaseError>,
 ) -> Result<Database, StoreError> {
@@ -156,12 +156,12 @@
     Ok(open(&mut builder)?)
 }
 
-fn sync_folder(path: &Path) -> std::io::Result<()> {
-    let folder: PathBuf = path.parent().map(Path::to_path_buf).unwrap_or_default();
-    std::fs::File::open(folder)?.sync_all()
+fn sync_directory(path: &Path) -> std::io::Result<()> {
+    let directory: PathBuf = path.parent().map(Path::to_path_buf).unwrap_or_default();
+    std::fs::File::open(directory)?.sync_all()
 }
 
-/// A number of the META table; 0 if it is not there.
+/// Returns a number of the `META` table; 0 if it is missing.
 fn meta_number(
     meta: &impl ReadableTable<&'static str, &'static [u8]>,
     name: &str,
@@ -170,12 +170,12 @@
     Ok(meta.get(name)?.map_or(0, |v| number(v.value())))
 }
 
-/// The disk's thread.
+/// The state of the storage thread.
 struct Disk {
     database: Option<Database>,
     path: PathBuf,
     id: u64,
-    /// Commits acknowledged by this store, by all processes that had it open.
+    /// Number of commits that this store has acknowledged, in all processes that had it open.
     commits: u64,
     high_water: HighWater,
 }
@@ -183,7 +183,7 @@
 impl Disk {
     fn work(&mut self, queue: &mpsc::Receiver<Job>, events: &UnboundedSender<StorageEvent>) {
         while let Some(first) = self.next_job(queue) {
-            // Whatever has queued up meanwhile goes to disk together.
+            // All queued jobs are written in one commit.
             let mut jobs = vec![first];
             jobs.extend(queue.try_iter());
             while let Err(e) = self.commit(&jobs) {
@@ -193,7 +193,7 @@
                 std::thread::sleep(Duration::from_millis(c::DISK_RETRY_MS));
                 self.reopen();
             }
-            self.high_water.note(self.id, self.commits);
+            self.high_water.record(self.id, self.commits);
             let last = jobs.iter().rev().find_map(|job| match job {
                 Job::Write { number, .. } => Some(*number),
                 Job::Cluster(_) => None,
@@ -208,13 +208,13 @@
         self.high_water.sync();
     }
 
-    /// After a failed write only a fresh look at the file helps.
+    /// Reopens the store after a failed write; the open database cannot be used any more.
     fn reopen(&mut self) {
         drop(self.database.take());
         self.database = open_store(|b| b.open(&self.path)).ok();
     }
 
-    /// Waits for a job; a count that waits for a sync gets it in between.
+    /// Waits for a job; syncs a pending high-water mark if no job arrives in the meantime.
     fn next_job(&mut self, queue: &mpsc::Receiver<Job>) -> Option<Job> {
         if self.high_water.is_dirty() {
             match queue.recv_timeout(Duration::from_millis(c::HIGH_WATER_SYNC_MS)) {
@@ -240,7 +240,7 @@
                     Job::Cluster(cluster) => {
                         meta.insert("cluster", cluster.to_le_bytes().as_slice())?;
                     }
-                    Job::Write { write, .. } => put(&mut meta, &mut log, write)?,
+                    Job::Write { write, .. } => apply_write(&mut meta, &mut log, write)?,
                 }
             }
         }
@@ -249,7 +249,8 @@
         Ok(())
     }
 
-    /// The number of the next commit. One that was acknowledged is not written over.
+    /// Returns the number of the next commit. Fails if the store holds fewer commits than it has
+    /// acknowledged, so that no acknowledged commit is overwritten.
     fn next_commit(&self, meta: &impl ReadableTable<&'static str, &'static [u8]>) -> Result<u64, StoreError> {
         let (id, commits) = (meta_number(meta, "id")?, meta_number(meta, "commits")?);
         if id != self.id || commits < self.commits {
@@ -262,7 +263,7 @@
     }
 }
 
-fn put(
+fn apply_write(
     meta: &mut Table<&str, &[u8]>,
     log: &mut Table<u64, &[u8]>,
     write: &StorageWrite,
--- a/crates/pebblepond/src/storage/error.rs
+++ b/crates/pebblepond/src/storage/error.rs
@@ -3,42 +3,42 @@
 use std::io;
 use std::path::PathBuf;
 
-/// Why a store cannot be opened, and what an operator may do.
+/// The reason why a store cannot be opened, and what an operator can do.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// Its file cannot be read, or none can be made.
+    /// The store file cannot be read, or cannot be created.
     #[error(
-        "OwnEntity.DataDirectory: {}: {source}. The file is left as it is. See that this process may read \
-         and write it and that the disk is sound, and start again; or, if the other machines with a disk \
-         are well, move it away: the node then joins as a new one",
+        "OwnEntity.DataDirectory: {}: {source}. The file was not changed. Check that this process may \
+         read and write it and that the disk is healthy, and start again; or, if the other machines with a \
+         disk are healthy, move it away: the node then joins as a new node",
         store.display()
     )]
     Load {
-        /// The file.
+        /// Path of the store file.
         store: PathBuf,
-        /// Why.
+        /// The cause.
         source: LoadError,
     },
-    /// The disk's thread cannot be started.
+    /// The storage thread cannot be started.
     #[error("{0}")]
     Thread(#[source] io::Error),
 }
 
-/// Why a store was not loaded, nor set aside.
+/// The reason why a store was neither loaded nor set aside.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// The folder or the file cannot be reached.
+    /// The directory or the file cannot be accessed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// It may hold all that it promised, and cannot be read.
+    /// The store cannot be read, but may still hold everything that was acknowledged.
     #[error("{0}")]
     Unreadable(String),
-    /// A damaged store stays where it is.
+    /// The damaged store cannot be set aside.
     #[error("cannot set the damaged store aside: {0}")]
     SetAside(#[source] io::Error),
-    /// A new store cannot be made.
-    #[error("cannot begin a store: {0}")]
-    Begin(#[source] StoreError),
+    /// A new store cannot be created.
+    #[error("cannot create a store: {0}")]
+    Create(#[source] StoreError),
 }
 
 /// An operation on the store failed.
@@ -47,33 +47,33 @@
     /// The file cannot be opened.
     #[error(transparent)]
     Database(#[from] redb::DatabaseError),
-    /// Its pages cannot be read or written.
+    /// Pages of the store cannot be read or written.
     #[error(transparent)]
     Storage(#[from] redb::StorageError),
     /// A table cannot be opened.
     #[error(transparent)]
     Table(#[from] redb::TableError),
-    /// A transaction cannot begin.
+    /// A transaction cannot be started.
     #[error(transparent)]
     Transaction(#[from] redb::TransactionError),
-    /// A transaction cannot end.
+    /// A transaction cannot be committed.
     #[error(transparent)]
     Commit(#[from] redb::CommitError),
     /// A row is malformed.
     #[error(transparent)]
     Decode(#[from] prost::DecodeError),
-    /// A file beside the store cannot be handled.
+    /// Access to a file next to the store failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The file could not be opened again after a failure.
-    #[error("the store is closed")]
+    /// The store could not be reopened after a failure.
+    #[error("the store could not be reopened after a failed write")]
     Closed,
-    /// The store holds less than was acknowledged.
-    #[error("{acknowledged} commits were acknowledged, {found} are there")]
+    /// The store holds fewer commits than were acknowledged.
+    #[error("{acknowledged} commits were acknowledged, but the store holds {found}")]
     CommitsMissing {
-        /// Commits that were acknowledged.
+        /// Number of acknowledged commits.
         acknowledged: u64,
-        /// Commits in the store.
+        /// Number of commits in the store.
         found: u64,
     },
 }
--- a/crates/pebblepond/src/storage/high_water.rs
+++ b/crates/pebblepond/src/storage/high_water.rs
@@ -1,10 +1,10 @@
-//! A second record of what was committed: how many commits the store has
-//! acknowledged, in a file of its own.
+//! The high-water mark: the number of commits that the store has acknowledged, in a file of its
+//! own.
 //!
-//! A store falls back to its commit before when the newest cannot be read, and
-//! cannot tell a write that never ended from one that has rotted since. A commit
-//! counted here was whole on disk, so a store that holds fewer is damaged. The
-//! count is written after the commit that it counts: it may lag, never lead.
+//! A store falls back to its previous commit when the newest one cannot be read. It cannot
+//! distinguish a write that never completed from one that was corrupted later. A commit counted
+//! here was complete on disk, so a store that holds fewer commits is damaged. The mark is written
+//! after the commit that it counts, so it may be behind the store but never ahead of it.
 
 use config::constants as c;
 use std::fs::File;
@@ -12,38 +12,38 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// The two slots lie this far apart, bytes: a torn write spoils one at the most.
+/// Distance between the two slots, in bytes, so that a torn write damages at most one of them.
 const SLOT_BYTES: u64 = 4096;
-/// Bytes of a slot: identity, count, CRC-32.
+/// Size of an encoded mark, in bytes: node ID, commit count, CRC-32.
 const MARK_BYTES: usize = 20;
 
-/// The file of marks.
+/// Writer of the high-water mark file.
 pub struct HighWater {
     path: PathBuf,
     file: Option<File>,
     synced_at: Instant,
-    dirty: bool,
+    has_unsynced_mark: bool,
 }
 
-fn encode(id: u64, count: u64) -> [u8; MARK_BYTES] {
+fn encode(id: u64, commits: u64) -> [u8; MARK_BYTES] {
     let mut slot = [0; MARK_BYTES];
     slot[..8].copy_from_slice(&id.to_le_bytes());
-    slot[8..16].copy_from_slice(&count.to_le_bytes());
-    let sum = crc32fast::hash(&slot[..16]);
-    slot[16..].copy_from_slice(&sum.to_le_bytes());
+    slot[8..16].copy_from_slice(&commits.to_le_bytes());
+    let checksum = crc32fast::hash(&slot[..16]);
+    slot[16..].copy_from_slice(&checksum.to_le_bytes());
     slot
 }
 
-/// How many commits a store of an identity has acknowledged.
+/// The number of commits that the store of a node has acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HighWaterMark {
-    /// The identity.
+    /// The node ID of the store.
     pub id: u64,
-    /// Its commits.
+    /// The number of acknowledged commits.
     pub commits: u64,
 }
 
-/// The marks of the slots that can be read.
+/// Returns the marks of all readable slots.
 pub fn read(path: &Path) -> Vec<HighWaterMark> {
     let Ok(file) = File::open(path) else {
         return Vec::new();
@@ -51,74 +51,74 @@
     let slot = |number: u64| {
         let mut slot = [0; MARK_BYTES];
         file.read_exact_at(&mut slot, number * SLOT_BYTES).ok()?;
-        let word = |at: usize| slot[at..at + 8].try_into().map_or(0, u64::from_le_bytes);
-        let (id, count) = (word(0), word(8));
-        let is_valid = slot == encode(id, count) && id != 0;
-        is_valid.then_some(HighWaterMark { id, commits: count })
+        let read_u64 = |offset: usize| slot[offset..offset + 8].try_into().map_or(0, u64::from_le_bytes);
+        let (id, commits) = (read_u64(0), read_u64(8));
+        let is_valid = slot == encode(id, commits) && id != 0;
+        is_valid.then_some(HighWaterMark { id, commits })
     };
     (0..2).filter_map(slot).collect()
 }
 
 impl HighWater {
-    /// The file at a path; it is made with the first mark.
+    /// Creates the writer of the file at a path. The file is created with the first mark.
     pub fn new(path: PathBuf) -> HighWater {
         HighWater {
             path,
             file: None,
             synced_at: Instant::now(),
-            dirty: false,
+            has_unsynced_mark: false,
         }
     }
 
-    /// Whether counts wait for a sync.
+    /// Returns whether a mark has been written but not synced.
     pub fn is_dirty(&self) -> bool {
-        self.dirty
+        self.has_unsynced_mark
     }
 
-    /// Notes that so many commits are on disk. A record that cannot be written
-    /// says less, and holds nothing up.
-    pub fn note(&mut self, id: u64, count: u64) {
+    /// Records that `commits` commits are on disk. A failed write is ignored: the mark then stays
+    /// behind, and commits are not held up.
+    pub fn record(&mut self, id: u64, commits: u64) {
         if self.file.is_none() {
-            self.file = self.make().ok();
+            self.file = self.create_file().ok();
         }
         if let Some(file) = &self.file {
             if file
-                .write_all_at(&encode(id, count), count % 2 * SLOT_BYTES)
+                .write_all_at(&encode(id, commits), commits % 2 * SLOT_BYTES)
                 .is_err()
             {
                 self.file = None;
                 return;
             }
-            self.dirty = true;
+            self.has_unsynced_mark = true;
         }
     }
 
-    /// Syncs counts that have waited long enough.
+    /// Syncs the file if the last sync is at least `HIGH_WATER_SYNC_MS` ago.
     pub fn sync_if_due(&mut self) {
         if self.synced_at.elapsed() >= Duration::from_millis(c::HIGH_WATER_SYNC_MS) {
             self.sync();
         }
     }
 
-    fn make(&self) -> std::io::Result<File> {
+    fn create_file(&self) -> std::io::Result<File> {
         let file = File::options()
             .write(true)
             .create(true)
             .truncate(false)
             .open(&self.path)?;
         file.sync_all()?;
-        super::sync_folder(&self.path)?;
+        super::sync_directory(&self.path)?;
         Ok(file)
     }
 
-    /// Syncs counts that wait.
+    /// Syncs marks that have not been synced.
     pub fn sync(&mut self) {
-        if let (Some(file), true) = (&self.file, self.dirty) {
+        if let (Some(file), true) = (&self.file, self.has_unsynced_mark) {
             if file.sync_data().is_err() {
                 self.file = None;
             }
         }
-        self.dirty = false;
+        self.has_unsynced_mark = false;
         self.synced_at = Instant::now();
     }
 }
--- a/crates/pebblepond/src/storage/load.rs
+++ b/crates/pebblepond/src/storage/load.rs
@@ -1,12 +1,12 @@
-//! Reads a store at the start, and tells apart: none, complete, damaged, and one that cannot be
-//! read for another reason.
+//! Loads a store at the start. Distinguishes a missing store, a complete one, a damaged one, and
+//! one that cannot be read for another reason.
 //!
-//! A store is made under another name and renamed once it is complete and synced: a file under
-//! its own name is never a first write cut short.
+//! A store is created under a temporary name and renamed once it is complete and synced, so that a
+//! file under the final name is never an interrupted creation.
 
 use super::error::{LoadError, StoreError};
 use super::high_water::{self, HighWaterMark};
-use super::{meta_number, open_store, sync_folder, Identity, Paths, LOG, META};
+use super::{meta_number, open_store, sync_directory, Identity, Paths, LOG, META};
 use control_state::ControlState;
 use prost::Message;
 use raft::{Entry, HardState, PersistentState, Snapshot};
@@ -14,7 +14,7 @@
 use redb::{Database, DatabaseError, ReadableDatabase, StorageError, TableError};
 use std::io::ErrorKind;
 
-/// A store that was read or made.
+/// A store that was loaded or created.
 pub(super) struct Loaded {
     pub database: Database,
     pub identity: Identity,
@@ -25,12 +25,12 @@
     pub damage: Option<String>,
 }
 
-/// Why a store was not taken.
+/// The reason why a store was not loaded.
 #[derive(Debug)]
 pub(super) enum Rejection {
-    /// Bytes are not what was written: whatever it promised is not all there.
+    /// The content differs from what was written, so acknowledged data is missing.
     Damaged(String),
-    /// Anything else: it may all be there.
+    /// Any other failure; all acknowledged data may still be present.
     Unreadable(String),
 }
 
@@ -41,13 +41,13 @@
 }
 
 impl From<StoreError> for Rejection {
-    /// Whether an error of the store speaks of its bytes, or of the way to them.
+    /// Classifies an error as damaged content or as a failure to access the content.
     fn from(error: StoreError) -> Rejection {
         let is_damage = match &error {
             StoreError::Database(DatabaseError::Storage(e))
             | StoreError::Storage(e)
             | StoreError::Table(TableError::Storage(e)) => is_damage(e),
-            // Both tables were there when the store got its name.
+            // Both tables exist before the store is renamed to its final name.
             StoreError::Table(TableError::TableDoesNotExist(_)) => true,
             _ => false,
         };
@@ -67,14 +67,14 @@
     }
 }
 
-/// Loads the store, or begins one with a new identity.
+/// Loads the store, or creates one with a new identity.
 pub(super) fn load(paths: &Paths) -> Result<Loaded, LoadError> {
-    if let Some(folder) = paths.store.parent() {
-        std::fs::create_dir_all(folder)?;
+    if let Some(directory) = paths.store.parent() {
+        std::fs::create_dir_all(directory)?;
     }
-    let exists = paths.store.try_exists()?;
+    let store_exists = paths.store.try_exists()?;
     let marks = high_water::read(&paths.high_water);
-    let damage = if exists {
+    let damage = if store_exists {
         match read_store(paths, &marks) {
             Ok(loaded) => return Ok(loaded),
             Err(Rejection::Damaged(why)) => Some(why),
@@ -83,33 +83,33 @@
     } else if marks.is_empty() {
         None
     } else {
-        Some("the store is gone, and its count of commits is not".to_string())
+        Some("the store file is missing although its high-water mark exists".to_string())
     };
     if damage.is_some() {
-        set_aside(paths, exists).map_err(LoadError::SetAside)?;
+        set_aside(paths, store_exists).map_err(LoadError::SetAside)?;
     }
-    begin(paths, damage).map_err(LoadError::Begin)
+    create_store(paths, damage).map_err(LoadError::Create)
 }
 
-/// Keeps the damaged store for the operator. The count of commits goes last: a damaged store
-/// without it would pass for a complete one.
-fn set_aside(paths: &Paths, exists: bool) -> std::io::Result<()> {
-    if exists {
+/// Sets the damaged store aside for the operator. The high-water mark is removed last, because
+/// without it a damaged store would be taken for a complete one.
+fn set_aside(paths: &Paths, store_exists: bool) -> std::io::Result<()> {
+    if store_exists {
         std::fs::rename(&paths.store, &paths.damaged)?;
-        sync_folder(&paths.store)?;
+        sync_directory(&paths.store)?;
     }
     match std::fs::remove_file(&paths.high_water) {
         Err(e) if e.kind() != ErrorKind::NotFound => Err(e),
-        _ => sync_folder(&paths.store),
+        _ => sync_directory(&paths.store),
     }
 }
 
-fn begin(paths: &Paths, damage: Option<String>) -> Result<Loaded, StoreError> {
+fn create_store(paths: &Paths, damage: Option<String>) -> Result<Loaded, StoreError> {
     let identity = Identity {
         id: rand::thread_rng().gen_range(1..u64::MAX),
         cluster: 0,
     };
-    // What is there of one that was being made promised nothing.
+    // An incomplete store from an earlier attempt has acknowledged nothing.
     std::fs::remove_file(&paths.unfinished).ok();
     let database = open_store(|b| b.create(&paths.unfinished))?;
     let transaction = database.begin_write()?;
@@ -120,7 +120,7 @@
     }
     transaction.commit()?;
     std::fs::rename(&paths.unfinished, &paths.store)?;
-    sync_folder(&paths.store)?;
+    sync_directory(&paths.store)?;
     Ok(Loaded {
         database,
         identity,
@@ -133,10 +133,10 @@
 }
 
 fn read_store(paths: &Paths, marks: &[HighWaterMark]) -> Result<Loaded, Rejection> {
-    // An empty file would be taken for a store yet to be made.
+    // redb would treat an empty file as a database that has not been created yet.
     let size = std::fs::metadata(&paths.store).map_err(Rejection::unreadable)?;
     if size.len() == 0 {
-        return Err(Rejection::Damaged("the file is empty".into()));
+        return Err(Rejection::Damaged("the store file is empty".into()));
     }
     let database = open_store(|b| b.open(&paths.store))?;
     let content = read_content(&database)?;
@@ -164,7 +164,7 @@
     })
 }
 
-/// The tables of a store.
+/// The content of a store's tables.
 pub(super) struct Content {
     pub identity: Identity,
     pub saved: PersistentState,
@@ -181,7 +181,7 @@
         cluster: get("cluster")?,
     };
     if identity.id == 0 {
-        return Err(Rejection::Damaged("it has no identity".into()));
+        return Err(Rejection::Damaged("the store has no node ID".into()));
     }
     let snapshot = match meta.get("snapshot").map_err(StoreError::from)? {
         Some(bytes) => Snapshot::decode(bytes.value()).map_err(StoreError::from)?,
@@ -193,7 +193,7 @@
         let (key, bytes) = row.map_err(StoreError::from)?;
         let entry = Entry::decode(bytes.value()).map_err(StoreError::from)?;
         if entry.index != key.value() {
-            let why = format!("row {} holds entry {}", key.value(), entry.index);
+            let why = format!("row {} of the log table holds entry {}", key.value(), entry.index);
             return Err(Rejection::Unreadable(why));
         }
         entries.push(entry);
@@ -212,13 +212,13 @@
     })
 }
 
-/// The log goes on from the snapshot without a gap, and terms never fall.
+/// Checks that the log continues from the snapshot without a gap and that terms never decrease.
 fn check_log(saved: &PersistentState) -> Result<(), Rejection> {
     let (mut index, mut term) = (saved.snapshot.index, saved.snapshot.term);
     for entry in &saved.entries {
         if entry.index != index + 1 || entry.term < term {
             return Err(Rejection::Unreadable(format!(
-                "entry {} of term {} follows {index} of term {term}",
+                "log entry {} of term {} follows index {index} of term {term}",
                 entry.index, entry.term
             )));
         }
@@ -226,7 +226,7 @@
     }
     let current = saved.hard_state.term;
     if term > current {
-        let why = format!("an entry of term {term} is later than the term {current}");
+        let why = format!("a log entry has term {term}, which is later than the current term {current}");
         return Err(Rejection::Unreadable(why));
     }
     Ok(())
--- a/crates/pebblepond/src/storage/power_tests.rs
+++ b/crates/pebblepond/src/storage/power_tests.rs
@@ -1,5 +1,5 @@
-//! The store on a disk that loses power or is full: what was acknowledged is there,
-//! whatever became of the writes since the last sync.
+//! The store on a disk that loses power or is full: acknowledged data is present whatever happens
+//! to the writes since the last sync.
 
 use super::load::read_content;
 use super::*;
@@ -11,7 +11,7 @@
 use std::io::{Error, ErrorKind};
 use std::sync::{Arc, Mutex};
 
-/// A write since the last sync, or a new length.
+/// A write or a change of length since the last sync.
 #[derive(Debug, Clone)]
 enum Unsynced {
     Bytes(usize, Vec<u8>),
@@ -19,48 +19,49 @@
 }
 
 #[derive(Debug, Default)]
-struct State {
+struct DiskState {
     live: Vec<u8>,
     synced: Vec<u8>,
-    since: Vec<Unsynced>,
-    full: bool,
-    /// Images of a disk that lost power at one moment, with the commit that was
-    /// acknowledged by then.
+    unsynced: Vec<Unsynced>,
+    is_full: bool,
+    /// Images of the disk after a power loss, each with the number of commits acknowledged by
+    /// then.
     images: Vec<(u64, Vec<u8>)>,
     acknowledged: u64,
     rng: Option<SmallRng>,
 }
 
-fn put(disk: &mut Vec<u8>, at: usize, bytes: &[u8]) {
-    if disk.len() < at + bytes.len() {
-        disk.resize(at + bytes.len(), 0);
+fn write_at(disk: &mut Vec<u8>, offset: usize, bytes: &[u8]) {
+    if disk.len() < offset + bytes.len() {
+        disk.resize(offset + bytes.len(), 0);
     }
-    disk[at..at + bytes.len()].copy_from_slice(bytes);
+    disk[offset..offset + bytes.len()].copy_from_slice(bytes);
 }
 
-impl State {
-    /// The power goes: each write since the last sync is there, missing or torn.
+impl DiskState {
+    /// Records a power loss with a probability of 1/4: each write since the last sync is complete,
+    /// missing or torn.
     fn lose_power(&mut self) {
         let Some(rng) = &mut self.rng else { return };
         if !rng.gen_ratio(1, 4) {
             return;
         }
         let mut disk = self.synced.clone();
-        for write in &self.since {
+        for write in &self.unsynced {
             match (write, rng.gen_range(0..3)) {
                 (_, 0) => {}
-                (Unsynced::Bytes(at, bytes), 1) => {
-                    put(&mut disk, *at, &bytes[..rng.gen_range(0..=bytes.len())]);
+                (Unsynced::Bytes(offset, bytes), 1) => {
+                    write_at(&mut disk, *offset, &bytes[..rng.gen_range(0..=bytes.len())]);
                 }
-                (Unsynced::Bytes(at, bytes), _) => put(&mut disk, *at, bytes),
+                (Unsynced::Bytes(offset, bytes), _) => write_at(&mut disk, *offset, bytes),
                 (Unsynced::Length(len), _) => disk.resize(*len, 0),
             }
         }
         self.images.push((self.acknowledged, disk));
     }
 
-    fn refuse(&self) -> std::io::Result<()> {
-        if self.full {
+    fn check_space(&self) -> std::io::Result<()> {
+        if self.is_full {
             return Err(Error::from(ErrorKind::StorageFull));
         }
         Ok(())
@@ -68,54 +69,57 @@
 }
 
 #[derive(Debug, Clone, Default)]
-struct Backend(Arc<Mutex<State>>);
+struct Backend(Arc<Mutex<DiskState>>);
 
 impl Backend {
-    fn with<T>(&self, f: impl FnOnce(&mut State) -> T) -> T {
-        f(&mut self.0.lock().expect("nobody panicked"))
+    fn with_state<T>(&self, access: impl FnOnce(&mut DiskState) -> T) -> T {
+        access(&mut self.0.lock().expect("nobody panicked"))
     }
 }
 
 impl StorageBackend for Backend {
     fn len(&self) -> std::io::Result<u64> {
-        Ok(self.with(|s| s.live.len() as u64))
+        Ok(self.with_state(|s| s.live.len() as u64))
     }
-    fn read(&self, offset: u64, out: &mut [u8]) -> std::io::Result<()> {
-        self.with(|s| {
-            let at = offset as usize;
-            let bytes = s.live.get(at..at + out.len()).ok_or(ErrorKind::UnexpectedEof)?;
-            out.copy_from_slice(bytes);
+    fn read(&self, offset: u64, buffer: &mut [u8]) -> std::io::Result<()> {
+        self.with_state(|s| {
+            let offset = offset as usize;
+            let bytes = s
+                .live
+                .get(offset..offset + buffer.len())
+                .ok_or(ErrorKind::UnexpectedEof)?;
+            buffer.copy_from_slice(bytes);
             Ok(())
         })
     }
     fn set_len(&self, len: u64) -> std::io::Result<()> {
-        self.with(|s| {
-            s.refuse()?;
+        self.with_state(|s| {
+            s.check_space()?;
             s.live.resize(len as usize, 0);
-            s.since.push(Unsynced::Length(len as usize));
+            s.unsynced.push(Unsynced::Length(len as usize));
             Ok(())
         })
     }
     fn sync_data(&self) -> std::io::Result<()> {
-        self.with(|s| {
+        self.with_state(|s| {
             s.lose_power();
             s.synced = s.live.clone();
-            s.since.clear();
+            s.unsynced.clear();
             Ok(())
         })
     }
     fn write(&self, offset: u64, data: &[u8]) -> std::io::Result<()> {
-        self.with(|s| {
-            s.refuse()?;
-            put(&mut s.live, offset as usize, data);
-            s.since.push(Unsynced::Bytes(offset as usize, data.to_vec()));
+        self.with_state(|s| {
+            s.check_space()?;
+            write_at(&mut s.live, offset as usize, data);
+            s.unsynced.push(Unsynced::Bytes(offset as usize, data.to_vec()));
             s.lose_power();
             Ok(())
         })
     }
 }
 
-fn disk_on(backend: &Backend) -> Disk {
+fn create_disk(backend: &Backend) -> Disk {
     let db = open_store(|b| b.create_with_backend(backend.clone())).expect("opens");
     let tx = db.begin_write().expect("begins");
     {
@@ -133,8 +137,14 @@
     }
 }
 
-/// Writes as a voter makes them: entries, at times cut off, a term, a snapshot.
-fn some_write(rng: &mut SmallRng, last: &mut u64, folded: &mut u64, term: &mut u64) -> StorageWrite {
+/// Returns a random write as a voter makes it: entries, at times a truncation, a new term or a
+/// snapshot.
+fn random_write(
+    rng: &mut SmallRng,
+    last_index: &mut u64,
+    snapshot_index: &mut u64,
+    term: &mut u64,
+) -> StorageWrite {
     let mut write = StorageWrite::default();
     if rng.gen_ratio(1, 6) {
         *term += 1;
@@ -143,82 +153,86 @@
             vote: rng.gen_range(1..9),
         });
     }
-    if rng.gen_ratio(1, 5) && *last > *folded {
-        *folded = *last;
+    if rng.gen_ratio(1, 5) && *last_index > *snapshot_index {
+        *snapshot_index = *last_index;
         write.snapshot = Some(Snapshot {
-            index: *last,
+            index: *last_index,
             term: *term,
             data: vec![5; rng.gen_range(1..60_000)],
             ..Default::default()
         });
-    } else if rng.gen_ratio(1, 6) && *last > *folded + 1 {
-        write.truncate_from = Some(*last);
-        *last -= 1;
+    } else if rng.gen_ratio(1, 6) && *last_index > *snapshot_index + 1 {
+        write.truncate_from = Some(*last_index);
+        *last_index -= 1;
     }
     for _ in 0..rng.gen_range(0..3) {
-        *last += 1;
+        *last_index += 1;
         write.entries.push(Entry {
-            index: *last,
+            index: *last_index,
             term: *term,
             entry_type: 1,
-            data: vec![*last as u8; rng.gen_range(0..9_000)],
+            data: vec![*last_index as u8; rng.gen_range(0..9_000)],
         });
     }
     write
 }
 
-fn content(db: &Database) -> (u64, PersistentState) {
-    let content = read_content(db).expect("a store after a loss of power is complete");
+fn read_state(db: &Database) -> (u64, PersistentState) {
+    let content = read_content(db).expect("a store is readable after a power loss");
     (content.commits, content.saved)
 }
 
 #[test]
-fn what_was_acknowledged_is_there_after_any_loss_of_power() {
-    let (mut looked, mut torn) = (0, 0);
+fn acknowledged_writes_survive_any_power_loss() {
+    let (mut images_checked, mut without_last_write) = (0, 0);
     for seed in 1..=12 {
         let backend = Backend::default();
-        let mut disk = disk_on(&backend);
-        backend.with(|s| s.rng = Some(SmallRng::seed_from_u64(seed)));
+        let mut disk = create_disk(&backend);
+        backend.with_state(|s| s.rng = Some(SmallRng::seed_from_u64(seed)));
         let mut rng = SmallRng::seed_from_u64(seed + 100);
-        let (mut last, mut folded, mut term) = (0, 0, 1);
-        let mut known = BTreeMap::new();
+        let (mut last_index, mut snapshot_index, mut term) = (0, 0, 1);
+        let mut states_by_commit = BTreeMap::new();
         for _ in 0..25 {
-            let write = some_write(&mut rng, &mut last, &mut folded, &mut term);
+            let write = random_write(&mut rng, &mut last_index, &mut snapshot_index, &mut term);
             disk.commit(&[Job::Write { number: 1, write }]).expect("commits");
-            backend.with(|s| s.acknowledged = disk.commits);
-            known.insert(disk.commits, content(disk.database.as_ref().expect("open")).1);
+            backend.with_state(|s| s.acknowledged = disk.commits);
+            states_by_commit.insert(disk.commits, read_state(disk.database.as_ref().expect("open")).1);
         }
-        let images = backend.with(|s| {
+        let images = backend.with_state(|s| {
             s.rng = None;
             std::mem::take(&mut s.images)
         });
         for (acknowledged, image) in images {
-            let lost = Backend::default();
-            lost.with(|s| s.live = image);
-            let db = open_store(|b| b.create_with_backend(lost)).expect("a torn end is no damage");
-            let (commits, saved) = content(&db);
+            let image_backend = Backend::default();
+            image_backend.with_state(|s| s.live = image);
+            let db = open_store(|b| b.create_with_backend(image_backend))
+                .expect("unsynced writes that are lost are not damage");
+            let (commits, saved) = read_state(&db);
             assert!(
                 commits >= acknowledged,
-                "{commits} of {acknowledged}, seed {seed}"
+                "the store holds {commits} of {acknowledged} acknowledged commits, seed {seed}"
             );
             assert!(commits <= acknowledged + 1);
-            if let Some(known) = known.get(&commits) {
-                assert_eq!(saved, *known, "commit {commits}, seed {seed}");
+            if let Some(expected) = states_by_commit.get(&commits) {
+                assert_eq!(saved, *expected, "commit {commits}, seed {seed}");
             }
-            looked += 1;
-            torn += usize::from(commits == acknowledged);
+            images_checked += 1;
+            without_last_write += usize::from(commits == acknowledged);
         }
     }
-    println!("{looked} losses of power, {torn} without the write under way");
-    assert!(looked > 500 && torn > 50 && torn < looked, "{looked} {torn}");
+    println!("{images_checked} power losses, {without_last_write} without the write in progress");
+    assert!(
+        images_checked > 500 && without_last_write > 50 && without_last_write < images_checked,
+        "{images_checked} power losses, {without_last_write} without the write in progress"
+    );
 }
 
-/// A snapshot finds the disk full: nothing is acknowledged, nothing of before is
-/// lost, and it is tried again until there is room.
+/// The disk is full when a snapshot is written: the write is not acknowledged, earlier data is
+/// kept, and the write succeeds once there is space.
 #[test]
-fn a_full_disk_in_a_snapshot_breaks_no_promise() {
+fn a_full_disk_during_a_snapshot_loses_no_acknowledged_data() {
     let backend = Backend::default();
-    let mut disk = disk_on(&backend);
+    let mut disk = create_disk(&backend);
     let entry = |index| Entry {
         index,
         term: 3,
@@ -244,16 +258,19 @@
             ..Default::default()
         })
     };
-    backend.with(|s| s.full = true);
+    backend.with_state(|s| s.is_full = true);
     for _ in 0..3 {
-        assert!(disk.commit(&[snapshot()]).is_err(), "nothing is acknowledged");
+        assert!(
+            disk.commit(&[snapshot()]).is_err(),
+            "a write on a full disk must fail"
+        );
         drop(disk.database.take());
         disk.database = open_store(|b| b.create_with_backend(backend.clone())).ok();
     }
-    backend.with(|s| s.full = false);
+    backend.with_state(|s| s.is_full = false);
     disk.database = None;
     disk.database = open_store(|b| b.create_with_backend(backend.clone())).ok();
-    let (commits, saved) = content(disk.database.as_ref().expect("opens"));
+    let (commits, saved) = read_state(disk.database.as_ref().expect("opens"));
     assert_eq!(
         (
             commits,
@@ -264,6 +281,6 @@
         (1, 40, 3, 5)
     );
     disk.commit(&[snapshot()]).expect("room");
-    let (commits, saved) = content(disk.database.as_ref().expect("open"));
+    let (commits, saved) = read_state(disk.database.as_ref().expect("open"));
     assert_eq!((commits, saved.snapshot.index, saved.entries.len()), (2, 40, 1));
 }
--- a/crates/pebblepond/src/storage_tests.rs
+++ b/crates/pebblepond/src/storage_tests.rs
@@ -1,33 +1,33 @@
-//! The store of a node under damage, torn ends and faults of the disk.
+//! The store of a node with damaged files, torn writes and disk faults.
 
-use crate::storage::{Opened, Storage, StorageEvent};
+use crate::storage::{OpenedStore, Storage, StorageEvent};
 use raft::{Entry, HardState, Snapshot, StorageWrite};
 use rand::{Rng, SeedableRng};
 use std::path::PathBuf;
 
-/// A folder that is removed at the end of a test.
-struct Folder(PathBuf);
+/// A temporary directory that is removed at the end of a test.
+struct TempDirectory(PathBuf);
 
-impl Folder {
-    fn new() -> Folder {
+impl TempDirectory {
+    fn new() -> TempDirectory {
         let name = format!("storage-{:x}", rand::thread_rng().gen::<u64>());
         let path = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
+        std::fs::create_dir_all(&path).expect("a directory");
+        TempDirectory(path)
     }
 
-    fn open(&self) -> Result<Opened, String> {
+    fn open(&self) -> Result<OpenedStore, String> {
         let (events, _) = tokio::sync::mpsc::unbounded_channel();
         Storage::open(self.0.to_str().expect("utf-8"), events).map_err(|e| e.to_string())
     }
 
-    /// What the disk would hold if the process were killed now.
-    fn copy(&self) -> Folder {
-        let to = Folder::new();
+    /// Copies the files, as the disk would hold them if the process were killed now.
+    fn copy(&self) -> TempDirectory {
+        let target = TempDirectory::new();
         for file in std::fs::read_dir(&self.0).expect("readable").flatten() {
-            std::fs::copy(file.path(), to.0.join(file.file_name())).expect("copied");
+            std::fs::copy(file.path(), target.0.join(file.file_name())).expect("copied");
         }
-        to
+        target
     }
 
     fn store(&self) -> PathBuf {
@@ -35,7 +35,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         std::fs::remove_dir_all(&self.0).ok();
     }
@@ -50,60 +50,62 @@
     }
 }
 
-/// A store that a test waits for.
-struct Store {
-    folder: Folder,
-    opened: Opened,
+/// An open store that waits for its storage events.
+struct TestStore {
+    directory: TempDirectory,
+    opened: OpenedStore,
     events: tokio::sync::mpsc::UnboundedReceiver<StorageEvent>,
-    seq: u64,
+    sequence: u64,
 }
 
-impl Store {
-    fn new(folder: Folder) -> Store {
-        let (words_in, events) = tokio::sync::mpsc::unbounded_channel();
-        let opened = Storage::open(folder.0.to_str().expect("utf-8"), words_in).expect("opens");
-        Store {
-            folder,
+impl TestStore {
+    fn new(directory: TempDirectory) -> TestStore {
+        let (event_sender, events) = tokio::sync::mpsc::unbounded_channel();
+        let opened = Storage::open(directory.0.to_str().expect("utf-8"), event_sender).expect("opens");
+        TestStore {
+            directory,
             opened,
             events,
-            seq: 0,
+            sequence: 0,
         }
     }
 
-    /// Writes, and waits for the acknowledgement.
+    /// Writes and waits until the write is on disk.
     fn write(&mut self, write: StorageWrite) {
-        self.seq += 1;
-        self.opened.storage.write(self.seq, write);
-        while !matches!(self.events.blocking_recv(), Some(StorageEvent::Persisted(seq)) if seq == self.seq) {}
+        self.sequence += 1;
+        self.opened.storage.write(self.sequence, write);
+        while !matches!(self.events.blocking_recv(), Some(StorageEvent::Persisted(sequence)) if sequence == self.sequence)
+        {
+        }
     }
 
-    /// Ends the store in order.
-    fn close(self) -> Folder {
-        let Store {
-            folder,
+    /// Closes the store cleanly and returns its directory.
+    fn close(self) -> TempDirectory {
+        let TestStore {
+            directory,
             opened,
             mut events,
             ..
         } = self;
         drop(opened);
         while events.blocking_recv().is_some() {}
-        folder
+        directory
     }
 }
 
-/// Term, vote and log as they were promised last.
-fn promised() -> (u64, u64, Vec<u64>) {
+/// Returns the term, vote and log indexes that `write_store` acknowledged last.
+fn acknowledged() -> (u64, u64, Vec<u64>) {
     (7, 3, (9..=30).collect())
 }
 
-fn of(opened: &Opened) -> (u64, u64, Vec<u64>) {
+fn term_vote_and_log(opened: &OpenedStore) -> (u64, u64, Vec<u64>) {
     let saved = &opened.saved;
     let log = saved.entries.iter().map(|e| e.index).collect();
     (saved.hard_state.term, saved.hard_state.vote, log)
 }
 
-fn written() -> Store {
-    let mut store = Store::new(Folder::new());
+fn write_store() -> TestStore {
+    let mut store = TestStore::new(TempDirectory::new());
     store.opened.storage.set_cluster(9);
     for index in 1..=12 {
         store.write(StorageWrite {
@@ -132,115 +134,132 @@
     store
 }
 
-/// What opening a damaged store came to.
+/// Counts the outcomes of opening damaged stores.
 #[derive(Debug, Default)]
-struct Seen {
-    whole: usize,
-    refused: usize,
-    /// Begun as somebody new, and not taken for a first start.
-    new: usize,
-    silent: Vec<String>,
-    older: Vec<String>,
-    /// Refused without the file's name.
-    unnamed: Vec<String>,
+struct Outcomes {
+    complete: usize,
+    rejected: usize,
+    /// Opened with a new identity, and not taken for an initial start.
+    new_identity: usize,
+    silently_empty: Vec<String>,
+    incomplete: Vec<String>,
+    /// Rejected with an error that does not name the file.
+    without_file_name: Vec<String>,
     panicked: Vec<String>,
 }
 
-impl Seen {
-    fn look(&mut self, id: u64, what: String, folder: &Folder) {
-        let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| folder.open()));
+impl Outcomes {
+    fn record(&mut self, id: u64, damage: String, directory: &TempDirectory) {
+        let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| directory.open()));
         match result {
-            Err(_) => self.panicked.push(what),
+            Err(_) => self.panicked.push(damage),
             Ok(Err(e)) => {
-                self.refused += 1;
+                self.rejected += 1;
                 if !e.contains("prompter.redb") {
-                    self.unnamed.push(format!("{what}: {e}"));
+                    self.without_file_name.push(format!("{damage}: {e}"));
                 }
             }
             Ok(Ok(opened)) if opened.identity.id == id => {
-                if of(&opened) == promised() && opened.saved.snapshot.index == 8 {
-                    self.whole += 1;
+                if term_vote_and_log(&opened) == acknowledged() && opened.saved.snapshot.index == 8 {
+                    self.complete += 1;
                 } else {
-                    self.older.push(format!("{what}: {:?}", of(&opened)));
+                    self.incomplete
+                        .push(format!("{damage}: {:?}", term_vote_and_log(&opened)));
                 }
             }
-            Ok(Ok(opened)) if opened.is_empty => self.silent.push(what),
-            Ok(Ok(_)) => self.new += 1,
+            Ok(Ok(opened)) if opened.is_empty => self.silently_empty.push(damage),
+            Ok(Ok(_)) => self.new_identity += 1,
         }
     }
 
-    fn judge(&self) {
-        let few = |all: &[String]| all.iter().take(5).cloned().collect::<Vec<_>>();
+    fn assert_no_silent_loss(&self) {
+        let first_five = |messages: &[String]| messages.iter().take(5).cloned().collect::<Vec<_>>();
         println!(
-            "whole {} refused {} new {} silently empty {} older {} panicked {}",
-            self.whole,
-            self.refused,
-            self.new,
-            self.silent.len(),
-            self.older.len(),
+            "complete {}, rejected {}, new identity {}, silently empty {}, acknowledged data missing {}, panicked {}",
+            self.complete,
+            self.rejected,
+            self.new_identity,
+            self.silently_empty.len(),
+            self.incomplete.len(),
             self.panicked.len()
         );
-        assert!(self.older.is_empty(), "promised less: {:?}", few(&self.older));
-        assert!(self.silent.is_empty(), "empty: {:?}", few(&self.silent));
-        assert!(self.unnamed.is_empty(), "which file? {:?}", few(&self.unnamed));
-        assert!(self.panicked.is_empty(), "panicked: {:?}", few(&self.panicked));
+        assert!(
+            self.incomplete.is_empty(),
+            "acknowledged data is missing: {:?}",
+            first_five(&self.incomplete)
+        );
+        assert!(
+            self.silently_empty.is_empty(),
+            "taken for an initial start: {:?}",
+            first_five(&self.silently_empty)
+        );
+        assert!(
+            self.without_file_name.is_empty(),
+            "the error does not name the file: {:?}",
+            first_five(&self.without_file_name)
+        );
+        assert!(
+            self.panicked.is_empty(),
+            "panicked: {:?}",
+            first_five(&self.panicked)
+        );
     }
 }
 
-/// Offsets of a store's file worth damaging: the head byte by byte, then a few
-/// in each block that holds anything.
+/// Returns the offsets of a store file that are damaged: every byte of the header, then two random
+/// bytes of each block that is not all zeros.
 fn offsets(bytes: &[u8]) -> Vec<usize> {
     let mut rng = rand::rngs::SmallRng::seed_from_u64(1);
-    let mut all: Vec<usize> = (0..320.min(bytes.len())).collect();
+    let mut offsets: Vec<usize> = (0..320.min(bytes.len())).collect();
     for (i, block) in bytes.chunks(512).enumerate().skip(1) {
         if block.iter().any(|b| *b != 0) {
-            all.extend((0..2).map(|_| i * 512 + rng.gen_range(0..block.len())));
+            offsets.extend((0..2).map(|_| i * 512 + rng.gen_range(0..block.len())));
         }
     }
-    all
+    offsets
 }
 
-fn damage(from: &Folder, id: u64) {
+fn check_damaged_copies(from: &TempDirectory, id: u64) {
     let bytes = std::fs::read(from.store()).expect("readable");
-    let mut seen = Seen::default();
-    for at in offsets(&bytes) {
-        let hurt = from.copy();
-        let mut worse = bytes.clone();
-        worse[at] ^= 1 << (at % 8);
-        std::fs::write(hurt.store(), worse).expect("written");
-        seen.look(id, format!("byte {at}"), &hurt);
+    let mut outcomes = Outcomes::default();
+    for offset in offsets(&bytes) {
+        let damaged = from.copy();
+        let mut damaged_bytes = bytes.clone();
+        damaged_bytes[offset] ^= 1 << (offset % 8);
+        std::fs::write(damaged.store(), damaged_bytes).expect("written");
+        outcomes.record(id, format!("byte {offset}"), &damaged);
     }
     let ends = (0..bytes.len()).step_by(bytes.len() / 60 + 1);
     for end in ends.chain([1, 63, 64, 200, 319, 4096, bytes.len() - 1]) {
-        let hurt = from.copy();
-        let file = std::fs::OpenOptions::new().write(true).open(hurt.store());
+        let damaged = from.copy();
+        let file = std::fs::OpenOptions::new().write(true).open(damaged.store());
         file.and_then(|f| f.set_len(end as u64)).expect("cut");
-        seen.look(id, format!("cut at {end}"), &hurt);
+        outcomes.record(id, format!("cut at {end}"), &damaged);
     }
-    seen.judge();
+    outcomes.assert_no_silent_loss();
 }
 
 #[test]
-fn a_damaged_store_promises_no_less_under_its_identity_after_a_kill() {
-    let store = written();
+fn damage_after_a_kill_never_loses_acknowledged_data_silently() {
+    let store = write_store();
     let id = store.opened.identity.id;
-    damage(&store.folder.copy(), id);
+    check_damaged_copies(&store.directory.copy(), id);
     store.close();
 }
 
 #[test]
-fn a_damaged_store_promises_no_less_under_its_identity_after_an_end_in_order() {
-    let store = written();
+fn damage_after_a_clean_close_never_loses_acknowledged_data_silently() {
+    let store = write_store();
     let id = store.opened.identity.id;
-    damage(&store.close(), id);
+    check_damaged_copies(&store.close(), id);
 }
 
 #[test]
-fn what_was_written_comes_back_and_the_identity_stays() {
-    let folder = std::env::temp_dir().join(format!("storage-{}", rand::thread_rng().gen::<u64>()));
-    let folder = folder.to_str().expect("utf-8").to_string();
-    let (events, mut inbox) = tokio::sync::mpsc::unbounded_channel();
-    let first = Storage::open(&folder, events).expect("opens");
+fn a_reopened_store_returns_the_written_state_and_identity() {
+    let directory = std::env::temp_dir().join(format!("storage-{}", rand::thread_rng().gen::<u64>()));
+    let directory = directory.to_str().expect("utf-8").to_string();
+    let (events, mut received_events) = tokio::sync::mpsc::unbounded_channel();
+    let first = Storage::open(&directory, events).expect("opens");
     assert!(first.is_empty);
     first.storage.set_cluster(9);
     first.storage.write(
@@ -266,12 +285,12 @@
             ..Default::default()
         },
     );
-    while !matches!(inbox.blocking_recv(), Some(StorageEvent::Persisted(2))) {}
+    while !matches!(received_events.blocking_recv(), Some(StorageEvent::Persisted(2))) {}
     drop(first.storage);
-    // The disk's thread drops its sender when it has ended.
-    while inbox.blocking_recv().is_some() {}
+    // The storage thread drops its sender when it ends.
+    while received_events.blocking_recv().is_some() {}
     let (events, _) = tokio::sync::mpsc::unbounded_channel();
-    let again = Storage::open(&folder, events).expect("opens");
+    let again = Storage::open(&directory, events).expect("opens");
     assert!(!again.is_empty);
     assert_eq!(
         (again.identity.id, again.identity.cluster),
@@ -287,102 +306,112 @@
     );
     let kept: Vec<u64> = again.saved.entries.iter().map(|e| e.index).collect();
     assert_eq!(kept, [3, 4, 5]);
-    std::fs::remove_dir_all(folder).ok();
+    std::fs::remove_dir_all(directory).ok();
 }
 
-fn put(folder: &Folder, name: &str, bytes: &[u8]) {
-    std::fs::write(folder.0.join(name), bytes).expect("written");
+fn write_file(directory: &TempDirectory, name: &str, bytes: &[u8]) {
+    std::fs::write(directory.0.join(name), bytes).expect("written");
 }
 
-fn take(folder: &Folder, name: &str) -> Vec<u8> {
-    std::fs::read(folder.0.join(name)).expect("readable")
+fn read_file(directory: &TempDirectory, name: &str) -> Vec<u8> {
+    std::fs::read(directory.0.join(name)).expect("readable")
 }
 
-/// One commit back is a torn end as long as nobody counted that commit, and damage
-/// from then on.
+/// A store that lacks its newest commit is accepted as a torn write if the high-water mark does
+/// not count that commit, and is damaged if it does.
 #[test]
-fn a_commit_that_was_counted_is_never_taken_for_a_torn_end() {
-    let mut store = written();
+fn a_missing_commit_is_damage_once_the_high_water_mark_counts_it() {
+    let mut store = write_store();
     let id = store.opened.identity.id;
-    let before = store.folder.copy();
+    let before = store.directory.copy();
     store.write(StorageWrite {
         hard_state: Some(HardState { term: 8, vote: 1 }),
         ..Default::default()
     });
-    let after = store.folder.copy();
+    let after = store.directory.copy();
     store.close();
     let opened = before.copy().open().expect("opens");
-    assert_eq!((opened.identity.id, of(&opened)), (id, promised()), "torn end");
+    assert_eq!(
+        (opened.identity.id, term_vote_and_log(&opened)),
+        (id, acknowledged()),
+        "a commit that is not counted may be missing"
+    );
 
-    put(&after, "prompter.redb", &take(&before, "prompter.redb"));
+    write_file(&after, "prompter.redb", &read_file(&before, "prompter.redb"));
     let opened = after.open().expect("opens");
     assert_ne!(opened.identity.id, id);
     assert!(!opened.is_empty && opened.saved.hard_state.term == 0);
-    assert!(opened.damage.is_some_and(|why| why.contains("acknowledged")));
+    assert!(opened
+        .damage
+        .is_some_and(|reason| reason.contains("acknowledged")));
     assert!(
-        !take(&after, "prompter.redb.damaged").is_empty(),
-        "kept for the operator"
+        !read_file(&after, "prompter.redb.damaged").is_empty(),
+        "the damaged store is kept for the operator"
     );
-    // The new identity is kept, and the count of the old one is not held against it.
+    // The new identity is kept, and the old identity's high-water mark does not apply to it.
     let again = after.copy().open().expect("opens");
     assert_eq!(again.identity.id, opened.identity.id);
     assert!(again.damage.is_none());
 }
 
-/// The count is a witness, not a part of the store: with either damaged or lost alone
-/// nothing that was promised is lost without a word.
+/// The high-water mark only checks the store. Without a readable mark the store opens complete;
+/// without the store the loss is detected.
 #[test]
-fn a_lost_or_damaged_count_is_no_loss_and_a_lost_store_is_one() {
-    let folder = written().close();
-    let id = folder.copy().open().expect("opens").identity.id;
-    let mark = take(&folder, "prompter.mark");
-    for at in 0..20 {
+fn a_lost_or_damaged_high_water_mark_loses_nothing_and_a_lost_store_is_detected() {
+    let directory = write_store().close();
+    let id = directory.copy().open().expect("opens").identity.id;
+    let mark = read_file(&directory, "prompter.mark");
+    for offset in 0..20 {
         for slot in [0, 4096] {
-            let hurt = folder.copy();
-            let mut worse = mark.clone();
-            if let Some(byte) = worse.get_mut(slot + at) {
+            let damaged = directory.copy();
+            let mut damaged_bytes = mark.clone();
+            if let Some(byte) = damaged_bytes.get_mut(slot + offset) {
                 *byte ^= 4;
             }
-            put(&hurt, "prompter.mark", &worse);
-            let opened = hurt.open().expect("opens");
-            assert_eq!((opened.identity.id, of(&opened)), (id, promised()));
+            write_file(&damaged, "prompter.mark", &damaged_bytes);
+            let opened = damaged.open().expect("opens");
+            assert_eq!(
+                (opened.identity.id, term_vote_and_log(&opened)),
+                (id, acknowledged())
+            );
         }
     }
-    let hurt = folder.copy();
-    std::fs::remove_file(hurt.0.join("prompter.mark")).expect("removed");
-    assert_eq!(hurt.open().expect("opens").identity.id, id);
+    let damaged = directory.copy();
+    std::fs::remove_file(damaged.0.join("prompter.mark")).expect("removed");
+    assert_eq!(damaged.open().expect("opens").identity.id, id);
 
-    let hurt = folder.copy();
-    std::fs::remove_file(hurt.store()).expect("removed");
-    let opened = hurt.open().expect("opens");
+    let damaged = directory.copy();
+    std::fs::remove_file(damaged.store()).expect("removed");
+    let opened = damaged.open().expect("opens");
     assert!(opened.identity.id != id && !opened.is_empty);
 }
 
-/// A first write cut short promised nothing: the node may begin the system still.
+/// A store whose creation was interrupted has acknowledged nothing: the node counts as empty and may
+/// still bootstrap the system.
 #[test]
-fn a_store_that_was_being_made_is_made_anew() {
-    let folder = Folder::new();
-    put(&folder, "prompter.redb.new", &[7; 5000]);
-    let opened = folder.open().expect("opens");
+fn an_incomplete_new_store_is_created_again() {
+    let directory = TempDirectory::new();
+    write_file(&directory, "prompter.redb.new", &[7; 5000]);
+    let opened = directory.open().expect("opens");
     assert!(opened.is_empty && opened.damage.is_none());
 }
 
-/// What is no damage is no reason to begin anew.
+/// A failure that is not damage is reported and does not create a new store.
 #[test]
-fn a_store_that_cannot_be_reached_or_understood_is_left_and_named() {
-    let refused = |folder: &Folder, why: &str| {
-        let e = folder.open().err().expect("refused");
+fn an_unreadable_store_is_kept_and_the_error_names_it() {
+    let rejected = |directory: &TempDirectory, reason: &str| {
+        let e = directory.open().err().expect("refused");
         assert!(
-            e.contains("prompter.redb") && e.contains(why) && e.contains("move it away"),
+            e.contains("prompter.redb") && e.contains(reason) && e.contains("move it away"),
             "{e}"
         );
     };
-    let folder = Folder::new();
-    std::fs::create_dir(folder.store()).expect("a folder in its place");
-    refused(&folder, "directory");
+    let directory = TempDirectory::new();
+    std::fs::create_dir(directory.store()).expect("a directory in its place");
+    rejected(&directory, "directory");
 
-    let store = written();
-    refused(&store.folder, "already open");
+    let store = write_store();
+    rejected(&store.directory, "already open");
     store.close();
 
     let snapshot = |data| Snapshot {
@@ -391,35 +420,39 @@
         data,
         ..Default::default()
     };
-    let gap = StorageWrite {
+    let entry_gap = StorageWrite {
         entries: vec![entry(33)],
         ..Default::default()
     };
-    let unread = StorageWrite {
+    let unreadable_snapshot = StorageWrite {
         snapshot: Some(snapshot(vec![0, 77])),
         ..Default::default()
     };
-    let mut older = entry(31);
-    older.term = 1;
-    let falling = StorageWrite {
-        entries: vec![older],
+    let mut older_entry = entry(31);
+    older_entry.term = 1;
+    let decreasing_term = StorageWrite {
+        entries: vec![older_entry],
         ..Default::default()
     };
-    for (write, why) in [(gap, "entry 33"), (unread, "snapshot"), (falling, "term 1")] {
-        let mut store = written();
+    for (write, reason) in [
+        (entry_gap, "entry 33"),
+        (unreadable_snapshot, "snapshot"),
+        (decreasing_term, "term 1"),
+    ] {
+        let mut store = write_store();
         store.write(write);
-        let folder = store.close();
-        refused(&folder, why);
-        refused(&folder, why);
+        let directory = store.close();
+        rejected(&directory, reason);
+        rejected(&directory, reason);
     }
 }
 
-/// Writes changes of a size as the agreement does: each an entry, folded into a
-/// snapshot of a third of the size. Largest size of the file, bytes.
+/// Writes changes of a size as Raft does: each as an entry, with a snapshot of a third of the size
+/// that compacts the entries before it. Returns the largest size of the store file, in bytes.
 fn grow(changes: u64, bytes: usize) -> u64 {
-    let mut store = Store::new(Folder::new());
+    let mut store = TestStore::new(TempDirectory::new());
     let mut rng = rand::rngs::SmallRng::seed_from_u64(1);
-    let mut most = 0;
+    let mut max_bytes = 0;
     for index in 1..=changes {
         let mut data = vec![0; bytes];
         rng.fill(&mut data[..]);
@@ -435,17 +468,20 @@
             entries: vec![Entry { data, ..entry(index) }],
             ..Default::default()
         });
-        let size = std::fs::metadata(store.folder.store()).expect("there");
-        most = most.max(size.len());
+        let size = std::fs::metadata(store.directory.store()).expect("there");
+        max_bytes = max_bytes.max(size.len());
     }
     store.close();
-    most
+    max_bytes
 }
 
-/// Pages that are free are used again: the file stays within the smallest disk.
+/// Guards against free pages that are not reused: the file would outgrow the smallest disk.
 #[test]
-fn the_file_stops_growing() {
-    let [some, many] = [20, 120].map(|changes| grow(changes, 300_000));
-    println!("300 KB a change: {some} bytes after 20, {many} after 120");
-    assert!(many <= 2 * some && many < 16 << 20, "{some}, {many}");
+fn the_store_file_stops_growing() {
+    let [few_changes_bytes, many_changes_bytes] = [20, 120].map(|changes| grow(changes, 300_000));
+    println!("300 KB per change: {few_changes_bytes} bytes after 20 changes, {many_changes_bytes} after 120");
+    assert!(
+        many_changes_bytes <= 2 * few_changes_bytes && many_changes_bytes < 16 << 20,
+        "{few_changes_bytes}, {many_changes_bytes}"
+    );
 }
