--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -1,45 +1,45 @@
-//! One attempt at a request, on one connection to one worker: how far it has
-//! come, whose answer has come in, and what may follow. A pure state machine; it
-//! is told of bytes, heads of answers, ends and time, and decides what they prove.
+//! Pure state machine of one attempt at a request, on one connection to one worker: how much of the
+//! request was sent, which response was received, and what may follow. It is notified of written
+//! bytes, response heads, ends of responses and timeouts, and decides what they prove.
 //!
-//! Nothing but two states prove that a request has not run: not one byte of it
-//! went out, or the worker says so in an answer that belongs to this attempt.
+//! Only two states prove that a request was not executed: no byte of it was sent, or the worker
+//! states it in a response that belongs to this attempt.
 
-/// How far an attempt has come.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Phase {
-    /// Not one byte went out.
+    /// No byte of the request was sent.
     Unsent,
-    /// Some bytes went out.
+    /// A part of the request was sent.
     Partial,
-    /// All bytes went out.
+    /// The whole request was sent.
     Sent,
-    /// The head of its answer has come.
+    /// The head of the response was received.
     ResponseStarted,
-    /// Its answer has come whole.
+    /// The complete response was received.
     Complete,
 }
 
-/// What an answer says of the attempt that it belongs to.
+/// How the attempt id that a response echoes relates to the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum IdEcho {
-    /// It echoes the id of this attempt.
-    Ours,
-    /// It echoes another id, or several.
-    Other,
+    /// The response echoes the id of this attempt.
+    Same,
+    /// The response echoes a different id, or several ids.
+    Different,
     Missing,
 }
 
-/// The head of an answer, as far as it matters here.
+/// The parts of a response head that decide what the response proves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct HeadSummary {
     pub status: u16,
     pub echo: IdEcho,
-    /// It says that the worker did not run the request.
+    /// Whether the worker states that it did not execute the request.
     pub not_executed: bool,
-    /// It has what a worker's success bears: the stamp, and a body of which one
-    /// can tell where it ends.
-    pub sealed: bool,
+    /// Whether the response has what every success of a worker has: the server seal, and a body
+    /// whose end can be determined.
+    pub is_sealed_and_framed: bool,
 }
 
 impl HeadSummary {
@@ -47,90 +47,92 @@
         (200..300).contains(&self.status)
     }
 
-    /// The worker turned the request away: it says so, or that it is not the one
-    /// that was meant.
-    fn turns_away(&self) -> bool {
+    /// Returns whether the worker rejected the request: it states that it did not execute it, or
+    /// that it is not the instance that was addressed.
+    fn is_rejection(&self) -> bool {
         self.not_executed || self.status == 421
     }
 }
 
-/// What to do with a head.
+/// What the caller does after a response head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum HeadAction {
-    /// It is this attempt's: read the body, then tell [`Attempt::on_complete`].
-    Ours,
-    /// It belongs to somebody else: pass over its body and read on.
+    /// The response belongs to this attempt: read the body, then call [`Attempt::on_complete`].
+    Accepted,
+    /// The response belongs to another request: skip its body and continue reading.
     Unmatched,
-    /// An interim answer (1xx): read on.
+    /// An interim response (1xx): continue reading.
     Interim,
-    /// No answer to this attempt can be told from others any more.
+    /// A response to this attempt can no longer be distinguished from others.
     Broken,
 }
 
-/// What an attempt has come to.
+/// What is known of the execution of a request after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// It has not run and never will: proven.
+    /// The request was provably not executed and never will be.
     NotRun,
-    /// The worker seems to have turned it away; the answer may be another's.
-    TurnedAway,
-    /// The worker's answer may be passed on.
+    /// The worker apparently rejected the request, but the response may belong to another request.
+    UnprovenRejection,
+    /// The worker's response may be passed on.
     Answered,
-    /// It may have run, may still run, and nothing usable came back.
+    /// The request may have been executed or may still be, and no usable response was received.
     MayHaveRun,
 }
 
-/// Statuses that promise a client that its request has not run and never will.
-pub const PROMISES: [u16; 4] = [408, 421, 429, 503];
+/// Statuses that promise the client that its request was not executed and never will be.
+pub const NOT_EXECUTED_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// Heads that are not ours, passed over before a connection is given up, heads.
-const MAX_UNMATCHED: u32 = config::constants::MAX_UNMATCHED_RESPONSES;
+/// Number of heads that are skipped (interim, or of other requests) before the connection is given
+/// up.
+const MAX_UNMATCHED_HEADS: u32 = config::constants::MAX_UNMATCHED_RESPONSES;
 
 /// One attempt at a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Attempt {
     phase: Phase,
-    /// Whether the request has an id that answers echo.
-    named: bool,
-    /// The answer before on this connection bore no id, and a doubled one could
-    /// not be told from ours.
-    follows_no_id: bool,
+    /// Whether the request has an id that responses echo.
+    has_id: bool,
+    /// Whether the previous response on this connection had no id: a duplicate of it could not be
+    /// distinguished from the response to this attempt.
+    previous_lacks_id: bool,
     all_sent: bool,
-    unmatched: u32,
+    unmatched_heads: u32,
     head: Option<HeadSummary>,
-    /// The connection broke or time is up: nothing more is read or sent.
-    is_over: bool,
+    /// Whether the connection broke or the deadline passed: nothing more is read or sent.
+    has_ended: bool,
 }
 
 impl Attempt {
-    /// An attempt at a request with an id, on a connection on which the answer
-    /// before bore none, or not.
-    pub fn named(follows_no_id: bool) -> Attempt {
+    /// Creates an attempt at a request with an id. `previous_lacks_id` tells whether the previous
+    /// response on the connection had no id.
+    pub fn with_id(previous_lacks_id: bool) -> Attempt {
         Attempt {
             phase: Phase::Unsent,
-            named: true,
-            follows_no_id,
+            has_id: true,
+            previous_lacks_id,
             all_sent: false,
-            unmatched: 0,
+            unmatched_heads: 0,
             head: None,
-            is_over: false,
+            has_ended: false,
         }
     }
 
-    /// A call whose answers bear no id: the connection alone pairs them.
+    /// Creates an attempt whose response has no id: only the connection matches it with the
+    /// request.
     pub fn without_id() -> Attempt {
         Attempt {
-            named: false,
-            ..Attempt::named(false)
+            has_id: false,
+            ..Attempt::with_id(false)
         }
     }
 
-    /// How far it has come.
+    /// Returns the progress of the attempt.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Bytes went out; `all` if they were the last.
+    /// Records that bytes were sent; `all` is set with the last bytes of the request.
     pub fn on_written(&mut self, all: bool) {
         self.all_sent |= all;
         if self.phase < Phase::ResponseStarted {
@@ -138,24 +140,24 @@
         }
     }
 
-    /// The head of an answer has come.
-    pub fn head(&mut self, head: HeadSummary) -> HeadAction {
-        let before_us = self.phase == Phase::Unsent;
-        if self.is_over || before_us || self.phase >= Phase::ResponseStarted || head.status == 101 {
-            self.is_over = true;
+    /// Processes the head of a received response.
+    pub fn on_head(&mut self, head: HeadSummary) -> HeadAction {
+        let is_unsent = self.phase == Phase::Unsent;
+        if self.has_ended || is_unsent || self.phase >= Phase::ResponseStarted || head.status == 101 {
+            self.has_ended = true;
             return HeadAction::Broken;
         }
         let is_unmatched = match head.echo {
             _ if head.status < 200 => true,
-            _ if !self.named => false,
-            IdEcho::Ours => false,
-            IdEcho::Other => true,
+            _ if !self.has_id => false,
+            IdEcho::Same => false,
+            IdEcho::Different => true,
             IdEcho::Missing => head.is_success(),
         };
         if is_unmatched {
-            self.unmatched += 1;
-            if self.unmatched > MAX_UNMATCHED {
-                self.is_over = true;
+            self.unmatched_heads += 1;
+            if self.unmatched_heads > MAX_UNMATCHED_HEADS {
+                self.has_ended = true;
                 return HeadAction::Broken;
             }
             return if head.status < 200 {
@@ -164,86 +166,87 @@
                 HeadAction::Unmatched
             };
         }
-        if self.named && head.is_success() && !head.sealed {
-            self.is_over = true;
+        if self.has_id && head.is_success() && !head.is_sealed_and_framed {
+            self.has_ended = true;
             return HeadAction::Broken;
         }
         self.phase = Phase::ResponseStarted;
         self.head = Some(head);
-        HeadAction::Ours
+        HeadAction::Accepted
     }
 
-    /// The answer has come whole.
+    /// Records that the complete response was received.
     pub fn on_complete(&mut self) {
-        if self.phase == Phase::ResponseStarted && !self.is_over {
+        if self.phase == Phase::ResponseStarted && !self.has_ended {
             self.phase = Phase::Complete;
         }
     }
 
-    /// The connection broke, the answer was no answer, or time is up.
+    /// Records that the connection broke, the response was invalid or the deadline passed.
     pub fn on_broken(&mut self) {
-        self.is_over = true;
+        self.has_ended = true;
     }
 
-    /// Whether the answer taken can be nobody else's. One without an id can be
-    /// only ours if the answer before on the connection bore one, and nothing
-    /// strange has come: a doubled answer repeats the id it had.
+    /// Returns whether the accepted response provably belongs to this attempt. A response without
+    /// an id does only if the previous response on the connection had an id and no unmatched
+    /// response was received, since a duplicated response repeats the id that it had.
     fn is_attributable(&self, head: &HeadSummary) -> bool {
-        !self.named || head.echo == IdEcho::Ours || !self.follows_no_id && self.unmatched == 0
+        !self.has_id || head.echo == IdEcho::Same || !self.previous_lacks_id && self.unmatched_heads == 0
     }
 
-    /// What it has come to so far.
+    /// Returns what is known so far of the execution of the request.
     pub fn outcome(&self) -> Outcome {
         if self.phase == Phase::Unsent {
             return Outcome::NotRun;
         }
-        let proven_by_head = self.head.as_ref().map(|head| self.proves(head));
-        match (self.phase, proven_by_head) {
-            (Phase::Complete, Some(proven_by_head)) => proven_by_head,
-            // A long answer is passed on as it comes; what cuts it shows.
-            (Phase::ResponseStarted, Some(Outcome::Answered)) if !self.is_over => Outcome::Answered,
+        let outcome_of_head = self.head.as_ref().map(|head| self.outcome_of(head));
+        match (self.phase, outcome_of_head) {
+            (Phase::Complete, Some(outcome_of_head)) => outcome_of_head,
+            // A long response is streamed to the client as it arrives; the client notices a
+            // truncation.
+            (Phase::ResponseStarted, Some(Outcome::Answered)) if !self.has_ended => Outcome::Answered,
             _ => Outcome::MayHaveRun,
         }
     }
 
-    /// What an answer proves, once it is whole.
-    fn proves(&self, head: &HeadSummary) -> Outcome {
-        let proven = self.is_attributable(head);
-        // What is wrong with the request itself is the client's to hear.
-        let elsewhere = head.turns_away() && (head.status == 421 || head.status >= 429);
+    /// Returns what a response proves once it is complete.
+    fn outcome_of(&self, head: &HeadSummary) -> Outcome {
+        let is_proven = self.is_attributable(head);
+        // A rejection because of the request itself is passed on to the client.
+        let allows_other_worker = head.is_rejection() && (head.status == 421 || head.status >= 429);
         match () {
-            () if elsewhere && proven => Outcome::NotRun,
-            () if elsewhere => Outcome::TurnedAway,
-            () if !proven => Outcome::MayHaveRun,
-            () if PROMISES.contains(&head.status) && !head.turns_away() => Outcome::MayHaveRun,
+            () if allows_other_worker && is_proven => Outcome::NotRun,
+            () if allows_other_worker => Outcome::UnprovenRejection,
+            () if !is_proven => Outcome::MayHaveRun,
+            () if NOT_EXECUTED_STATUSES.contains(&head.status) && !head.is_rejection() => Outcome::MayHaveRun,
             () => Outcome::Answered,
         }
     }
 
-    /// Whether another request may go out on the connection: this one went out
-    /// whole, its answer came whole, and nothing else came.
+    /// Returns whether the connection may be used for another request: this request was sent
+    /// completely, its response was received completely, and nothing else was received.
     pub fn may_reuse_connection(&self) -> bool {
-        self.phase == Phase::Complete && self.all_sent && !self.is_over && self.unmatched == 0
+        self.phase == Phase::Complete && self.all_sent && !self.has_ended && self.unmatched_heads == 0
     }
 
-    /// Whether the last answer on the connection bore no id: what doubles it
-    /// follows it before the next.
+    /// Returns whether the last response on the connection had no id: a duplicate of it may precede
+    /// the next response.
     pub fn lacks_id(&self) -> bool {
         self.head
-            .map_or(self.follows_no_id, |h| h.echo == IdEcho::Missing)
+            .map_or(self.previous_lacks_id, |h| h.echo == IdEcho::Missing)
     }
 }
 
-/// All attempts at one request.
+/// What all attempts at one request have shown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptHistory {
-    /// It must not run twice.
+    /// Whether the request must not be executed twice.
     is_non_idempotent: bool,
     may_have_run: bool,
 }
 
 impl AttemptHistory {
-    /// No attempts yet, at a request that must not run twice, or may.
+    /// Creates the history of a request without attempts.
     pub fn new(is_non_idempotent: bool) -> AttemptHistory {
         AttemptHistory {
             is_non_idempotent,
@@ -251,19 +254,21 @@
         }
     }
 
-    /// Takes note of how an attempt ended.
+    /// Records the outcome of an attempt.
     pub fn note_outcome(&mut self, outcome: Outcome) {
-        let proven = outcome == Outcome::NotRun || outcome == Outcome::TurnedAway && !self.is_non_idempotent;
-        self.may_have_run |= !proven;
+        let counts_as_not_run =
+            outcome == Outcome::NotRun || outcome == Outcome::UnprovenRejection && !self.is_non_idempotent;
+        self.may_have_run |= !counts_as_not_run;
     }
 
-    /// Whether it may be sent again.
+    /// Returns whether the request may be sent again.
     pub fn may_repeat(&self) -> bool {
         !self.is_non_idempotent || !self.may_have_run
     }
 
-    /// Whether the client may be told that it has not run and never will.
-    pub fn may_promise(&self) -> bool {
+    /// Returns whether the client may be promised that the request was not executed and never will
+    /// be.
+    pub fn may_promise_not_executed(&self) -> bool {
         !self.may_have_run
     }
 }
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,5 +1,5 @@
-//! The balancer: the workers of all services as one node sees them, and the choice of one for
-//! each attempt.
+//! The load balancer of one node: its view of the workers of all services, and the selection of a
+//! worker for each attempt.
 
 use crate::endpoint::{AttemptResult, Endpoint};
 use crate::retry_budget::RetryBudget;
@@ -16,74 +16,75 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// What this node knows of the other nodes, as far as its share depends on them.
+/// What this node knows of the other nodes that affects its share of the workers.
 #[derive(Clone, Debug)]
 pub struct PeerInfo {
-    /// Where this node stands among the nodes that take clients.
+    /// Position of this node among the nodes that accept clients.
     pub locality: Locality,
-    /// This node's identity.
+    /// Identity of this node.
     pub own_id: u64,
-    /// Measured round trips to sites, ms.
+    /// Measured round-trip times to sites, in milliseconds.
     pub round_trips: BTreeMap<String, f64>,
 }
 
-/// An attempt at a request, as far as the choice of a worker goes.
+/// The properties of an attempt that decide the selection of a worker.
 pub struct SelectionRequest<'a> {
-    /// The request's route.
+    /// Route of the request.
     pub route: &'a Route,
-    /// Its key, if the service is partitioned.
+    /// Key of the request, if the service is partitioned.
     pub key: Option<u32>,
-    /// The service drawn for it by the route's weights.
+    /// Service drawn for the request by the weights of the route.
     pub service: &'a str,
-    /// Workers that had the request already.
+    /// Workers to which the request was already sent.
     pub tried: &'a [String],
-    /// Time that is left for it, ms.
+    /// Time until the deadline of the request, in milliseconds.
     pub remaining_ms: u64,
-    /// The zone whose workers the placement points this request at, where zones are the sites;
-    /// without one, the node's own.
+    /// Zone whose workers the placement selected for this request, where zones are the sites;
+    /// otherwise the zone of the node is used.
     pub zone: Option<&'a str>,
 }
 
-/// The worker chosen.
+/// A selected worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SelectedWorker {
-    /// The platform's identifier.
+    /// Identifier of the worker on the platform.
     pub id: String,
-    /// Where it takes requests.
+    /// Address at which the worker accepts requests.
     pub address: String,
-    /// The region that it is in.
+    /// Region of the worker.
     pub region: String,
-    /// Round trip to it, ms.
+    /// Round-trip time to the worker, in milliseconds.
     pub round_trip_ms: f64,
-    /// What the attempt counts for, if its service is being rolled out.
+    /// Label under which the result is counted, if the service is in a rollout.
     pub label: Option<SampleLabel>,
 }
 
-/// What the choice of a worker came to.
+/// Result of the selection of a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Selection {
-    /// This worker.
+    /// A worker was selected.
     Worker(SelectedWorker),
-    /// Nobody can take it now; when to come back, ms.
+    /// No worker can accept the request now; the value is the time after which to retry, in
+    /// milliseconds.
     Unavailable(u64),
-    /// The retry budget is spent.
+    /// The retry budget is exhausted.
     BudgetSpent,
 }
 
-/// What was observed of a worker since the last report.
+/// Observations of a worker since the last report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerObservation {
-    /// The worker.
+    /// Identifier of the worker.
     pub worker: String,
-    /// Its mean response time, ms.
+    /// Mean response time of the worker, in milliseconds.
     pub mean_response_ms: f64,
-    /// Requests that it answered.
+    /// Number of requests that the worker answered.
     pub served: u64,
-    /// Requests that it failed.
+    /// Number of requests that failed at the worker.
     pub failed: u64,
 }
 
-/// The workers of all services as one node sees them.
+/// Load balancer of one node, with its view of the workers of all services.
 pub struct LoadBalancer {
     pub(crate) zone: String,
     pub(crate) region: String,
@@ -94,21 +95,21 @@
     pub(crate) endpoints: HashMap<String, Endpoint>,
     /// Workers of each service, by identifier.
     pub(crate) by_service: HashMap<String, Vec<String>>,
-    /// Which workers of a service this node uses; made when first needed.
+    /// The workers of each cohort of a service that this node uses, computed on first use.
     subsets: HashMap<(String, Cohort), Rc<Subset>>,
-    /// Requests of the services that are being rolled out.
+    /// Requests and attempts of the services that are in a rollout.
     pub(crate) exposure: HashMap<String, ExposureCounter>,
     pub(crate) samples: SampleCollector,
-    /// When a majority was last heard, ms; `None` where that plays no part.
+    /// Time of the last contact with a majority, in milliseconds; `None` where it is not tracked.
     pub(crate) last_contact: Option<u64>,
     retry_budgets: HashMap<String, RetryBudget>,
     pub(crate) rng: SmallRng,
-    /// When this process first saw the control state, ms.
+    /// Time at which this process first received the control state, in milliseconds.
     pub(crate) started_at: Option<u64>,
 }
 
 impl LoadBalancer {
-    /// The balancer of a node in a zone; `zones` names the region of each.
+    /// Creates the balancer of a node in `zone`; `zones` maps each zone to its region.
     pub fn new(zone: &str, zones: BTreeMap<String, String>, bounds: Bounds, seed: u64) -> LoadBalancer {
         LoadBalancer {
             region: zones.get(zone).cloned().unwrap_or_default(),
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Takes news of the other nodes.
+    /// Updates what is known of the other nodes.
     pub fn set_peers(&mut self, peers: PeerInfo) {
         if self.peers.locality != peers.locality {
             self.subsets.clear();
@@ -145,22 +146,22 @@
         self.peers = peers;
     }
 
-    /// A majority was last heard then, ms: a node that has lost it restores the split from
-    /// before a rollout by itself.
+    /// Sets the time of the last contact with a majority, in milliseconds. A node that has lost the
+    /// majority restores the traffic split from before a rollout by itself.
     pub fn set_last_contact(&mut self, at: u64) {
         self.last_contact = Some(at);
     }
 
-    /// Takes a newer copy of the control state; returns the workers that are gone. What has not
-    /// changed costs nothing.
+    /// Replaces the control state with a newer one and returns the workers that were removed. Parts
+    /// that have not changed are not processed again.
     pub fn set_state(&mut self, now: u64, state: Arc<ControlState>) -> Vec<String> {
         self.started_at.get_or_insert(now);
         let before = std::mem::replace(&mut self.state, state.clone());
-        let same_configuration = match (&before.configuration, &state.configuration) {
+        let is_same_configuration = match (&before.configuration, &state.configuration) {
             (Some(a), Some(b)) => Arc::ptr_eq(a, b),
             (a, b) => a.is_none() && b.is_none(),
         };
-        if !same_configuration || !Arc::ptr_eq(&before.rollouts, &state.rollouts) {
+        if !is_same_configuration || !Arc::ptr_eq(&before.rollouts, &state.rollouts) {
             self.subsets.clear();
         }
         let mut removed = Vec::new();
@@ -183,15 +184,15 @@
     }
 
     fn update_workers(&mut self, now: u64, state: &ControlState) -> Vec<String> {
-        let known = self.endpoints.keys();
-        let removed: Vec<String> = known
+        let known_ids = self.endpoints.keys();
+        let removed: Vec<String> = known_ids
             .filter(|id| !state.workers.contains_key(*id))
             .cloned()
             .collect();
         for id in &removed {
             self.endpoints.remove(id);
         }
-        let mut means: HashMap<&str, f64> = HashMap::new();
+        let mut means_by_service: HashMap<&str, f64> = HashMap::new();
         let mut rng = self.rng.clone();
         for (id, worker) in state.workers.iter() {
             let known = self.endpoints.get(id);
@@ -199,11 +200,11 @@
                 continue;
             }
             let region = self.zones.get(&worker.zone).cloned().unwrap_or_default();
-            let mean_ms = match means.get(worker.service.as_str()) {
+            let mean_ms = match means_by_service.get(worker.service.as_str()) {
                 Some(mean_ms) => *mean_ms,
                 None => self.mean_response_ms(&worker.service),
             };
-            means.insert(&worker.service, mean_ms);
+            means_by_service.insert(&worker.service, mean_ms);
             let endpoint = self.endpoints.entry(id.clone()).or_insert_with(|| {
                 Endpoint::new(worker.clone(), region, Warmup::new(rng.gen()), mean_ms, now)
             });
@@ -227,13 +228,13 @@
         }
     }
 
-    /// The workers of one cohort of a service that this node uses.
+    /// Returns the workers of one cohort of a service that this node uses.
     pub(crate) fn subset(&mut self, service: &str, cohort: Cohort) -> Option<Rc<Subset>> {
         let key = (service.to_string(), cohort);
         if let Some(subset) = self.subsets.get(&key) {
             return Some(subset.clone());
         }
-        let known = self.state.service(service)?;
+        let service_config = self.state.service(service)?;
         let ids = self.by_service.get(service)?.iter();
         let all = ids.filter_map(|id| self.endpoints.get(id).map(|e| e.worker.clone()));
         let workers: Vec<Arc<Worker>> = if cohort == Cohort::New {
@@ -242,15 +243,15 @@
             canaries.sort_by(|a, b| a.id.cmp(&b.id));
             canaries
         } else {
-            all.filter(|w| known.partitioned || self.state.cohort(w) == cohort)
+            all.filter(|w| service_config.partitioned || self.state.cohort(w) == cohort)
                 .collect()
         };
         let locality = self.peers.locality;
         let subset = Subset::new(
             &workers,
             &self.zone,
-            known.connection_limit,
-            known.partitioned,
+            service_config.connection_limit,
+            service_config.partitioned,
             locality,
         );
         let subset = Rc::new(subset);
@@ -258,29 +259,30 @@
         Some(subset)
     }
 
-    /// The mean response time of a service's workers that have answered, ms.
+    /// Returns the mean response time of the workers of a service that have answered, in
+    /// milliseconds.
     fn mean_response_ms(&self, service: &str) -> f64 {
         let answered = |e: &&Endpoint| e.worker.service == service && e.has_answered;
-        let known: Vec<f64> = self
+        let response_times_ms: Vec<f64> = self
             .endpoints
             .values()
             .filter(answered)
             .map(|e| e.response_ms)
             .collect();
-        if known.is_empty() {
+        if response_times_ms.is_empty() {
             c::DEFAULT_RESPONSE_MS
         } else {
-            known.iter().sum::<f64>() / known.len() as f64
+            response_times_ms.iter().sum::<f64>() / response_times_ms.len() as f64
         }
     }
 
-    /// Draws one of a route's services by weight.
+    /// Draws one of the services of a route by weight.
     pub fn draw_service(&mut self, route: &Route) -> Arc<str> {
         let total: f64 = route.split.iter().map(|s| s.weight).sum();
-        let mut left = self.rng.gen::<f64>() * total;
+        let mut remaining_weight = self.rng.gen::<f64>() * total;
         for WeightedService { service, weight } in &route.split {
-            left -= weight;
-            if left < 0.0 && *weight > 0.0 {
+            remaining_weight -= weight;
+            if remaining_weight < 0.0 && *weight > 0.0 {
                 return service.clone();
             }
         }
@@ -288,8 +290,8 @@
         last.map_or_else(|| "".into(), |s| s.service.clone())
     }
 
-    /// Chooses a worker and counts the attempt against it. The first attempt at a request is
-    /// free, further ones are charged to the retry budget.
+    /// Selects a worker and counts the attempt against it. The first attempt at a request is free;
+    /// further attempts are charged to the retry budget.
     pub fn choose(&mut self, now: u64, request: &SelectionRequest) -> Selection {
         let is_first = request.tried.is_empty();
         if is_first {
@@ -323,36 +325,41 @@
         self.retry_budgets.entry(service.to_string()).or_default()
     }
 
-    /// Takes one further attempt out of the budget, if there is room.
+    /// Charges a further attempt to the retry budget of the service; returns whether the budget
+    /// allows it.
     fn may_retry(&mut self, now: u64, service: &str) -> bool {
-        let has_share = self.state.retry_allowances.contains(&self.peers.own_id);
-        let slack = if has_share { self.state.retry_slack } else { 0.0 };
+        let has_allowance = self.state.retry_allowances.contains(&self.peers.own_id);
+        let slack = if has_allowance {
+            self.state.retry_slack
+        } else {
+            0.0
+        };
         let ratio = self.bounds.retry_ratio * c::RETRY_BUDGET_PART;
         let window_ms = self.bounds.retry_window.ms;
         self.retry_budget(service).try_take(now, window_ms, ratio, slack)
     }
 
-    /// Takes note of how an attempt ended.
+    /// Records the result of an attempt.
     pub fn observe(&mut self, now: u64, id: &str, result: AttemptResult) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.observe(now, result);
         }
     }
 
-    /// Lets what was measured long ago fade.
+    /// Moves stale response times towards the mean of their service.
     pub fn sweep(&mut self, now: u64) {
         let services: Vec<String> = self.by_service.keys().cloned().collect();
         for service in services {
             let mean_ms = self.mean_response_ms(&service);
             for id in &self.by_service[&service] {
                 if let Some(endpoint) = self.endpoints.get_mut(id) {
-                    endpoint.fade(now, mean_ms);
+                    endpoint.decay_response_time(now, mean_ms);
                 }
             }
         }
     }
 
-    /// What was observed of the workers since the last call.
+    /// Returns and resets the observations of the workers since the last call.
     pub fn take_observations(&mut self) -> Vec<WorkerObservation> {
         let endpoints = self.endpoints.iter_mut();
         let observed = endpoints.filter_map(|(id, endpoint)| {
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -1,35 +1,36 @@
-//! What a node knows of one worker: its load, its speed, its failures.
+//! State of one worker as this node sees it: load, response time and failures.
 
 use crate::warmup::Warmup;
 use config::constants as c;
 use protocol::Worker;
 use std::sync::Arc;
 
-/// Failures in a row after which the pause no longer doubles.
+/// Number of consecutive failures after which the ejection time no longer doubles.
 const MAX_DOUBLINGS: u32 = 4;
-/// What was measured longer ago fades, ms.
-const STALE_MS: u64 = 1000;
-/// How far a stale response time moves to the mean of its service at each sweep.
-const FADE: f64 = 0.2;
+/// Time without a response after which the measured response time decays, in milliseconds.
+const STALE_AFTER_MS: u64 = 1000;
+/// Fraction by which a stale response time moves to the mean of its service at each sweep.
+const STALE_DECAY_FACTOR: f64 = 0.2;
 
-/// How an attempt at a worker ended.
+/// Result of an attempt at a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptResult {
-    /// Answered after this many ms.
+    /// The worker answered after this time, in milliseconds.
     Answered(f64),
-    /// Answered after this many ms, by an error of the worker's own.
+    /// The worker answered with a server error of its own after this time, in milliseconds.
     Errored(f64),
-    /// Rejected without being run.
+    /// The worker rejected the request without executing it.
     Rejected,
-    /// The worker does not hold the key, or does not say why it is not the one.
+    /// The worker does not hold the key, or does not state why it is the wrong worker.
     WrongWorker,
-    /// Another worker has its address: this one has ended, whatever the list still shows.
+    /// Another worker uses the address of this worker: this worker has ended, even if it is still
+    /// listed.
     Replaced,
-    /// No connection, or none that answered.
+    /// No connection was established, or it broke without a usable response.
     Failed,
-    /// It had not answered when the time was up.
+    /// The worker did not answer before the deadline.
     TimedOut,
-    /// This node gave it up.
+    /// This node abandoned the attempt.
     Abandoned,
 }
 
@@ -38,26 +39,27 @@
     pub(crate) worker: Arc<Worker>,
     pub(crate) region: String,
     pub(crate) warmup: Warmup,
-    /// Attempts under way.
+    /// Number of attempts in progress.
     pub(crate) inflight: u32,
-    /// Smoothed response time, ms.
+    /// Smoothed response time, in milliseconds.
     pub(crate) response_ms: f64,
-    /// It has answered this node before.
+    /// Whether the worker has answered this node before.
     pub(crate) has_answered: bool,
     answered_at: u64,
-    /// Attempts in a row that failed.
+    /// Number of consecutive failed attempts.
     pub(crate) failures: u32,
-    /// It gets requests until then only if there is no other worker, ms.
+    /// Time until which the worker gets requests only if there is no other worker, in milliseconds.
     pub(crate) ejected_until: u64,
-    /// It is preferred less until then, since it was ejected by the leader, ms.
+    /// Time until which the worker is on probation (less preferred) after an ejection by the
+    /// leader, in milliseconds.
     probation_until: u64,
     served: u64,
     failed: u64,
-    /// Sum of the response times since the last report, ms.
+    /// Sum of the response times since the last report, in milliseconds.
     response_ms_sum: f64,
 }
 
-/// What was observed of a worker since the last report.
+/// Observations of a worker since the last report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Observation {
     pub(crate) mean_response_ms: f64,
@@ -66,7 +68,7 @@
 }
 
 impl Endpoint {
-    /// A worker that was just listed, taken to answer in `response_ms`.
+    /// Creates the state of a newly listed worker with an assumed response time of `response_ms`.
     pub(crate) fn new(
         worker: Arc<Worker>,
         region: String,
@@ -95,19 +97,19 @@
         now < self.ejected_until
     }
 
-    /// The leader has ended its ejection: it is preferred less for a while.
+    /// Starts the probation that follows an ejection by the leader.
     pub(crate) fn begin_probation(&mut self, now: u64) {
         self.probation_until = now + c::PROBATION_MS;
         self.failures = 0;
     }
 
-    /// How many times dearer than usual it is while on probation.
+    /// Returns the factor by which the cost of the worker is raised while it is on probation.
     pub(crate) fn probation_cost(&self, now: u64) -> f64 {
         let left = self.probation_until.saturating_sub(now) as f64 / c::PROBATION_MS as f64;
         1.0 + (c::PROBATION_COST - 1.0) * left
     }
 
-    /// Takes note of how an attempt ended.
+    /// Records the result of an attempt.
     pub(crate) fn observe(&mut self, now: u64, result: AttemptResult) {
         self.inflight = self.inflight.saturating_sub(1);
         match result {
@@ -136,8 +138,8 @@
                 self.failures += 1;
                 self.failed += 1;
                 let doublings = (self.failures - 1).min(MAX_DOUBLINGS);
-                let pause = c::LOCAL_EJECTION_MS << doublings;
-                self.eject(now, pause.min(c::LOCAL_EJECTION_MAX_MS));
+                let ejection_ms = c::LOCAL_EJECTION_MS << doublings;
+                self.eject(now, ejection_ms.min(c::LOCAL_EJECTION_MAX_MS));
             }
             AttemptResult::WrongWorker | AttemptResult::Abandoned => {}
         }
@@ -153,15 +155,15 @@
         self.ejected_until = self.ejected_until.max(now + for_ms);
     }
 
-    /// Lets what was measured long ago fade, so that a worker with one bad answer is tried
-    /// again.
-    pub(crate) fn fade(&mut self, now: u64, mean_ms: f64) {
-        if now.saturating_sub(self.answered_at) > STALE_MS {
-            self.response_ms += (mean_ms - self.response_ms) * FADE;
+    /// Moves a stale response time towards the mean of the service, so that a worker with one slow
+    /// response is tried again.
+    pub(crate) fn decay_response_time(&mut self, now: u64, mean_ms: f64) {
+        if now.saturating_sub(self.answered_at) > STALE_AFTER_MS {
+            self.response_ms += (mean_ms - self.response_ms) * STALE_DECAY_FACTOR;
         }
     }
 
-    /// What was observed since the last call, if anything.
+    /// Returns and resets the observations since the last call, if there are any.
     pub(crate) fn take_observation(&mut self) -> Option<Observation> {
         if self.served + self.failed == 0 {
             return None;
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,11 +1,11 @@
-//! Load balancing: which worker gets a request, how often a request may be sent, and how much a
-//! warming worker bears. Everything a node decides rests on its own counts and on its share of
-//! what all nodes may do together.
+//! Load balancing: selection of a worker for a request, limits on how often a request is sent, and
+//! limits on the load of a warming worker. A node decides from its own counts and from its share of
+//! what all nodes together may do.
 //!
-//! - [`LoadBalancer`] chooses workers (`balancer`, `selection`), of the [`Subset`] of a
-//!   service's workers that this node uses, by what it has seen of each (`endpoint`, `warmup`).
-//! - [`RetryBudget`] bounds further attempts; [`Attempt`] is the state machine of one.
-//! - `rollout_samples` counts outcomes of services that are being rolled out.
+//! - [`LoadBalancer`] selects workers (`balancer`, `selection`) from the [`Subset`] of a service's
+//!   workers that this node uses, based on what it has observed of each (`endpoint`, `warmup`).
+//! - [`RetryBudget`] limits further attempts; [`Attempt`] is the state machine of one attempt.
+//! - `rollout_samples` counts the results of attempts for services that are in a rollout.
 
 mod attempt;
 mod balancer;
@@ -17,7 +17,9 @@
 mod subset;
 mod warmup;
 
-pub use attempt::{Attempt, AttemptHistory, HeadAction, HeadSummary, IdEcho, Outcome, Phase, PROMISES};
+pub use attempt::{
+    Attempt, AttemptHistory, HeadAction, HeadSummary, IdEcho, Outcome, Phase, NOT_EXECUTED_STATUSES,
+};
 pub use balancer::{LoadBalancer, PeerInfo, SelectedWorker, Selection, SelectionRequest, WorkerObservation};
 pub use endpoint::AttemptResult;
 pub use retry_budget::RetryBudget;
--- a/crates/balancer/src/retry_budget.rs
+++ b/crates/balancer/src/retry_budget.rs
@@ -1,9 +1,9 @@
-//! The retry budget of one service, as one node may use it: further attempts in a sliding window
-//! stay within a ratio of the node's own requests and its share of the slack.
+//! Retry budget of one service on one node: in a sliding window, the number of further attempts
+//! stays within a ratio of the node's own first attempts plus its share of the slack.
 
 use std::collections::VecDeque;
 
-/// Length of a bucket of the sliding window, ms.
+/// Length of a bucket of the sliding window, in milliseconds.
 const BUCKET_MS: u64 = 500;
 
 #[derive(Debug)]
@@ -13,18 +13,18 @@
     retries: u64,
 }
 
-/// Attempts of the last window.
+/// Attempts at the requests of one service within the sliding window.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
     buckets: VecDeque<Bucket>,
 }
 
 impl RetryBudget {
-    /// The bucket of this moment; those that the window has left are dropped.
+    /// Returns the bucket of the current time; buckets that have left the window are dropped.
     fn bucket(&mut self, now: u64, window_ms: u64) -> &mut Bucket {
         let start = now - now % BUCKET_MS;
-        let is_over = |b: &Bucket| b.start + window_ms + BUCKET_MS <= now;
-        while self.buckets.front().is_some_and(is_over) {
+        let has_expired = |b: &Bucket| b.start + window_ms + BUCKET_MS <= now;
+        while self.buckets.front().is_some_and(has_expired) {
             self.buckets.pop_front();
         }
         if self.buckets.back().is_none_or(|b| b.start < start) {
@@ -38,13 +38,13 @@
         &mut self.buckets[last]
     }
 
-    /// A request is sent for the first time.
+    /// Records the first attempt at a request.
     pub fn note_first(&mut self, now: u64, window_ms: u64) {
         self.bucket(now, window_ms).first_attempts += 1;
     }
 
-    /// Takes one further attempt out, if the window still has room: `ratio` of this node's own
-    /// requests and `slack`, its share of what all nodes may have on top.
+    /// Charges one further attempt if the window has room for it. The window allows `ratio` of this
+    /// node's first attempts plus `slack`, the node's share of what all nodes may use in addition.
     pub fn try_take(&mut self, now: u64, window_ms: u64, ratio: f64, slack: f64) -> bool {
         self.bucket(now, window_ms);
         let first_attempts: u64 = self.buckets.iter().map(|b| b.first_attempts).sum();
--- a/crates/balancer/src/rollout_cohort.rs
+++ b/crates/balancer/src/rollout_cohort.rs
@@ -1,5 +1,5 @@
-//! What a rollout means for a request: which cohort of workers it goes to, and what its attempt
-//! counts for.
+//! Effect of a rollout on a request: the cohort of workers that it is sent to, and the label under
+//! which the result of its attempt is counted.
 
 use crate::balancer::{LoadBalancer, SelectionRequest};
 use crate::endpoint::AttemptResult;
@@ -10,10 +10,10 @@
 use std::sync::Arc;
 
 impl LoadBalancer {
-    /// Which cohort of its service a request goes to. Only a first attempt goes to a new
-    /// version. While a stage lies within what a bad version may get, this node sends it no
-    /// more than that part of what it has had itself: the sum over all nodes is within it,
-    /// whatever each of them has seen.
+    /// Selects the cohort of the service for a request. Only a first attempt is sent to the new
+    /// version. While the share of the stage is within the limit for a bad version, this node sends
+    /// the new version no more than that limit of its own requests: then the sum over all nodes is
+    /// within the limit, whatever each node has seen.
     pub(crate) fn cohort_for(&mut self, now: u64, request: &SelectionRequest) -> Cohort {
         let rollout = self.state.rollouts.get(request.service);
         let Some(rollout) = rollout.filter(|r| r.is_active()).cloned() else {
@@ -27,18 +27,19 @@
             .is_some_and(|at| now > at + rollout::FALLBACK_MS);
         let share = if has_lost_contact { 0.0 } else { rollout.share() };
         let is_drawn = share > 0.0 && (share >= 1.0 || self.rng.gen::<f64>() < share);
-        let most = self.bounds.exposure_share;
-        let bound = (share <= most).then_some(most);
+        let max_share = self.bounds.exposure_share;
+        let exposure_limit = (share <= max_share).then_some(max_share);
         let exposure = self.exposure.entry(request.service.to_string()).or_default();
         exposure.begin(rollout.created_index);
-        if request.key.is_none() && is_drawn && exposure.may_try_new(bound) {
+        if request.key.is_none() && is_drawn && exposure.may_try_new(exposure_limit) {
             Cohort::New
         } else {
             Cohort::Old
         }
     }
 
-    /// What an attempt counts for. Warming workers say nothing about their version.
+    /// Returns the label under which the result of an attempt is counted. Results of warming
+    /// workers are not counted, since they say nothing about the version.
     pub(crate) fn label(&mut self, now: u64, request: &SelectionRequest, id: &str) -> Option<SampleLabel> {
         let rollout = self.state.rollouts.get(request.service)?;
         let endpoint = self.endpoints.get(id)?;
@@ -58,15 +59,16 @@
         })
     }
 
-    /// What was counted of services that are being rolled out, since the last call.
+    /// Returns and resets the counts of services that are in a rollout.
     pub fn take_samples(&mut self) -> Vec<CohortSample> {
         self.samples.take()
     }
 
-    /// Takes note of how an attempt ended that counts for a rollout.
+    /// Records the result of an attempt that counts for a rollout.
     pub fn observe_sample(&mut self, label: &SampleLabel, result: AttemptResult) {
-        let is_going_on = |r: &Arc<Rollout>| r.is_active() && r.created_index == label.created_index;
-        if self.state.rollouts.values().any(is_going_on) {
+        let is_same_active_rollout =
+            |r: &Arc<Rollout>| r.is_active() && r.created_index == label.created_index;
+        if self.state.rollouts.values().any(is_same_active_rollout) {
             self.samples.add(label, result);
         }
     }
--- a/crates/balancer/src/rollout_samples.rs
+++ b/crates/balancer/src/rollout_samples.rs
@@ -1,32 +1,32 @@
-//! What a node counts of services that are being rolled out.
+//! Counts of one node for services that are in a rollout.
 
 use crate::endpoint::AttemptResult;
 use rollout::{bucket_of, CohortSample};
 use std::collections::BTreeMap;
 
-/// What an attempt counts for.
+/// Label under which the result of an attempt is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SampleLabel {
-    /// The service, by the hash of its name.
+    /// Hash of the name of the service.
     pub service: u32,
-    /// The route, by the hash of its name.
+    /// Hash of the name of the route.
     pub route: u32,
-    /// The new version, not the old one.
+    /// Whether the attempt was sent to the new version.
     pub is_new: bool,
-    /// The rollout, by the index of its creation.
+    /// Log index at which the rollout was created.
     pub created_index: u64,
 }
 
-/// Requests of one service since this node has seen its rollout.
+/// Attempts at the requests of one service since this node first saw its rollout.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ExposureCounter {
     created_index: u64,
-    all: u64,
-    new: u64,
+    requests: u64,
+    new_version_attempts: u64,
 }
 
 impl ExposureCounter {
-    /// Counts anew if there is another rollout.
+    /// Starts a new count if `created_index` belongs to a different rollout.
     pub fn begin(&mut self, created_index: u64) {
         if self.created_index != created_index {
             *self = ExposureCounter {
@@ -36,27 +36,30 @@
         }
     }
 
-    /// Whether one more may go to the new version, within a part of all that were sent to the
-    /// service: what is rejected does not reach it.
-    pub fn may_try_new(&self, bound: Option<f64>) -> bool {
-        bound.is_none_or(|part| (self.new + 1) as f64 <= (self.all + 1) as f64 * part)
+    /// Returns whether one more request may be sent to the new version within `limit`, a fraction
+    /// of all requests that were sent to the service. Rejected requests are never sent, so they are
+    /// not counted.
+    pub fn may_try_new(&self, limit: Option<f64>) -> bool {
+        limit.is_none_or(|fraction| {
+            (self.new_version_attempts + 1) as f64 <= (self.requests + 1) as f64 * fraction
+        })
     }
 
-    /// An attempt is sent: whether it is the first at its request, and goes to the new version.
+    /// Records that an attempt is sent.
     pub fn note_sent(&mut self, is_first: bool, is_new: bool) {
-        self.all += u64::from(is_first);
-        self.new += u64::from(is_new);
+        self.requests += u64::from(is_first);
+        self.new_version_attempts += u64::from(is_new);
     }
 }
 
 #[derive(Debug, Default)]
 struct Row {
     sample: CohortSample,
-    /// Answers by bucket of their time.
+    /// Number of responses by bucket of their response time.
     buckets: BTreeMap<u32, u32>,
 }
 
-/// Outcomes since the last report.
+/// Results of attempts since the last report.
 #[derive(Debug, Default)]
 pub(crate) struct SampleCollector {
     rows: BTreeMap<SampleLabel, Row>,
@@ -73,7 +76,7 @@
             }
             AttemptResult::Errored(_) => row.sample.bad += 1,
             AttemptResult::Failed | AttemptResult::TimedOut => row.sample.lost += 1,
-            // Not run, or given up by this node.
+            // Not executed, or abandoned by this node.
             AttemptResult::Rejected
             | AttemptResult::WrongWorker
             | AttemptResult::Replaced
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -1,4 +1,5 @@
-//! The choice of a worker: who may be given a request, and who is expected to answer first.
+//! Selection of a worker: which workers may get a request, and which of them is expected to answer
+//! first.
 
 use crate::balancer::{LoadBalancer, SelectionRequest};
 use crate::endpoint::Endpoint;
@@ -9,26 +10,26 @@
 use rollout::Cohort;
 use std::sync::Arc;
 
-/// Costs are compared with so much random spread: nodes that see the same do not all choose the
-/// same.
+/// Range of the random factor on costs, so that nodes with the same view do not all select the same
+/// worker.
 const COST_SPREAD: std::ops::Range<f64> = 0.95..1.05;
-/// What a fully used worker is slower by.
+/// Fraction by which the response time of a fully loaded worker is higher.
 const LOAD_SLOWDOWN: f64 = 0.3;
-/// Shortest time that a rejected client is told to wait, ms.
+/// Shortest time after which a rejected client is asked to retry, in milliseconds.
 const MIN_RETRY_AFTER_MS: u64 = 50;
 
 impl LoadBalancer {
-    /// The best worker of the wanted cohort, or else of the old one.
+    /// Selects the best worker of the given cohort, or of the old cohort if it has none.
     pub(crate) fn select(&mut self, now: u64, request: &SelectionRequest, cohort: Cohort) -> Option<String> {
         if cohort == Cohort::New {
-            if let Some(id) = self.select_of(now, request, Cohort::New) {
+            if let Some(id) = self.select_from_cohort(now, request, Cohort::New) {
                 return Some(id);
             }
         }
-        self.select_of(now, request, Cohort::Old)
+        self.select_from_cohort(now, request, Cohort::Old)
     }
 
-    fn select_of(&mut self, now: u64, request: &SelectionRequest, cohort: Cohort) -> Option<String> {
+    fn select_from_cohort(&mut self, now: u64, request: &SelectionRequest, cohort: Cohort) -> Option<String> {
         let subset = self.subset(request.service, cohort)?;
         match request.key {
             Some(key) => self.key_holder(now, request, key, &subset),
@@ -36,7 +37,7 @@
         }
     }
 
-    /// The holder of a key, if it may be given the request.
+    /// Returns the holder of a key if it may get the request.
     fn key_holder(&self, now: u64, request: &SelectionRequest, key: u32, subset: &Subset) -> Option<String> {
         let lease = self.state.key_lease(request.service, key)?;
         if lease.revoking || lease.worker.is_empty() {
@@ -47,15 +48,15 @@
             return None;
         }
         let connections = subset.members.first().map_or(1, |m| m.connections);
-        let is_free = !endpoint.is_ejected(now) || endpoint.inflight == 0;
-        let may = is_free
-            && !self.is_hopeless(endpoint, request, subset)
+        let is_available = !endpoint.is_ejected(now) || endpoint.inflight == 0;
+        let is_eligible = is_available
+            && !self.would_miss_deadline(endpoint, request, subset)
             && self.may_send(endpoint, connections, request)
             && self.may_send_while_warming(now, endpoint);
-        may.then(|| lease.worker.clone())
+        is_eligible.then(|| lease.worker.clone())
     }
 
-    /// The worker that costs least; one that is ejected only if there is no other.
+    /// Returns the worker with the lowest cost; an ejected worker only if there is no other.
     fn cheapest(&mut self, now: u64, request: &SelectionRequest, subset: &Subset) -> Option<String> {
         let mut best: Option<(f64, &Arc<Worker>)> = None;
         let mut fallback: Option<&Arc<Worker>> = None;
@@ -64,9 +65,9 @@
             let Some(endpoint) = self.endpoints.get(&worker.id) else {
                 continue;
             };
-            let may = self.may_send(endpoint, member.connections, request)
+            let is_eligible = self.may_send(endpoint, member.connections, request)
                 && self.may_send_while_warming(now, endpoint);
-            if !may || self.is_hopeless(endpoint, request, subset) {
+            if !is_eligible || self.would_miss_deadline(endpoint, request, subset) {
                 continue;
             }
             if endpoint.is_ejected(now) || self.state.ejected.contains(&worker.id) {
@@ -75,9 +76,9 @@
                 }
                 continue;
             }
-            let spread = self.rng.gen_range(COST_SPREAD);
-            let cost = self.cost(endpoint, request, subset) * spread * endpoint.probation_cost(now);
-            if best.is_none_or(|(least, _)| cost < least) {
+            let random_factor = self.rng.gen_range(COST_SPREAD);
+            let cost = self.cost(endpoint, request, subset) * random_factor * endpoint.probation_cost(now);
+            if best.is_none_or(|(lowest_cost, _)| cost < lowest_cost) {
                 best = Some((cost, worker));
             }
         }
@@ -85,26 +86,27 @@
         chosen.map(|worker| worker.id.clone())
     }
 
-    /// Whether a worker may be given a request at all.
+    /// Returns whether a worker may get a request with regard to draining, evacuation, the home
+    /// regions, earlier attempts and the number of connections.
     fn may_send(&self, endpoint: &Endpoint, connections: u32, request: &SelectionRequest) -> bool {
         let worker = &endpoint.worker;
-        let homes = &request.route.home_regions;
+        let home_regions = &request.route.home_regions;
         !worker.draining
             && !self.state.evacuated.contains_key(&worker.zone)
-            && (homes.is_empty() || homes.contains(&endpoint.region))
+            && (home_regions.is_empty() || home_regions.contains(&endpoint.region))
             && !request.tried.contains(&worker.id)
             && endpoint.inflight < connections
     }
 
-    /// Whether a worker may be given a request as far as its warm-up goes. Only the nodes of
-    /// its group use a warming worker. Each has so many shares that all together stay within
-    /// the limit, whenever they are used; it spaces its requests so that they come to what the
-    /// worker bears in the long run.
+    /// Returns whether the warm-up of a worker permits a request. Only the nodes of its warm-up
+    /// group use a warming worker. Each node has a number of shares such that all shares together
+    /// stay within the limit, whenever they are used. The node spaces its requests so that in the
+    /// long run all nodes together stay within the rate that the worker can handle.
     fn may_send_while_warming(&self, now: u64, endpoint: &Endpoint) -> bool {
         if !endpoint.warmup.is_warming(now) {
             return true;
         }
-        // A process that has just started does not know what the one before has sent.
+        // A process that has just started does not know what its predecessor has sent.
         let has_just_started = |started: u64| now < started + c::WARMUP_WINDOW_MS;
         if self.started_at.is_none_or(has_just_started) {
             return false;
@@ -117,31 +119,32 @@
         }
         let service = self.state.service(&endpoint.worker.service);
         let shares = warmup_limit(service, &self.bounds) / group.len();
-        // Without a figure, one a second.
+        // Without a configured rate, one request per second is assumed.
         let rate = service.map_or(0.0, |s| s.warmup_rate);
         let rate = c::WARMUP_PART * if rate > 0.0 { rate } else { 1.0 };
         let gap_ms = 1000.0 * group.len() as f64 / rate;
         let warmup = &endpoint.warmup;
-        warmup.recently_sent(now) < shares.min(c::WARMUP_MAX_SHARES) && warmup.has_turn(now, gap_ms)
+        warmup.recently_sent(now) < shares.min(c::WARMUP_MAX_SHARES) && warmup.is_due(now, gap_ms)
     }
 
-    /// When a worker is expected to answer, as far as this node sees, ms.
+    /// Returns the expected response time of a worker, as far as this node can tell, in
+    /// milliseconds.
     fn expected_ms(&self, endpoint: &Endpoint, subset: &Subset) -> f64 {
         let load = f64::from(endpoint.inflight) * subset.sharing_nodes;
-        let used = load / f64::from(endpoint.worker.slots.max(1));
-        endpoint.response_ms * (1.0 + LOAD_SLOWDOWN * used + (used - 1.0).max(0.0))
+        let utilization = load / f64::from(endpoint.worker.slots.max(1));
+        endpoint.response_ms * (1.0 + LOAD_SLOWDOWN * utilization + (utilization - 1.0).max(0.0))
     }
 
-    /// Whether a request has no prospect of being answered in time. The lower its priority, the
-    /// sooner it makes room.
-    fn is_hopeless(&self, endpoint: &Endpoint, request: &SelectionRequest, subset: &Subset) -> bool {
+    /// Returns whether a request is unlikely to be answered before its deadline. Requests of lower
+    /// priority are rejected earlier.
+    fn would_miss_deadline(&self, endpoint: &Endpoint, request: &SelectionRequest, subset: &Subset) -> bool {
         let priority = f64::from(request.route.priority);
-        let patience = c::DEADLINE_SLACK_FACTOR / (1.0 + c::PRIORITY_STEP * priority);
-        self.expected_ms(endpoint, subset) > patience * request.remaining_ms as f64
+        let slack_factor = c::DEADLINE_SLACK_FACTOR / (1.0 + c::PRIORITY_STEP * priority);
+        self.expected_ms(endpoint, subset) > slack_factor * request.remaining_ms as f64
     }
 
-    /// What sending a request to a worker costs, ms: the expected response time and a price for
-    /// leaving the zone or the region.
+    /// Returns the cost of sending a request to a worker, in milliseconds: the expected response
+    /// time plus a penalty for leaving the zone or the region.
     fn cost(&self, endpoint: &Endpoint, request: &SelectionRequest, subset: &Subset) -> f64 {
         let target_ms = request.route.target_ms as f64;
         let distance = if endpoint.worker.zone == request.zone.unwrap_or(&self.zone) {
@@ -154,7 +157,7 @@
         self.expected_ms(endpoint, subset) + distance
     }
 
-    /// Round trip to a worker, ms.
+    /// Returns the round-trip time to a worker, in milliseconds.
     pub(crate) fn round_trip_ms(&self, id: &str) -> f64 {
         match self.endpoints.get(id) {
             None => 0.0,
@@ -168,7 +171,7 @@
         measured.copied().unwrap_or(c::DEFAULT_RTT_MS)
     }
 
-    /// When a rejected client should come back, ms.
+    /// Returns the time after which a rejected client should retry, in milliseconds.
     pub(crate) fn retry_after_ms(&self, now: u64, request: &SelectionRequest) -> u64 {
         if let Some(key) = request.key {
             let lease = self.state.key_lease(request.service, key);
@@ -182,8 +185,8 @@
         let ids = self.by_service.get(request.service).into_iter().flatten();
         let endpoints = ids.filter_map(|id| self.endpoints.get(id));
         let ejected = endpoints.filter(|e| e.is_ejected(now));
-        let soonest = ejected.map(|e| e.ejected_until - now).min();
-        let wait_ms = soonest.unwrap_or(c::RETRY_AFTER_MS);
+        let shortest_ejection_ms = ejected.map(|e| e.ejected_until - now).min();
+        let wait_ms = shortest_ejection_ms.unwrap_or(c::RETRY_AFTER_MS);
         wait_ms.clamp(MIN_RETRY_AFTER_MS, c::RETRY_AFTER_MS)
     }
 }
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -1,31 +1,31 @@
-//! Which workers this node uses, and with how many connections to each, so
-//! that all nodes together stay within what a worker accepts. Every node works
-//! this out alone from the same lists; windows on a ring keep the shares even
-//! and move little when workers or nodes come and go.
+//! Selects the workers that this node uses and the number of connections to each, so that all nodes
+//! together stay within what a worker accepts. Every node computes its subset independently from
+//! the same lists. Each subset is a window on a ring of workers, which keeps the shares even and
+//! changes little when workers or nodes are added or removed.
 
 use config::constants as c;
 use protocol::Worker;
 use std::sync::Arc;
 
-/// Where this node stands among the nodes that take clients.
+/// Position of this node among the nodes that accept clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Locality {
-    /// Nodes that take clients, this one included.
+    /// Number of nodes that accept clients, including this node.
     pub nodes: usize,
-    /// This node's number among them, from 0.
+    /// Index of this node among them, from 0.
     pub number: usize,
-    /// Nodes of its zone, this one included.
+    /// Number of nodes in the zone of this node that accept clients, including this node.
     pub nodes_in_zone: usize,
-    /// This node's number among those, from 0.
+    /// Index of this node among the nodes of its zone, from 0.
     pub number_in_zone: usize,
 }
 
-/// A worker of a subset.
+/// A worker in a subset.
 #[derive(Clone, Debug)]
 pub struct Member {
     /// The worker.
     pub worker: Arc<Worker>,
-    /// How many connections this node may have to it.
+    /// Number of connections that this node may have to the worker.
     pub connections: u32,
 }
 
@@ -34,13 +34,13 @@
 pub struct Subset {
     /// The workers.
     pub members: Vec<Member>,
-    /// How many nodes of its zone share a worker of this node's zone.
+    /// Number of nodes in the zone of this node that share each worker of that zone.
     pub sharing_nodes: f64,
 }
 
 impl Subset {
-    /// `workers` are those of one service, in the order of their names. `limit` is the number of
-    /// connections that each of them takes.
+    /// Selects the subset for a node in `zone`. `workers` are the workers of one service, sorted by
+    /// identifier. `limit` is the number of connections that each worker accepts.
     pub fn new(
         workers: &[Arc<Worker>],
         zone: &str,
@@ -76,7 +76,7 @@
                 limit,
                 locality,
             };
-            let (members, sharing_nodes) = share.of(&candidates);
+            let (members, sharing_nodes) = share.select(&candidates);
             subset.members.extend(members);
             if share.is_local {
                 subset.sharing_nodes = sharing_nodes as f64;
@@ -85,7 +85,7 @@
         subset
     }
 
-    /// All workers, each with so many connections.
+    /// Creates a subset of all workers, each with the same number of connections.
     fn of_all(workers: &[Arc<Worker>], connections: u32, locality: Locality) -> Subset {
         let member = |worker: &Arc<Worker>| Member {
             worker: worker.clone(),
@@ -98,25 +98,25 @@
     }
 }
 
-/// What a node uses of the workers of one zone.
+/// The share that a node has of the workers of one zone.
 struct ZoneShare {
-    /// The zone is the node's own.
+    /// Whether the zone is the zone of the node.
     is_local: bool,
-    /// There are too few connections for every node to use every worker.
+    /// Whether there are too few connections for every node to use every worker.
     is_scarce: bool,
-    /// Connections that each worker takes.
+    /// Number of connections that each worker accepts.
     limit: u32,
     locality: Locality,
 }
 
 impl ZoneShare {
-    /// The workers that the node uses of a zone's, and how many nodes use each of them.
-    fn of(&self, candidates: &[Arc<Worker>]) -> (Vec<Member>, usize) {
+    /// Returns the workers of the zone that the node uses, and the number of nodes that use each of
+    /// them.
+    fn select(&self, candidates: &[Arc<Worker>]) -> (Vec<Member>, usize) {
         let all_nodes = self.locality.nodes.max(1);
         let nodes_in_zone = self.locality.nodes_in_zone.max(1);
-        // Where connections abound, the nodes of each zone spread over all
-        // workers of every other, so that a zone that loses its own workers
-        // weighs evenly on them.
+        // If connections are not scarce, the nodes of each zone spread over all workers of every
+        // other zone, so that a zone that loses its own workers loads those workers evenly.
         let (number, nodes) = if self.is_local || !self.is_scarce {
             (self.locality.number_in_zone, nodes_in_zone)
         } else {
@@ -127,11 +127,11 @@
         } else {
             c::REMOTE_CONNECTION_PART
         };
-        let room = f64::from(self.limit) * part;
-        let size = self.size(candidates.len(), room, nodes);
-        let callers = if self.is_local { nodes } else { all_nodes };
-        let sharing_nodes = (callers * size).div_ceil(candidates.len());
-        let connections = ((room / sharing_nodes as f64) as u32).max(1);
+        let capacity = f64::from(self.limit) * part;
+        let size = self.size(candidates.len(), capacity, nodes);
+        let calling_nodes = if self.is_local { nodes } else { all_nodes };
+        let sharing_nodes = (calling_nodes * size).div_ceil(candidates.len());
+        let connections = ((capacity / sharing_nodes as f64) as u32).max(1);
         let connections = if self.is_local || !self.is_scarce {
             connections
         } else {
@@ -142,20 +142,22 @@
         (members.collect(), sharing_nodes)
     }
 
-    /// How many workers of so many the node uses, if `room` connections of each are shared.
-    fn size(&self, candidates: usize, room: f64, nodes: usize) -> usize {
+    /// Returns how many of `candidates` workers the node uses if the nodes share `capacity`
+    /// connections to each worker.
+    fn size(&self, candidates: usize, capacity: f64, nodes: usize) -> usize {
         if self.is_local {
             c::LOCAL_SUBSET.min(candidates)
         } else if self.is_scarce {
-            let fits = (room * candidates as f64 / nodes as f64) as usize;
-            fits.clamp(1, c::REMOTE_SUBSET).min(candidates)
+            let affordable = (capacity * candidates as f64 / nodes as f64) as usize;
+            affordable.clamp(1, c::REMOTE_SUBSET).min(candidates)
         } else {
             c::REMOTE_SUBSET.min(candidates)
         }
     }
 }
 
-/// A run of workers on the ring, begun where this node's part of it begins.
+/// Returns `size` consecutive workers on the ring, starting where this node's section of the ring
+/// starts.
 fn window(
     workers: &[Arc<Worker>],
     number: usize,
--- a/crates/balancer/src/warmup.rs
+++ b/crates/balancer/src/warmup.rs
@@ -1,89 +1,90 @@
-//! Warm-up of one worker as one node sees it (slow start): a worker that has just started bears
-//! few requests, and all nodes together stay within what it bears.
+//! Warm-up (slow start) of one worker as one node sees it: a worker that has just started can
+//! handle few requests, and all nodes together stay within its limit.
 
 use config::constants as c;
 use control_state::ControlState;
 use protocol::Worker;
 use std::collections::VecDeque;
 
-/// The warm-up of a worker.
+/// Warm-up state of a worker.
 #[derive(Debug)]
 pub(crate) struct Warmup {
-    /// The index of the log at which the platform last told of it.
-    told_index: u64,
-    /// The index of the log at which its zone's evacuation last ended.
-    restored_index: u64,
-    /// It warms up between these times, ms.
-    since: u64,
-    until: u64,
-    /// When it was sent requests meanwhile, as far as they count still, ms.
+    /// Log index of the platform's last report on the warm-up of the worker.
+    seen_warmup_index: u64,
+    /// Log index at which the last evacuation of the worker's zone ended.
+    seen_evacuation_end: u64,
+    /// Start and end of the warm-up, in milliseconds.
+    started_at: u64,
+    ends_at: u64,
+    /// Times at which this node sent requests during the warm-up that still count, in milliseconds.
     sent: VecDeque<u64>,
-    /// Where in the pause between two requests this node's turn comes first, 0 to 1: all nodes
-    /// hear at once that a worker warms up.
-    turn: f64,
+    /// Offset of this node's first request within the gap between two requests, 0 to 1, since all
+    /// nodes learn at the same time that a worker warms up.
+    first_offset: f64,
 }
 
 impl Warmup {
-    /// A worker of which nothing is known yet.
-    pub(crate) fn new(turn: f64) -> Warmup {
+    /// Creates the warm-up state of a worker of which nothing is known yet.
+    pub(crate) fn new(first_offset: f64) -> Warmup {
         Warmup {
-            told_index: 0,
-            restored_index: 0,
-            since: 0,
-            until: 0,
+            seen_warmup_index: 0,
+            seen_evacuation_end: 0,
+            started_at: 0,
+            ends_at: 0,
             sent: VecDeque::new(),
-            turn,
+            first_offset,
         }
     }
 
     pub(crate) fn is_warming(&self, now: u64) -> bool {
-        now < self.until
+        now < self.ends_at
     }
 
-    /// Takes in what the control state says.
+    /// Updates the warm-up from the control state.
     pub(crate) fn update(&mut self, now: u64, worker: &Worker, state: &ControlState) {
-        let is_unknown = state.is_warmup_unknown(worker);
-        if worker.warmup_index != self.told_index {
-            self.told_index = worker.warmup_index;
+        let is_warmup_unknown = state.is_warmup_unknown(worker);
+        if worker.warmup_index != self.seen_warmup_index {
+            self.seen_warmup_index = worker.warmup_index;
             if worker.warmup_ms > 0 {
                 self.extend(now, worker.warmup_ms);
-            } else if !is_unknown {
-                self.until = now;
+            } else if !is_warmup_unknown {
+                self.ends_at = now;
             }
         }
-        // Workers of a zone whose evacuation has ended warm up at first.
+        // The workers of a zone are assumed to be warming at first when its evacuation has ended.
         let restored = state.ended_evacuations.get(&worker.zone).copied().unwrap_or(0);
-        if restored > self.restored_index {
-            self.restored_index = restored;
-            if is_unknown {
+        if restored > self.seen_evacuation_end {
+            self.seen_evacuation_end = restored;
+            if is_warmup_unknown {
                 self.extend(now, state.restored_zone_warmup_ms(&worker.service));
             }
         }
     }
 
-    fn extend(&mut self, now: u64, for_ms: u64) {
+    fn extend(&mut self, now: u64, duration_ms: u64) {
         if !self.is_warming(now) {
-            self.since = now;
+            self.started_at = now;
         }
-        self.until = self.until.max(now + for_ms + c::WARMUP_MARGIN_MS);
+        self.ends_at = self.ends_at.max(now + duration_ms + c::WARMUP_MARGIN_MS);
     }
 
-    /// Whether it is this node's turn, where requests come `gap_ms` apart.
-    pub(crate) fn has_turn(&self, now: u64, gap_ms: f64) -> bool {
-        let due = match self.sent.back() {
-            Some(last) if *last > self.since => *last as f64 + gap_ms,
-            _ => self.since as f64 + gap_ms * self.turn,
+    /// Returns whether this node's next request is due, where requests are `gap_ms` apart.
+    pub(crate) fn is_due(&self, now: u64, gap_ms: f64) -> bool {
+        let due_at = match self.sent.back() {
+            Some(last) if *last > self.started_at => *last as f64 + gap_ms,
+            _ => self.started_at as f64 + gap_ms * self.first_offset,
         };
-        now as f64 >= due
+        now as f64 >= due_at
     }
 
-    /// Requests of the last while: what is sent now may arrive within the same second as they.
+    /// Returns the number of requests sent within the warm-up window: a request sent now may reach
+    /// the worker within the same second as they do.
     pub(crate) fn recently_sent(&self, now: u64) -> usize {
         let is_recent = |at: &&u64| **at + c::WARMUP_WINDOW_MS > now;
         self.sent.iter().filter(is_recent).count()
     }
 
-    /// A request is sent.
+    /// Records that a request is sent.
     pub(crate) fn note_sent(&mut self, now: u64) {
         if !self.is_warming(now) {
             return;
--- a/crates/balancer/tests/attempt.rs
+++ b/crates/balancer/tests/attempt.rs
@@ -1,181 +1,186 @@
-//! Two requests, one worker, pooled connections: every short interleaving of
-//! bytes out, answers, doubled and early answers, silence, resets and time-outs.
-//! No request that must not run twice runs twice, none that is promised not to
-//! run has run or ever will, and nobody gets another's answer.
+//! Searches every short interleaving of two requests to one worker on pooled connections: bytes
+//! sent, responses, duplicated and early responses, missing responses, resets and timeouts. No
+//! request that must not run twice runs twice, no request that is promised not to run has run or
+//! ever will, and no request gets the response to another.
 
 use balancer::{Attempt, AttemptHistory, HeadAction, HeadSummary, IdEcho, Outcome, Phase};
 use std::collections::{HashSet, VecDeque};
 
-/// What may be wrong in the rules, planted to see that the search finds it.
+/// Faults in the rules, injected to verify that the search finds them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
     PooledAfterTimeout,
-    PooledBeforeAllWasSent,
-    /// `Not-Executed` is believed whatever id it bears.
-    NotExecutedOfAnyId,
+    PooledBeforeCompletelySent,
+    /// `Not-Executed` is accepted from a response with any id.
+    NotExecutedWithAnyId,
     IdIgnored,
-    ResendAfterSomeBytes,
-    PromiseAfterSomeBytes,
-    OwnRefusalBelieved,
-    NamelessReused,
-    /// The second try may go out on the connection of the first.
+    ResentAfterSomeBytes,
+    PromisedAfterSomeBytes,
+    WorkerRefusalTaken,
+    ConnectionWithoutIdReused,
+    /// The second attempt may use the connection of the first.
     ConnectionUsedTwice,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Answer {
-    of: usize,
-    echo: bool,
+struct Response {
+    request: usize,
+    echoes_id: bool,
     status: u16,
     not_executed: bool,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Line {
-    /// Bytes on their way to the worker: whose, and whether they are the last.
-    up: VecDeque<(usize, bool)>,
-    /// The request that the worker reads, if it has seen only a part.
-    reading: Option<usize>,
-    down: VecDeque<Answer>,
-    last: Option<Answer>,
-    broken: bool,
-    pooled: bool,
-    nameless: bool,
-    carried: [bool; 2],
+struct Connection {
+    /// Bytes in transit to the worker: the request that they belong to, and whether they are its
+    /// last.
+    to_worker: VecDeque<(usize, bool)>,
+    /// The request of which the worker has read only a part.
+    partly_read: Option<usize>,
+    to_node: VecDeque<Response>,
+    last_response: Option<Response>,
+    is_broken: bool,
+    is_pooled: bool,
+    lacks_id: bool,
+    carried_requests: [bool; 2],
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Step {
-    Idle,
-    Trying(usize, Attempt),
-    Done(Reply),
+enum RequestState {
+    Waiting,
+    Active(usize, Attempt),
+    Done(ClientResult),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Reply {
-    Answer(usize),
-    /// 503: it has not run and never will.
-    Promise,
+enum ClientResult {
+    Response(usize),
+    /// 503: the request was not executed and never will be.
+    NotExecuted,
     /// 502 or 504.
-    Unclear,
+    Unknown,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    lines: Vec<Line>,
-    steps: [Step; 2],
-    tries: [AttemptHistory; 2],
+    connections: Vec<Connection>,
+    states: [RequestState; 2],
+    histories: [AttemptHistory; 2],
     sends: [u8; 2],
     runs: [u8; 2],
-    doubled: bool,
-    unasked: bool,
+    has_duplicated: bool,
+    has_mixed_requests: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Move {
-    /// A request is sent; whether stray bytes had arrived on pooled connections.
+enum Event {
+    /// A request is sent; the flag tells whether stray bytes on pooled connections have arrived and
+    /// are noticed.
     Start(usize, bool),
     Write(usize, bool),
-    TimeOut(usize),
-    /// The worker reads what has arrived, as far as the request's last byte.
+    Timeout(usize),
+    /// The worker reads what has arrived, up to the last byte of the request.
     Run(usize, Option<(u16, bool)>),
-    TurnAway(usize, bool),
-    Double(usize),
+    Reject(usize, bool),
+    Duplicate(usize),
     Reset(usize),
     Deliver(usize),
 }
 
 struct Search {
     fault: Fault,
-    once: [bool; 2],
-    /// Most sends of a request (`AttemptLimit`).
+    non_idempotent: [bool; 2],
+    /// Maximum number of sends of a request (`AttemptLimit`).
     limit: u8,
-    seen: HashSet<(World, usize)>,
-    replies: HashSet<Reply>,
-    wrong: Option<(String, Vec<Move>)>,
+    visited: HashSet<(World, usize)>,
+    results: HashSet<ClientResult>,
+    violation: Option<(String, Vec<Event>)>,
 }
 
 impl Search {
     fn outcome(&self, a: &Attempt) -> Outcome {
         let outcome = a.outcome();
         match self.fault {
-            Fault::ResendAfterSomeBytes if a.phase() == Phase::Partial => Outcome::NotRun,
+            Fault::ResentAfterSomeBytes if a.phase() == Phase::Partial => Outcome::NotRun,
             _ => outcome,
         }
     }
 
     fn may_pool(&self, a: &Attempt, timed_out: bool) -> bool {
-        let whole = a.phase() == Phase::Complete;
+        let is_complete = a.phase() == Phase::Complete;
         match self.fault {
             Fault::PooledAfterTimeout => a.may_reuse_connection() || timed_out && a.phase() == Phase::Sent,
-            Fault::PooledBeforeAllWasSent => whole,
+            Fault::PooledBeforeCompletelySent => is_complete,
             _ => a.may_reuse_connection(),
         }
     }
 
-    fn may_promise(&self, tries: &AttemptHistory) -> bool {
-        tries.may_promise() || self.fault == Fault::PromiseAfterSomeBytes
+    fn may_promise(&self, histories: &AttemptHistory) -> bool {
+        histories.may_promise_not_executed() || self.fault == Fault::PromisedAfterSomeBytes
     }
 
-    /// The request's attempt is over.
+    /// Ends the attempt of a request.
     fn conclude(&self, w: &mut World, r: usize, timed_out: bool) {
-        let Step::Trying(at, a) = w.steps[r].clone() else {
+        let RequestState::Active(index, a) = w.states[r].clone() else {
             return;
         };
-        let line = &mut w.lines[at];
-        line.pooled = self.may_pool(&a, timed_out) && !line.broken;
-        line.nameless = a.lacks_id() && self.fault != Fault::NamelessReused;
+        let connection = &mut w.connections[index];
+        connection.is_pooled = self.may_pool(&a, timed_out) && !connection.is_broken;
+        connection.lacks_id = a.lacks_id() && self.fault != Fault::ConnectionWithoutIdReused;
         let outcome = self.outcome(&a);
-        w.tries[r].note_outcome(outcome);
-        let again = matches!(
+        w.histories[r].note_outcome(outcome);
+        let may_retry = matches!(
             outcome,
-            Outcome::NotRun | Outcome::TurnedAway | Outcome::MayHaveRun
+            Outcome::NotRun | Outcome::UnprovenRejection | Outcome::MayHaveRun
         );
-        let own = w.lines[at]
-            .last
+        let is_own_refusal = w.connections[index]
+            .last_response
             .as_ref()
-            .is_some_and(|l| l.status == 503 && !l.not_executed);
-        w.steps[r] = match outcome {
-            Outcome::Answered => unreachable!("taken with its answer"),
-            _ if timed_out => Step::Done(Reply::Unclear),
-            _ if own && self.fault == Fault::OwnRefusalBelieved => Step::Done(Reply::Promise),
-            _ if again && w.tries[r].may_repeat() && w.sends[r] < self.limit => Step::Idle,
-            _ if self.may_promise(&w.tries[r]) => Step::Done(Reply::Promise),
-            _ => Step::Done(Reply::Unclear),
+            .is_some_and(|response| response.status == 503 && !response.not_executed);
+        w.states[r] = match outcome {
+            Outcome::Answered => unreachable!("handled when its response is delivered"),
+            _ if timed_out => RequestState::Done(ClientResult::Unknown),
+            _ if is_own_refusal && self.fault == Fault::WorkerRefusalTaken => {
+                RequestState::Done(ClientResult::NotExecuted)
+            }
+            _ if may_retry && w.histories[r].may_repeat() && w.sends[r] < self.limit => RequestState::Waiting,
+            _ if self.may_promise(&w.histories[r]) => RequestState::Done(ClientResult::NotExecuted),
+            _ => RequestState::Done(ClientResult::Unknown),
         };
     }
 
-    fn deliver(&self, w: &mut World, at: usize) -> bool {
-        let user = (0..2).find(|r| matches!(&w.steps[*r], Step::Trying(l, _) if *l == at));
-        let Some(r) = user else { return false };
-        let Some(answer) = w.lines[at].down.pop_front() else {
+    fn deliver(&self, w: &mut World, index: usize) -> bool {
+        let active_request =
+            (0..2).find(|r| matches!(&w.states[*r], RequestState::Active(l, _) if *l == index));
+        let Some(r) = active_request else { return false };
+        let Some(response) = w.connections[index].to_node.pop_front() else {
             return false;
         };
-        let Step::Trying(_, a) = &mut w.steps[r] else {
+        let RequestState::Active(_, a) = &mut w.states[r] else {
             return false;
         };
-        let echo = match answer.echo {
+        let echo = match response.echoes_id {
             false => IdEcho::Missing,
-            true if answer.of == r || self.fault == Fault::IdIgnored => IdEcho::Ours,
-            true if answer.not_executed && self.fault == Fault::NotExecutedOfAnyId => IdEcho::Ours,
-            true => IdEcho::Other,
+            true if response.request == r || self.fault == Fault::IdIgnored => IdEcho::Same,
+            true if response.not_executed && self.fault == Fault::NotExecutedWithAnyId => IdEcho::Same,
+            true => IdEcho::Different,
         };
         let head = HeadSummary {
-            status: answer.status,
+            status: response.status,
             echo,
-            not_executed: answer.not_executed,
-            sealed: answer.status == 200,
+            not_executed: response.not_executed,
+            is_sealed_and_framed: response.status == 200,
         };
-        match a.head(head) {
-            HeadAction::Ours => {
+        match a.on_head(head) {
+            HeadAction::Accepted => {
                 a.on_complete();
                 if self.outcome(a) == Outcome::Answered {
                     let a = a.clone();
-                    w.tries[r].note_outcome(Outcome::Answered);
-                    w.lines[at].pooled = self.may_pool(&a, false);
-                    w.lines[at].nameless = a.lacks_id();
-                    w.steps[r] = Step::Done(Reply::Answer(answer.of));
+                    w.histories[r].note_outcome(Outcome::Answered);
+                    w.connections[index].is_pooled = self.may_pool(&a, false);
+                    w.connections[index].lacks_id = a.lacks_id();
+                    w.states[r] = RequestState::Done(ClientResult::Response(response.request));
                 } else {
                     self.conclude(w, r, false);
                 }
@@ -186,55 +191,59 @@
         true
     }
 
-    /// The worker reads the first request that has arrived, whole or in part, or
-    /// the rest of one; `None` if nothing has.
-    fn read(w: &mut World, at: usize) -> Option<Option<usize>> {
-        let line = &mut w.lines[at];
-        let (r, last) = line.up.pop_front()?;
-        if let Some(reading) = line.reading.take() {
+    /// Lets the worker read the first request that has arrived, completely or in part, or the rest
+    /// of one; returns `None` if nothing has arrived.
+    fn read(w: &mut World, index: usize) -> Option<Option<usize>> {
+        let connection = &mut w.connections[index];
+        let (r, last) = connection.to_worker.pop_front()?;
+        if let Some(partly_read) = connection.partly_read.take() {
             // The rest of a request that was answered before its end.
-            w.unasked |= reading != r;
-            line.reading = (!last).then_some(reading);
+            w.has_mixed_requests |= partly_read != r;
+            connection.partly_read = (!last).then_some(partly_read);
             return Some(None);
         }
         if !last {
-            // It need not wait for the end, or its client may never send it.
-            line.reading = Some(r);
+            // The worker need not wait for the end, and the client may never send it.
+            connection.partly_read = Some(r);
         }
         Some(Some(r))
     }
 
-    #[allow(clippy::too_many_lines, reason = "one arm a move")]
-    fn step(&self, w: &mut World, m: Move) -> bool {
+    #[allow(clippy::too_many_lines, reason = "one arm per event")]
+    fn step(&self, w: &mut World, m: Event) -> bool {
         match m {
-            Move::Start(r, seen) => {
-                if w.steps[r] != Step::Idle {
+            Event::Start(r, stray_bytes_noticed) => {
+                if w.states[r] != RequestState::Waiting {
                     return false;
                 }
                 w.sends[r] += 1;
-                let once = self.once[r];
-                let again = self.fault == Fault::ConnectionUsedTwice;
-                let usable = |l: &Line| l.pooled && !(once && l.nameless) && (again || !l.carried[r]);
-                let at = w
-                    .lines
+                let is_non_idempotent = self.non_idempotent[r];
+                let allows_reuse = self.fault == Fault::ConnectionUsedTwice;
+                let usable = |l: &Connection| {
+                    l.is_pooled
+                        && !(is_non_idempotent && l.lacks_id)
+                        && (allows_reuse || !l.carried_requests[r])
+                };
+                let index = w
+                    .connections
                     .iter()
-                    .position(|l| usable(l) && (!seen || l.down.is_empty()));
-                let at = at.unwrap_or_else(|| {
-                    w.lines.push(Line::default());
-                    w.lines.len() - 1
+                    .position(|l| usable(l) && (!stray_bytes_noticed || l.to_node.is_empty()));
+                let index = index.unwrap_or_else(|| {
+                    w.connections.push(Connection::default());
+                    w.connections.len() - 1
                 });
-                w.lines[at].pooled = false;
-                w.lines[at].carried[r] = true;
-                w.steps[r] = Step::Trying(at, Attempt::named(w.lines[at].nameless));
+                w.connections[index].is_pooled = false;
+                w.connections[index].carried_requests[r] = true;
+                w.states[r] = RequestState::Active(index, Attempt::with_id(w.connections[index].lacks_id));
             }
-            Move::Write(r, all) => {
-                let Step::Trying(at, a) = &mut w.steps[r] else {
+            Event::Write(r, all) => {
+                let RequestState::Active(index, a) = &mut w.states[r] else {
                     return false;
                 };
                 if a.phase() == Phase::Sent || a.phase() > Phase::Sent {
                     return false;
                 }
-                if w.lines[*at].broken {
+                if w.connections[*index].is_broken {
                     a.on_broken();
                     self.conclude(w, r, false);
                     return true;
@@ -243,88 +252,89 @@
                     return false;
                 }
                 a.on_written(all);
-                w.lines[*at].up.push_back((r, all));
+                w.connections[*index].to_worker.push_back((r, all));
             }
-            Move::TimeOut(r) => {
-                let Step::Trying(_, a) = &mut w.steps[r] else {
+            Event::Timeout(r) => {
+                let RequestState::Active(_, a) = &mut w.states[r] else {
                     return false;
                 };
                 a.on_broken();
                 self.conclude(w, r, true);
             }
-            Move::Run(at, answer) => {
-                let Some(read) = Self::read(w, at) else {
+            Event::Run(index, response) => {
+                let Some(read_request) = Self::read(w, index) else {
                     return false;
                 };
-                let Some(r) = read else { return true };
+                let Some(r) = read_request else { return true };
                 w.runs[r] += 1;
-                if let Some((status, echo)) = answer {
-                    let answer = Answer {
-                        of: r,
-                        echo,
+                if let Some((status, echoes_id)) = response {
+                    let response = Response {
+                        request: r,
+                        echoes_id,
                         status,
                         not_executed: false,
                     };
-                    w.lines[at].last = Some(answer.clone());
-                    w.lines[at].down.push_back(answer);
+                    w.connections[index].last_response = Some(response.clone());
+                    w.connections[index].to_node.push_back(response);
                 }
             }
-            Move::TurnAway(at, echo) => {
-                let Some(read) = Self::read(w, at) else {
+            Event::Reject(index, echoes_id) => {
+                let Some(read_request) = Self::read(w, index) else {
                     return false;
                 };
-                let Some(r) = read else { return true };
-                let answer = Answer {
-                    of: r,
-                    echo,
+                let Some(r) = read_request else { return true };
+                let response = Response {
+                    request: r,
+                    echoes_id,
                     status: 503,
                     not_executed: true,
                 };
-                w.lines[at].last = Some(answer.clone());
-                w.lines[at].down.push_back(answer);
+                w.connections[index].last_response = Some(response.clone());
+                w.connections[index].to_node.push_back(response);
             }
-            Move::Double(at) => {
-                let line = &mut w.lines[at];
-                let Some(last) = line.last.clone() else {
+            Event::Duplicate(index) => {
+                let connection = &mut w.connections[index];
+                let Some(last) = connection.last_response.clone() else {
                     return false;
                 };
-                if std::mem::replace(&mut w.doubled, true) {
+                if std::mem::replace(&mut w.has_duplicated, true) {
                     return false;
                 }
-                line.down.push_back(last);
+                connection.to_node.push_back(last);
             }
-            Move::Reset(at) => {
-                if std::mem::replace(&mut w.lines[at].broken, true) {
+            Event::Reset(index) => {
+                if std::mem::replace(&mut w.connections[index].is_broken, true) {
                     return false;
                 }
-                w.lines[at].down.clear();
-                let user = (0..2).find(|r| matches!(&w.steps[*r], Step::Trying(l, _) if *l == at));
-                if let Some(r) = user {
-                    if let Step::Trying(_, a) = &mut w.steps[r] {
+                w.connections[index].to_node.clear();
+                let active_request =
+                    (0..2).find(|r| matches!(&w.states[*r], RequestState::Active(l, _) if *l == index));
+                if let Some(r) = active_request {
+                    if let RequestState::Active(_, a) = &mut w.states[r] {
                         a.on_broken();
                     }
                     self.conclude(w, r, false);
                 }
             }
-            Move::Deliver(at) => return self.deliver(w, at),
+            Event::Deliver(index) => return self.deliver(w, index),
         }
         true
     }
 
     fn check(&self, w: &World) -> Result<(), String> {
-        if w.unasked {
-            return Err("UNASKED: one request's bytes inside another".into());
+        if w.has_mixed_requests {
+            return Err("UNASKED: bytes of one request inside another".into());
         }
         for r in 0..2 {
-            if self.once[r] && w.runs[r] > 1 {
+            if self.non_idempotent[r] && w.runs[r] > 1 {
                 return Err(format!("TWICE: request {r}"));
             }
-            match &w.steps[r] {
-                Step::Done(Reply::Promise) if self.once[r] && w.runs[r] > 0 => {
+            match &w.states[r] {
+                RequestState::Done(ClientResult::NotExecuted) if self.non_idempotent[r] && w.runs[r] > 0 => {
                     return Err(format!("REFUSED: request {r} has run"));
                 }
-                Step::Done(Reply::Answer(of)) if *of != r => {
-                    return Err(format!("MIXED: request {r} got the answer of {of}"));
+                RequestState::Done(ClientResult::Response(request)) if *request != r => {
+                    return Err(format!("MIXED: request {r} got the response to {request}"));
                 }
                 _ => {}
             }
@@ -332,35 +342,40 @@
         Ok(())
     }
 
-    fn explore(&mut self, w: World, left: usize, path: &mut Vec<Move>) {
-        if self.wrong.is_some() || !self.seen.insert((w.clone(), left)) {
+    fn explore(&mut self, w: World, left: usize, path: &mut Vec<Event>) {
+        if self.violation.is_some() || !self.visited.insert((w.clone(), left)) {
             return;
         }
-        if let Err(what) = self.check(&w) {
-            self.wrong = Some((what, path.clone()));
+        if let Err(violation) = self.check(&w) {
+            self.violation = Some((violation, path.clone()));
             return;
         }
-        for step in &w.steps {
-            if let Step::Done(reply) = step {
-                self.replies.insert(reply.clone());
+        for state in &w.states {
+            if let RequestState::Done(result) = state {
+                self.results.insert(result.clone());
             }
         }
         if left == 0 {
             return;
         }
-        let mut moves = Vec::new();
+        let mut events = Vec::new();
         for r in 0..2 {
-            moves.extend([Move::Start(r, true), Move::Start(r, false)]);
-            moves.extend([Move::Write(r, true), Move::Write(r, false), Move::TimeOut(r)]);
+            events.extend([Event::Start(r, true), Event::Start(r, false)]);
+            events.extend([Event::Write(r, true), Event::Write(r, false), Event::Timeout(r)]);
         }
-        for at in 0..w.lines.len() {
-            moves.extend([Move::Deliver(at), Move::Double(at), Move::Reset(at)]);
-            moves.extend([Move::TurnAway(at, true), Move::TurnAway(at, false)]);
-            moves.extend(
-                [Some((200, true)), Some((503, true)), Some((503, false)), None].map(|a| Move::Run(at, a)),
+        for index in 0..w.connections.len() {
+            events.extend([
+                Event::Deliver(index),
+                Event::Duplicate(index),
+                Event::Reset(index),
+            ]);
+            events.extend([Event::Reject(index, true), Event::Reject(index, false)]);
+            events.extend(
+                [Some((200, true)), Some((503, true)), Some((503, false)), None]
+                    .map(|a| Event::Run(index, a)),
             );
         }
-        for m in moves {
+        for m in events {
             let mut next = w.clone();
             if self.step(&mut next, m) {
                 path.push(m);
@@ -371,66 +386,71 @@
     }
 }
 
-fn search(fault: Fault, once: [bool; 2], limit: u8, depth: usize) -> Search {
+fn search(fault: Fault, non_idempotent: [bool; 2], limit: u8, depth: usize) -> Search {
     let world = World {
-        lines: Vec::new(),
-        steps: [Step::Idle, Step::Idle],
-        tries: once.map(AttemptHistory::new),
+        connections: Vec::new(),
+        states: [RequestState::Waiting, RequestState::Waiting],
+        histories: non_idempotent.map(AttemptHistory::new),
         sends: [0; 2],
         runs: [0; 2],
-        doubled: false,
-        unasked: false,
+        has_duplicated: false,
+        has_mixed_requests: false,
     };
     let mut search = Search {
         fault,
-        once,
+        non_idempotent,
         limit,
-        seen: HashSet::new(),
-        replies: HashSet::new(),
-        wrong: None,
+        visited: HashSet::new(),
+        results: HashSet::new(),
+        violation: None,
     };
     search.explore(world, depth, &mut Vec::new());
     search
 }
 
-/// Sends of a request at the most, and moves.
+/// Maximum number of sends of a request, and number of events.
 const SIZES: [(u8, usize); 2] = [(1, 10), (2, 9)];
 
 #[test]
-fn no_short_interleaving_breaks_a_rule() {
+fn no_short_interleaving_violates_a_rule() {
     for (limit, depth) in SIZES {
-        for once in [[true, true], [true, false], [false, true]] {
-            let found = search(Fault::None, once, limit, depth);
-            assert_eq!(found.wrong, None, "{once:?} {limit}");
+        for non_idempotent in [[true, true], [true, false], [false, true]] {
+            let found = search(Fault::None, non_idempotent, limit, depth);
+            assert_eq!(found.violation, None, "{non_idempotent:?} {limit}");
             println!(
-                "once={once:?} sends={limit} moves={depth} states={}",
-                found.seen.len()
+                "once={non_idempotent:?} sends={limit} moves={depth} states={}",
+                found.visited.len()
             );
-            for reply in [Reply::Answer(0), Reply::Answer(1), Reply::Promise, Reply::Unclear] {
-                assert!(found.replies.contains(&reply), "{reply:?} was never reached");
+            for result in [
+                ClientResult::Response(0),
+                ClientResult::Response(1),
+                ClientResult::NotExecuted,
+                ClientResult::Unknown,
+            ] {
+                assert!(found.results.contains(&result), "{result:?} was never reached");
             }
         }
     }
 }
 
 #[test]
-fn every_planted_fault_is_found() {
+fn every_injected_fault_is_found() {
     for fault in [
         Fault::PooledAfterTimeout,
-        Fault::PooledBeforeAllWasSent,
-        Fault::NotExecutedOfAnyId,
+        Fault::PooledBeforeCompletelySent,
+        Fault::NotExecutedWithAnyId,
         Fault::IdIgnored,
-        Fault::ResendAfterSomeBytes,
-        Fault::PromiseAfterSomeBytes,
-        Fault::OwnRefusalBelieved,
-        Fault::NamelessReused,
+        Fault::ResentAfterSomeBytes,
+        Fault::PromisedAfterSomeBytes,
+        Fault::WorkerRefusalTaken,
+        Fault::ConnectionWithoutIdReused,
         Fault::ConnectionUsedTwice,
     ] {
         let (limits, depths): (Vec<u8>, Vec<usize>) = SIZES.into_iter().unzip();
         let found = limits
             .into_iter()
             .zip(depths)
-            .find_map(|(limit, depth)| search(fault, [true, true], limit, depth).wrong);
+            .find_map(|(limit, depth)| search(fault, [true, true], limit, depth).violation);
         println!("{fault:?}: {found:?}");
         assert!(found.is_some(), "{fault:?} was not found");
     }
@@ -441,81 +461,90 @@
         status,
         echo,
         not_executed,
-        sealed: status == 200,
+        is_sealed_and_framed: status == 200,
     }
 }
 
-/// Plays the heads that come in after the request went out, and then the end.
-fn after(nameless: bool, all_sent: bool, heads: &[HeadSummary]) -> (Vec<HeadAction>, Outcome, bool) {
-    let mut a = Attempt::named(nameless);
+/// Feeds the heads that are received after the request was sent, and then the end of the response.
+fn run_attempt(lacks_id: bool, all_sent: bool, heads: &[HeadSummary]) -> (Vec<HeadAction>, Outcome, bool) {
+    let mut a = Attempt::with_id(lacks_id);
     a.on_written(all_sent);
-    let taken = heads.iter().map(|h| a.head(*h)).collect();
+    let actions = heads.iter().map(|h| a.on_head(*h)).collect();
     a.on_complete();
-    (taken, a.outcome(), a.may_reuse_connection())
+    (actions, a.outcome(), a.may_reuse_connection())
 }
 
 #[test]
-fn what_an_answer_proves() {
+fn response_heads_yield_the_expected_outcome_and_connection_reuse() {
     use Outcome::*;
-    let (ours, other, none) = (IdEcho::Ours, IdEcho::Other, IdEcho::Missing);
-    let interim = head(100, none, false);
-    let stranger = head(200, other, false);
-    // On a connection that carried an answer without an id or not; the heads;
-    // what the attempt comes to, and whether the connection may be used again.
-    for (nameless, heads, outcome, pooled) in [
-        (false, vec![head(200, ours, false)], Answered, true),
-        (true, vec![head(200, ours, false)], Answered, true),
-        (false, vec![head(200, none, false)], MayHaveRun, false),
+    let (same, different, missing) = (IdEcho::Same, IdEcho::Different, IdEcho::Missing);
+    let interim = head(100, missing, false);
+    let unmatched = head(200, different, false);
+    // Whether the previous response on the connection had no id; the heads; the expected outcome;
+    // whether the connection may be used again.
+    for (lacks_id, heads, outcome, is_pooled) in [
+        (false, vec![head(200, same, false)], Answered, true),
+        (true, vec![head(200, same, false)], Answered, true),
+        (false, vec![head(200, missing, false)], MayHaveRun, false),
         (
             false,
             vec![HeadSummary {
-                sealed: false,
-                ..head(200, ours, false)
+                is_sealed_and_framed: false,
+                ..head(200, same, false)
             }],
             MayHaveRun,
             false,
         ),
-        (false, vec![interim, head(200, ours, false)], Answered, false),
-        (false, vec![head(101, ours, false)], MayHaveRun, false),
-        (false, vec![stranger], MayHaveRun, false),
-        (false, vec![stranger, head(200, ours, false)], Answered, false),
-        (false, vec![stranger; 9], MayHaveRun, false),
-        (false, vec![head(503, ours, true)], NotRun, true),
-        (false, vec![head(503, none, true)], NotRun, true),
-        (true, vec![head(503, none, true)], TurnedAway, true),
-        (false, vec![stranger, head(503, none, true)], TurnedAway, false),
-        (false, vec![head(503, other, true)], MayHaveRun, false),
-        (false, vec![head(421, none, false)], NotRun, true),
-        (false, vec![head(503, ours, false)], MayHaveRun, true),
-        (false, vec![head(429, none, false)], MayHaveRun, true),
-        (false, vec![head(408, ours, false)], MayHaveRun, true),
-        (false, vec![head(408, ours, true)], Answered, true),
-        (false, vec![head(500, none, false)], Answered, true),
-        (true, vec![head(500, none, false)], MayHaveRun, true),
+        (false, vec![interim, head(200, same, false)], Answered, false),
+        (false, vec![head(101, same, false)], MayHaveRun, false),
+        (false, vec![unmatched], MayHaveRun, false),
+        (false, vec![unmatched, head(200, same, false)], Answered, false),
+        (false, vec![unmatched; 9], MayHaveRun, false),
+        (false, vec![head(503, same, true)], NotRun, true),
+        (false, vec![head(503, missing, true)], NotRun, true),
+        (true, vec![head(503, missing, true)], UnprovenRejection, true),
+        (
+            false,
+            vec![unmatched, head(503, missing, true)],
+            UnprovenRejection,
+            false,
+        ),
+        (false, vec![head(503, different, true)], MayHaveRun, false),
+        (false, vec![head(421, missing, false)], NotRun, true),
+        (false, vec![head(503, same, false)], MayHaveRun, true),
+        (false, vec![head(429, missing, false)], MayHaveRun, true),
+        (false, vec![head(408, same, false)], MayHaveRun, true),
+        (false, vec![head(408, same, true)], Answered, true),
+        (false, vec![head(500, missing, false)], Answered, true),
+        (true, vec![head(500, missing, false)], MayHaveRun, true),
     ] {
-        let (_, came_to, may_pool) = after(nameless, true, &heads);
-        assert_eq!((came_to, may_pool), (outcome, pooled), "{nameless} {heads:?}");
+        let (_, actual_outcome, may_pool) = run_attempt(lacks_id, true, &heads);
+        assert_eq!(
+            (actual_outcome, may_pool),
+            (outcome, is_pooled),
+            "{lacks_id} {heads:?}"
+        );
     }
-    let early = after(false, false, &[head(200, ours, false)]);
+    let early = run_attempt(false, false, &[head(200, same, false)]);
     assert_eq!(
         early,
-        (vec![HeadAction::Ours], Answered, false),
-        "before the whole body went out"
+        (vec![HeadAction::Accepted], Answered, false),
+        "response before the whole body was sent"
     );
-    let mut unsent = Attempt::named(false);
+    let mut unsent = Attempt::with_id(false);
     assert_eq!(
-        unsent.head(head(503, ours, true)),
+        unsent.on_head(head(503, same, true)),
         HeadAction::Broken,
-        "an answer to nothing"
+        "response before any byte was sent"
     );
     assert_eq!((unsent.outcome(), unsent.may_reuse_connection()), (NotRun, false));
-    let mut late = Attempt::named(false);
+    let mut late = Attempt::with_id(false);
     late.on_written(true);
     late.on_broken();
     assert_eq!(
-        late.head(head(200, ours, false)),
+        late.on_head(head(200, same, false)),
         HeadAction::Broken,
-        "after the time was up"
+        "response after the timeout"
     );
     assert_eq!((late.outcome(), late.may_reuse_connection()), (MayHaveRun, false));
 }
--- a/crates/balancer/tests/selection.rs
+++ b/crates/balancer/tests/selection.rs
@@ -1,4 +1,4 @@
-//! Choice of a worker: locality, ejection, warm-up, deadline, key leases.
+//! Selection of a worker: locality, ejection, warm-up, deadline, key leases.
 
 use balancer::{AttemptResult, LoadBalancer, Locality, PeerInfo, Selection, SelectionRequest};
 use config::{constants as c, settings::Bounds};
@@ -15,20 +15,20 @@
 
 fn state(workers: &[(&str, &str, u64)]) -> ControlState {
     let mut state = ControlState::default();
-    let order = ConfigurationCommand {
+    let command = ConfigurationCommand {
         base: 0,
         body: CONFIG.into(),
         ..Default::default()
     };
-    state.apply(1, &Change::encode(ChangeKind::Replace(order)));
+    state.apply(1, &Change::encode(ChangeKind::Replace(command)));
     let put = workers
         .iter()
-        .map(|(id, zone, cold_ms)| Worker {
+        .map(|(id, zone, warmup_ms)| Worker {
             id: id.to_string(),
             service: "s".into(),
             zone: zone.to_string(),
             slots: 6,
-            warmup_ms: *cold_ms,
+            warmup_ms: *warmup_ms,
             warmup_group: 1,
             ..Default::default()
         })
@@ -76,7 +76,7 @@
     }
 }
 
-fn pick(
+fn choose_worker(
     balancer: &mut LoadBalancer,
     state: &ControlState,
     path: &str,
@@ -98,36 +98,48 @@
     )
 }
 
-fn id(found: &Selection) -> &str {
-    match found {
-        Selection::Worker(c) => &c.id,
+fn selected_id(selection: &Selection) -> &str {
+    match selection {
+        Selection::Worker(worker) => &worker.id,
         _ => "",
     }
 }
 
 #[test]
-fn the_own_zone_first_then_the_region_and_homes_bind() {
+fn own_zone_is_preferred_over_region_and_home_regions_are_binding() {
     let state = state(&[("own", "z1", 0), ("next", "z2", 0), ("far", "z3", 0)]);
-    let mut u = balancer(&state);
-    assert_eq!(id(&pick(&mut u, &state, "/a/", 0, &[])), "own");
-    assert_eq!(id(&pick(&mut u, &state, "/b/", 0, &[])), "far");
+    let mut balancer = balancer(&state);
+    assert_eq!(
+        selected_id(&choose_worker(&mut balancer, &state, "/a/", 0, &[])),
+        "own"
+    );
+    assert_eq!(
+        selected_id(&choose_worker(&mut balancer, &state, "/b/", 0, &[])),
+        "far"
+    );
     for _ in 0..3 {
-        pick(&mut u, &state, "/a/", 0, &[]);
+        choose_worker(&mut balancer, &state, "/a/", 0, &[]);
     }
     assert_eq!(
-        id(&pick(&mut u, &state, "/a/", 0, &[])),
+        selected_id(&choose_worker(&mut balancer, &state, "/a/", 0, &[])),
         "next",
-        "the own zone is busy"
+        "the worker of the own zone is busy"
     );
 }
 
 #[test]
-fn evacuated_draining_and_failing_workers_get_nothing() {
+fn evacuated_draining_and_failing_workers_get_no_requests() {
     let mut state = state(&[("own", "z1", 0), ("next", "z2", 0)]);
-    let mut u = balancer(&state);
-    assert_eq!(id(&pick(&mut u, &state, "/a/", 0, &[])), "own");
-    u.observe(10, "own", AttemptResult::Failed);
-    assert_eq!(id(&pick(&mut u, &state, "/a/", 20, &[])), "next");
+    let mut balancer = balancer(&state);
+    assert_eq!(
+        selected_id(&choose_worker(&mut balancer, &state, "/a/", 0, &[])),
+        "own"
+    );
+    balancer.observe(10, "own", AttemptResult::Failed);
+    assert_eq!(
+        selected_id(&choose_worker(&mut balancer, &state, "/a/", 20, &[])),
+        "next"
+    );
     state.apply(
         3,
         &Change::encode(ChangeKind::Evacuate(EvacuationChange {
@@ -135,63 +147,73 @@
             begin: true,
         })),
     );
-    u.set_state(20, Arc::new(state.clone()));
+    balancer.set_state(20, Arc::new(state.clone()));
     assert_eq!(
-        id(&pick(&mut u, &state, "/a/", 5000, &[])),
+        selected_id(&choose_worker(&mut balancer, &state, "/a/", 5000, &[])),
         "own",
-        "left alone for a time only"
+        "the ejection has expired"
     );
-    let mut w = (*state.workers["own"]).clone();
-    w.draining = true;
+    let mut worker = (*state.workers["own"]).clone();
+    worker.draining = true;
     state.apply(
         4,
         &Change::encode(ChangeKind::Workers(WorkersChange {
-            put: vec![w],
+            put: vec![worker],
             removed: vec![],
             ..Default::default()
         })),
     );
-    u.set_state(20, Arc::new(state.clone()));
+    balancer.set_state(20, Arc::new(state.clone()));
     assert!(matches!(
-        pick(&mut u, &state, "/a/", 5000, &[]),
+        choose_worker(&mut balancer, &state, "/a/", 5000, &[]),
         Selection::Unavailable(_)
     ));
 }
 
 #[test]
-fn all_nodes_of_a_zone_together_keep_a_cold_worker_within_its_rate() {
-    let state = state(&[("cold", "z1", 60_000)]);
+fn all_nodes_of_a_zone_together_stay_within_the_rate_of_a_warming_worker() {
+    let state = state(&[("warming", "z1", 60_000)]);
     let mut nodes: Vec<(u64, LoadBalancer)> = (6..11).map(|own_id| (own_id, balancer(&state))).collect();
     for (own_id, balancer) in &mut nodes {
         balancer.set_peers(peers(*own_id));
     }
     let mut sent = Vec::new();
     for now in (0..10_000).step_by(10) {
-        for (own_id, u) in &mut nodes {
-            if let Selection::Worker(_) = pick(u, &state, "/a/", now, &[]) {
-                assert!((7..=9).contains(own_id), "only its warm-up group");
-                assert!(now >= c::WARMUP_WINDOW_MS, "nobody who has just begun");
+        for (own_id, balancer) in &mut nodes {
+            if let Selection::Worker(_) = choose_worker(balancer, &state, "/a/", now, &[]) {
+                assert!(
+                    (7..=9).contains(own_id),
+                    "only nodes of the warm-up group may send"
+                );
+                assert!(
+                    now >= c::WARMUP_WINDOW_MS,
+                    "a node that has just started must not send"
+                );
                 sent.push(now);
-                u.observe(now, "cold", AttemptResult::Answered(50.0));
+                balancer.observe(now, "warming", AttemptResult::Answered(50.0));
             }
         }
     }
-    let most = sent
+    let max_per_second = sent
         .iter()
         .map(|t| sent.iter().filter(|s| **s >= *t && **s < t + 1000).count())
         .max();
-    assert!(most <= Some(6 * 3 / 2 + 5), "{most:?}");
-    assert!(sent.len() > 30, "and it is not starved: {}", sent.len());
+    assert!(max_per_second <= Some(6 * 3 / 2 + 5), "{max_per_second:?}");
+    assert!(
+        sent.len() > 30,
+        "the warming worker is starved: {} requests",
+        sent.len()
+    );
 }
 
 #[test]
-fn a_request_without_prospect_is_refused_at_once() {
+fn request_that_would_miss_its_deadline_is_rejected_immediately() {
     let state = state(&[("own", "z1", 0)]);
-    let mut u = balancer(&state);
+    let mut balancer = balancer(&state);
     let config = state.configuration.clone().expect("config");
     let route = config.route("h", "/a/").expect("route");
-    let mut ask = |remaining_ms| {
-        u.choose(
+    let mut choose = |remaining_ms| {
+        balancer.choose(
             0,
             &SelectionRequest {
                 route,
@@ -204,34 +226,34 @@
         )
     };
     assert!(
-        matches!(ask(20), Selection::Unavailable(_)),
-        "workers take 100 ms"
+        matches!(choose(20), Selection::Unavailable(_)),
+        "workers are assumed to answer in 100 ms"
     );
-    assert_eq!(id(&ask(200)), "own");
+    assert_eq!(selected_id(&choose(200)), "own");
 }
 
 #[test]
-fn who_waits_for_a_key_is_told_how_long() {
+fn retry_after_depends_on_the_state_of_the_key_holder() {
     let mut state = state(&[("own", "z1", 0)]);
-    let hold = |leaving| KeyLease {
+    let lease = |is_revoking| KeyLease {
         service: "s".into(),
         to: 9,
         worker: "own".into(),
         fencing_token: 1,
-        revoking: leaving,
+        revoking: is_revoking,
         ..Default::default()
     };
-    let mut after = |leaving: bool, failed: bool| {
-        let put = vec![hold(leaving)];
+    let mut choose_for_key = |is_revoking: bool, failed: bool| {
+        let put = vec![lease(is_revoking)];
         let index = state.index + 1;
         state.apply(
             index,
             &Change::encode(ChangeKind::KeyLeases(KeyLeaseChange { put })),
         );
-        let mut u = balancer(&state);
+        let mut balancer = balancer(&state);
         let config = state.configuration.clone().expect("config");
         let route = config.route("h", "/a/").expect("route");
-        let ask = SelectionRequest {
+        let request = SelectionRequest {
             route,
             key: Some(3),
             service: "s",
@@ -240,45 +262,46 @@
             zone: None,
         };
         for _ in 0..2 {
-            // The second of two tries at once is the one that is refused.
-            if failed && matches!(u.choose(0, &ask), Selection::Worker(_)) {
-                u.observe(0, "own", AttemptResult::Failed);
-                u.choose(0, &ask);
+            // The second of two concurrent attempts is rejected.
+            if failed && matches!(balancer.choose(0, &request), Selection::Worker(_)) {
+                balancer.observe(0, "own", AttemptResult::Failed);
+                balancer.choose(0, &request);
             }
         }
-        u.choose(0, &ask)
+        balancer.choose(0, &request)
     };
-    assert_eq!(id(&after(false, false)), "own");
+    assert_eq!(selected_id(&choose_for_key(false, false)), "own");
     assert_eq!(
-        after(true, false),
+        choose_for_key(true, false),
         Selection::Unavailable(c::RETRY_AFTER_HANDOVER_MS)
     );
     assert_eq!(
-        after(false, true),
+        choose_for_key(false, true),
         Selection::Unavailable(c::RETRY_AFTER_HOLDER_LOST_MS)
     );
 }
 
 #[test]
-fn a_worker_whose_address_went_to_another_draws_nothing_more() {
+fn worker_whose_address_was_reused_is_no_longer_selected() {
     let state = state(&[("own", "z1", 0), ("next", "z1", 0)]);
-    let mut u = balancer(&state);
+    let mut balancer = balancer(&state);
     for t in 0..100 {
-        // It answers at once that it is not the one: never the quickest.
-        let found = pick(&mut u, &state, "/a/", t, &[]);
-        if id(&found) == "own" {
-            assert!(t < 20, "still drawn at {t}");
-            u.observe(t, "own", AttemptResult::Replaced);
+        // The worker answers immediately that it is the wrong one; it must not count as the fastest
+        // for that.
+        let selection = choose_worker(&mut balancer, &state, "/a/", t, &[]);
+        if selected_id(&selection) == "own" {
+            assert!(t < 20, "still selected at {t} ms");
+            balancer.observe(t, "own", AttemptResult::Replaced);
         } else {
-            u.observe(t, "next", AttemptResult::Answered(100.0));
+            balancer.observe(t, "next", AttemptResult::Answered(100.0));
         }
     }
 }
 
 #[test]
-fn a_returned_zone_is_taken_for_cold() {
+fn workers_of_a_zone_restored_from_evacuation_count_as_warming() {
     let mut state = state(&[("own", "z1", 0), ("next", "z2", 0)]);
-    let mut u = balancer(&state);
+    let mut balancer = balancer(&state);
     for (i, begin) in [(3, true), (4, false)] {
         state.apply(
             i,
@@ -288,17 +311,20 @@
             })),
         );
     }
-    u.set_state(100, Arc::new(state.clone()));
+    balancer.set_state(100, Arc::new(state.clone()));
     let tried = vec!["own".to_string()];
     for t in 0..50 {
-        pick(&mut u, &state, "/a/", t, &[]);
+        choose_worker(&mut balancer, &state, "/a/", t, &[]);
     }
     assert!(
         matches!(
-            pick(&mut u, &state, "/a/", 200, &tried),
+            choose_worker(&mut balancer, &state, "/a/", 200, &tried),
             Selection::Unavailable(_)
         ),
-        "cold, and nobody is named"
+        "the worker is warming and has no warm-up group yet"
+    );
+    assert_eq!(
+        selected_id(&choose_worker(&mut balancer, &state, "/a/", 5000, &tried)),
+        "next"
     );
-    assert_eq!(id(&pick(&mut u, &state, "/a/", 5000, &tried)), "next");
 }
--- a/crates/balancer/tests/subset.rs
+++ b/crates/balancer/tests/subset.rs
@@ -1,4 +1,4 @@
-//! Which workers each node uses.
+//! Selection of the subset of workers that each node uses.
 
 use balancer::{Locality, Subset};
 use protocol::Worker;
@@ -7,9 +7,9 @@
 
 const ZONES: [&str; 4] = ["a", "b", "c", "d"];
 
-fn workers(each: usize, gone: usize) -> Vec<Arc<Worker>> {
+fn workers(workers_per_zone: usize, removed: usize) -> Vec<Arc<Worker>> {
     let all = ZONES.iter().flat_map(|zone| {
-        (0..each).map(move |i| {
+        (0..workers_per_zone).map(move |i| {
             Arc::new(Worker {
                 id: format!("{zone}{i}"),
                 zone: (*zone).into(),
@@ -17,51 +17,64 @@
             })
         })
     });
-    all.skip(gone).collect()
+    all.skip(removed).collect()
 }
 
-/// Connections that all nodes together may hold to each worker.
-fn held(workers: &[Arc<Worker>], limit: u32, per_zone: usize) -> BTreeMap<String, u32> {
-    let mut held: BTreeMap<String, u32> = workers.iter().map(|w| (w.id.clone(), 0)).collect();
-    for (z, zone) in ZONES.iter().enumerate() {
-        for i in 0..per_zone {
-            let place = Locality {
-                nodes: 4 * per_zone,
-                number: z * per_zone + i,
-                nodes_in_zone: per_zone,
+/// Returns the number of connections that all nodes together may hold to each worker.
+fn connections_by_worker(
+    workers: &[Arc<Worker>],
+    limit: u32,
+    nodes_per_zone: usize,
+) -> BTreeMap<String, u32> {
+    let mut connections_by_worker: BTreeMap<String, u32> =
+        workers.iter().map(|w| (w.id.clone(), 0)).collect();
+    for (zone_index, zone) in ZONES.iter().enumerate() {
+        for i in 0..nodes_per_zone {
+            let locality = Locality {
+                nodes: 4 * nodes_per_zone,
+                number: zone_index * nodes_per_zone + i,
+                nodes_in_zone: nodes_per_zone,
                 number_in_zone: i,
             };
-            for member in Subset::new(workers, zone, limit, false, place).members {
-                *held.entry(member.worker.id.clone()).or_default() += member.connections;
+            for member in Subset::new(workers, zone, limit, false, locality).members {
+                *connections_by_worker.entry(member.worker.id.clone()).or_default() += member.connections;
             }
         }
     }
-    held
+    connections_by_worker
 }
 
 #[test]
 fn scarce_connections_are_shared_evenly() {
-    for (each, limit, per_zone) in [(47, 34, 18), (26, 34, 18), (11, 34, 18), (12, 40, 25)] {
-        let held = held(&workers(each, 0), limit, per_zone);
-        let (least, most) = (held.values().min(), held.values().max());
-        assert!(most <= Some(&limit), "{each} workers: {most:?} of {limit}");
+    for (workers_per_zone, limit, nodes_per_zone) in [(47, 34, 18), (26, 34, 18), (11, 34, 18), (12, 40, 25)]
+    {
+        let connections_by_worker =
+            connections_by_worker(&workers(workers_per_zone, 0), limit, nodes_per_zone);
+        let (lowest, highest) = (
+            connections_by_worker.values().min(),
+            connections_by_worker.values().max(),
+        );
+        assert!(
+            highest <= Some(&limit),
+            "{workers_per_zone} workers per zone: {highest:?} connections exceed {limit}"
+        );
         assert!(
-            least >= Some(&(limit / 3)),
-            "{each} workers: nobody idles, {least:?}"
+            lowest >= Some(&(limit / 3)),
+            "{workers_per_zone} workers per zone: some worker is underused, {lowest:?}"
         );
     }
 }
 
 #[test]
-fn removed_worker_moves_little_and_many_connections_need_no_subset() {
-    let place = Locality {
+fn removed_worker_changes_few_members_and_ample_connections_need_no_subset() {
+    let locality = Locality {
         nodes: 72,
         number: 10,
         nodes_in_zone: 18,
         number_in_zone: 10,
     };
-    let names = |gone| -> Vec<String> {
-        let subset = Subset::new(&workers(47, gone), "a", 34, false, place);
+    let names = |removed| -> Vec<String> {
+        let subset = Subset::new(&workers(47, removed), "a", 34, false, locality);
         subset
             .members
             .iter()
@@ -72,32 +85,41 @@
     let (before, after) = (names(0), names(1));
     let kept = before.iter().filter(|id| after.contains(id)).count();
     assert!(kept + 2 >= before.len(), "{before:?} {after:?}");
-    let all = Subset::new(&workers(40, 0), "a", 510, false, place);
+    let all = Subset::new(&workers(40, 0), "a", 510, false, locality);
     assert_eq!((all.members.len(), all.members[0].connections), (160, 6));
 }
 
 #[test]
-fn each_node_uses_few_of_many_workers_and_a_zone_without_its_own_spreads_evenly() {
+fn node_uses_few_of_many_workers_and_a_zone_without_workers_spreads_evenly() {
     let all = workers(90, 0);
-    let held = held(&all, 1900, 75);
-    let (least, most) = (held.values().min(), held.values().max());
-    assert!(most <= Some(&1900) && least >= Some(&900), "{least:?} {most:?}");
-    // The nodes of zone a, whose own workers are gone, call those of zone b.
-    let mut called: BTreeMap<String, usize> = BTreeMap::new();
+    let connections_by_worker = connections_by_worker(&all, 1900, 75);
+    let (lowest, highest) = (
+        connections_by_worker.values().min(),
+        connections_by_worker.values().max(),
+    );
+    assert!(
+        highest <= Some(&1900) && lowest >= Some(&900),
+        "{lowest:?} {highest:?}"
+    );
+    // If the workers of zone a are gone, its nodes call those of zone b.
+    let mut callers_by_worker: BTreeMap<String, usize> = BTreeMap::new();
     for i in 0..75 {
-        let place = Locality {
+        let locality = Locality {
             nodes: 300,
             number: i,
             nodes_in_zone: 75,
             number_in_zone: i,
         };
-        let subset = Subset::new(&all, "a", 1900, false, place);
+        let subset = Subset::new(&all, "a", 1900, false, locality);
         assert!(subset.members.len() < 30, "{}", subset.members.len());
         for member in subset.members.iter().filter(|m| m.worker.zone == "b") {
-            *called.entry(member.worker.id.clone()).or_default() += 1;
+            *callers_by_worker.entry(member.worker.id.clone()).or_default() += 1;
         }
     }
-    let (least, most) = (called.values().min(), called.values().max());
-    assert_eq!(called.len(), 90, "nobody idles");
-    assert!(least >= Some(&2) && most <= Some(&5), "{least:?} {most:?}");
+    let (lowest, highest) = (callers_by_worker.values().min(), callers_by_worker.values().max());
+    assert_eq!(callers_by_worker.len(), 90, "every worker of zone b is called");
+    assert!(
+        lowest >= Some(&2) && highest <= Some(&5),
+        "{lowest:?} {highest:?}"
+    );
 }
--- a/crates/pebblepond/src/balancer_actor.rs
+++ b/crates/pebblepond/src/balancer_actor.rs
@@ -1,5 +1,5 @@
-//! Drives the balancer: hands out choices of workers, takes note of outcomes, and reports to the
-//! leader.
+//! Actor that owns the load balancer: it selects workers on request, records results of attempts,
+//! and reports to the leader.
 
 use crate::kernel::{Component, NodeContext, StartError};
 use crate::peer_transport::{PeerTransport, SendToPeer};
@@ -38,7 +38,7 @@
         keys: BTreeMap::new(),
         client_zones: HashMap::new(),
         reported_at: context.now(),
-        relayed: BTreeMap::new(),
+        relayed_reports: BTreeMap::new(),
     };
     let balancer_actor = balancer_actor.start();
     *context.report_handlers.relayed.borrow_mut() = Some(balancer_actor.clone().recipient());
@@ -46,78 +46,78 @@
     Ok(())
 }
 
-/// Asks for a worker.
+/// Requests the selection of a worker.
 #[derive(Message)]
 #[rtype(result = "Selection")]
 pub struct ChooseWorker {
     /// Route of the request.
     pub route: Arc<Route>,
-    /// Service that was drawn for it.
+    /// Service that was drawn for the request.
     pub service: Arc<str>,
-    /// Key, for a partitioned service.
+    /// Key of the request, if the service is partitioned.
     pub key: Option<u32>,
-    /// Workers that were tried.
+    /// Workers to which the request was already sent.
     pub tried: Vec<String>,
-    /// Time until the deadline, ms.
+    /// Time until the deadline, in milliseconds.
     pub remaining_ms: u64,
     /// Address of the client.
     pub client: Option<IpAddr>,
 }
 
-/// Draws one of a route's services.
+/// Draws one of the services of a route by weight.
 #[derive(Message)]
 #[rtype(result = "String")]
 pub struct DrawService(pub Arc<Route>);
 
-/// Says how an attempt ended.
+/// Reports the result of an attempt.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct ObserveAttempt {
-    /// The worker.
+    /// Identifier of the worker.
     pub id: String,
-    /// How it ended.
+    /// Result of the attempt.
     pub result: AttemptResult,
-    /// What it counts for in a rollout.
+    /// Label under which the result is counted in a rollout.
     pub label: Option<SampleLabel>,
 }
 
-/// A client of a zone has asked the directory here.
+/// Reports that a client of a zone has queried the directory of this node.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct ClientZone {
     /// Address of the client.
     pub client: IpAddr,
-    /// Its zone.
+    /// Zone of the client.
     pub zone: String,
 }
 
-/// Messages that wait for the actor, messages.
-const MAILBOX: usize = 1024;
-/// Client addresses remembered with their zone, addresses.
+/// Capacity of the actor's mailbox, in messages.
+const MAILBOX_CAPACITY: usize = 1024;
+/// Maximum number of client addresses whose zone is remembered.
 const MAX_CLIENT_ZONES: usize = 4096;
 
-/// Owner of the balancer and of what this node counts.
+/// Owns the load balancer and the counts of this node.
 pub struct BalancerActor {
     context: Rc<NodeContext>,
     upstream: Rc<Upstream>,
     balancer: LoadBalancer,
     state: Arc<ControlState>,
-    /// Requests by service and client group.
+    /// Number of requests by service and client group.
     demand: BTreeMap<(Arc<str>, String), u64>,
-    /// Requests by service and key.
+    /// Number of requests by service and key.
     keys: BTreeMap<(Arc<str>, u32), u32>,
-    /// The zone of clients, as the directory learned it.
+    /// Zones of clients, as learned by the directory.
     client_zones: HashMap<IpAddr, String>,
-    /// When it last reported, ms.
+    /// Time of the last report, in milliseconds.
     reported_at: u64,
-    /// What nodes that follow this one have reported since, by their site.
-    relayed: BTreeMap<String, Report>,
+    /// Reports received since then from the nodes that follow this one, by their site.
+    relayed_reports: BTreeMap<String, Report>,
 }
 
 impl Actor for BalancerActor {
     type Context = Context<Self>;
     fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.set_mailbox_capacity(MAILBOX);
+        ctx.set_mailbox_capacity(MAILBOX_CAPACITY);
         ctx.run_interval(Duration::from_millis(c::IDLE_SWEEP_INTERVAL_MS), |actor, _| {
             actor.upstream.sweep();
             actor.refresh();
@@ -131,7 +131,7 @@
 }
 
 impl BalancerActor {
-    /// Looks at the newest control state before anything is decided.
+    /// Updates the balancer to the newest control state; called before each decision.
     fn refresh(&mut self) {
         let state = self.context.state.get();
         self.balancer.set_last_contact(self.context.last_contact.get());
@@ -146,7 +146,7 @@
         self.state = state;
     }
 
-    /// Tells the balancer of the other nodes.
+    /// Updates the balancer's view of the other nodes.
     fn update_peers(&mut self) {
         let members = self.context.members.get();
         let own = &self.context.settings.get().own_entity;
@@ -165,20 +165,20 @@
         });
     }
 
-    /// Where zones are the sites there is no directory to point clients at one:
-    /// each request is pointed at a zone of workers instead.
+    /// Draws the zone whose workers are to serve a request. Where zones are the sites, no directory
+    /// directs clients to a site, so each request is directed to a zone of workers instead.
     fn draw_zone(&self, service: &str, key: Option<u32>) -> Option<String> {
         let settings = self.context.settings.get();
         if key.is_some() || !settings.zones_are_sites() {
             return None;
         }
-        let chance = rand::thread_rng().gen();
+        let random = rand::thread_rng().gen();
         let group = &settings.own_entity.zone;
-        placement::draw_site(&self.state.fractions, service, group, chance, |_| true).map(str::to_string)
+        placement::draw_site(&self.state.fractions, service, group, random, |_| true).map(str::to_string)
     }
 
-    /// Sends the leader what this node has counted since the last report, and what the nodes that
-    /// follow it have.
+    /// Sends the leader the counts of this node since the last report, and the reports of the nodes
+    /// that follow it.
     fn report(&mut self) {
         let now = self.context.now();
         let interval_ms = now - self.reported_at;
@@ -187,14 +187,14 @@
             return;
         };
         let mut report = self.own_report(interval_ms);
-        let mut relayed = std::mem::take(&mut self.relayed);
-        if let Some(others) = relayed.remove(&report.site) {
+        let mut relayed_reports = std::mem::take(&mut self.relayed_reports);
+        if let Some(others) = relayed_reports.remove(&report.site) {
             report.merge(others);
         }
         let Some(transport) = self.context.get::<Addr<PeerTransport>>() else {
             return;
         };
-        for report in std::iter::once(report).chain(relayed.into_values()) {
+        for report in std::iter::once(report).chain(relayed_reports.into_values()) {
             transport.do_send(SendToPeer {
                 to: to.clone(),
                 payload: Payload::Report(report),
@@ -202,7 +202,7 @@
         }
     }
 
-    /// The voter that this node takes the log from, or the leader.
+    /// Returns the address of the voter that this node follows, or else of the leader.
     fn report_destination(&self) -> Option<String> {
         let upstream = (*self.context.upstream.get()).clone();
         let leader_id = self.context.status.get().leader_id;
@@ -228,7 +228,8 @@
         }
     }
 
-    /// Requests by service and client group; the node's own zone is left out as a group's name.
+    /// Returns and resets the number of requests by service and client group; the node's own zone
+    /// is sent as an empty group name.
     fn take_demand(&mut self, own_zone: &str) -> Vec<Demand> {
         std::mem::take(&mut self.demand)
             .into_iter()
@@ -264,7 +265,7 @@
             .collect()
     }
 
-    /// Requests by key, one row for each service.
+    /// Returns and resets the number of requests by key, with one row per service.
     fn take_key_counts(&mut self) -> Vec<KeyCounts> {
         let mut rows: Vec<KeyCounts> = Vec::new();
         for ((service, key), count) in std::mem::take(&mut self.keys) {
@@ -331,10 +332,10 @@
 impl Handler<RelayedReport> for BalancerActor {
     type Result = ();
     fn handle(&mut self, RelayedReport(report): RelayedReport, _: &mut Self::Context) {
-        match self.relayed.get_mut(&report.site) {
+        match self.relayed_reports.get_mut(&report.site) {
             Some(sum) => sum.merge(report),
             None => {
-                self.relayed.insert(report.site.clone(), report);
+                self.relayed_reports.insert(report.site.clone(), report);
             }
         }
     }
--- a/crates/pebblepond/src/caller.rs
+++ b/crates/pebblepond/src/caller.rs
@@ -1,9 +1,9 @@
-//! Whether the caller of a command still waits for its answer.
+//! Detects whether the caller of a command still waits for its response.
 //!
-//! A caller that hears nothing for a while closes its connection and sends the command again, to
-//! another node. What it sent first may be read long after that, by a process that stood still or
-//! behind a slow link, and would be carried out a second time, after others that are newer. The
-//! kernel knows: a connection that is closed reads as such behind the command.
+//! A caller that gets no response for a while closes its connection and sends the command again, to
+//! another node. A process that was stopped or is behind a slow link may read the first copy long
+//! after that; the command would then be executed a second time, after newer commands. The kernel
+//! can tell: a closed connection reads as closed after the command.
 
 use socket2::{SockRef, Socket};
 use std::io;
@@ -11,18 +11,18 @@
 use std::sync::{Arc, Weak};
 use tokio::net::TcpStream;
 
-/// A caller's connection; lives as long as the server keeps it.
+/// Connection of a caller; kept as long as the server keeps the connection.
 #[derive(Clone)]
 pub struct CallerConnection(Arc<Socket>);
 
 impl CallerConnection {
-    /// A second handle of a connection.
+    /// Creates a second handle to a connection.
     pub fn of(stream: &TcpStream) -> io::Result<CallerConnection> {
         let socket = SockRef::from(stream).try_clone()?;
         Ok(CallerConnection(Arc::new(socket)))
     }
 
-    /// Who has called on it.
+    /// Returns the caller on the connection.
     pub fn caller(&self) -> Caller {
         Caller(Some(Arc::downgrade(&self.0)))
     }
@@ -33,8 +33,8 @@
 pub struct Caller(Option<Weak<Socket>>);
 
 impl Caller {
-    /// Whether it may still wait: its connection is open on both sides. One whose connection is
-    /// not known does.
+    /// Returns whether the caller may still wait for a response: its connection is open in both
+    /// directions. A caller without a known connection counts as waiting.
     pub fn is_waiting(&self) -> bool {
         let Some(connection) = &self.0 else {
             return true;
@@ -43,7 +43,7 @@
     }
 }
 
-/// Whether the peer has neither closed nor reset a connection, as the kernel has it.
+/// Returns whether the peer has neither closed nor reset a connection, according to the kernel.
 fn is_open(socket: &Socket) -> bool {
     match socket.peek(&mut [MaybeUninit::uninit()]) {
         Ok(bytes) => bytes > 0,
--- a/crates/pebblepond/src/http_headers.rs
+++ b/crates/pebblepond/src/http_headers.rs
@@ -1,13 +1,14 @@
-//! What the proxy and the calls to workers read from headers.
+//! Header parsing shared by the proxy and the calls to workers.
 
 use actix_http::header::{self, HeaderMap};
 
-/// The number in a header.
-pub fn number(headers: &HeaderMap, name: &str) -> Option<u64> {
+/// Returns the value of a header as a number, if the header is present and valid.
+pub fn parse_number(headers: &HeaderMap, name: &str) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
 
-/// The options that `Connection` names: headers of this connection only, and `close`.
+/// Returns the options of the `Connection` header: names of headers that apply to this connection
+/// only, and `close`.
 pub fn connection_options(headers: &HeaderMap) -> impl Iterator<Item = &str> {
     headers
         .get_all(header::CONNECTION)
--- a/crates/pebblepond/src/proxy/attempts.rs
+++ b/crates/pebblepond/src/proxy/attempts.rs
@@ -1,9 +1,9 @@
-//! The attempts at one request: a worker for each, until an answer may be passed on or nothing
-//! more may be tried.
+//! The attempts at one request: a worker is selected for each attempt, until a response may be
+//! passed on or no further attempt is allowed.
 
 use super::headers::end_to_end;
 use super::request::{CheckedRequest, Target};
-use super::response::{plain, to_client};
+use super::response::{client_response, plain_text};
 use super::{Proxy, Refusal};
 use crate::balancer_actor::{BalancerActor, ChooseWorker, ObserveAttempt};
 use crate::upstream::{
@@ -18,31 +18,32 @@
 use std::cell::Cell;
 use std::time::Instant;
 
-/// How one attempt ended.
+/// End of one attempt.
 enum AttemptEnd {
-    /// With an answer that is passed on.
+    /// The response is passed on.
     Answered(Response<BoxBody>),
-    /// With an error of the worker's own, to a request that may run again.
+    /// The worker answered with a server error of its own to a request that may be executed again.
     Errored(Response<BoxBody>),
-    /// Without an answer that may be passed on.
+    /// No response was received that may be passed on.
     Failed(Outcome),
-    /// With the deadline.
+    /// The deadline passed.
     TimedOut,
 }
 
-/// What earlier attempts at a request have shown.
+/// State of a request over its attempts.
 struct Progress {
     history: AttemptHistory,
-    /// Workers that were tried.
+    /// Workers to which an attempt was made.
     tried: Vec<String>,
-    /// Their addresses. Two workers may share one, one of them gone.
+    /// Addresses of these workers. Two workers may share an address if one of them no longer
+    /// exists.
     addresses: Vec<String>,
-    /// What the last worker answered, if it was an error: passed on if no other can do better.
+    /// Error response of the last worker; passed on if no other worker can be used.
     worker_error: Option<Response<BoxBody>>,
 }
 
 impl Proxy {
-    /// Forwards a request to one worker after another.
+    /// Forwards a request to one worker after another until one answers.
     pub(super) async fn forward(
         &self,
         request: &Request,
@@ -64,8 +65,8 @@
                 label: worker.label,
                 is_open: Cell::new(true),
             };
-            let Some(sent_body) = take_body(&mut body) else {
-                return Err(worker_failed());
+            let Some(attempt_body) = body_for_attempt(&mut body) else {
+                return Err(bad_gateway());
             };
             let can_repeat = body.is_some();
             let is_last = progress.tried.len() as u32 + 1 >= target.route.attempt_limit || !can_repeat;
@@ -75,11 +76,11 @@
                 worker: &worker,
                 needs_new_connection: progress.addresses.contains(&worker.address),
             };
-            match self.attempt(&attempt, sent_body, guard).await {
+            match self.attempt(&attempt, attempt_body, guard).await {
                 AttemptEnd::Answered(response) => return Ok(response),
                 AttemptEnd::TimedOut => {
                     progress.history.note_outcome(Outcome::MayHaveRun);
-                    return Err(self.out_of_time(&progress.history));
+                    return Err(self.deadline_response(&progress.history));
                 }
                 AttemptEnd::Errored(response) if is_last => return Ok(response),
                 AttemptEnd::Errored(response) => {
@@ -89,7 +90,7 @@
                 AttemptEnd::Failed(outcome) => {
                     progress.history.note_outcome(outcome);
                     if is_last || !progress.history.may_repeat() {
-                        return Err(self.give_up(outcome, &progress.history));
+                        return Err(self.failure_response(outcome, &progress.history));
                     }
                 }
             }
@@ -98,7 +99,8 @@
         }
     }
 
-    /// A worker for the next attempt, or the answer if there is none.
+    /// Selects a worker for the next attempt, or returns the response to the client if there is
+    /// none.
     async fn choose_worker(
         &self,
         target: &Target,
@@ -106,7 +108,7 @@
     ) -> Result<SelectedWorker, Response<BoxBody>> {
         let remaining = target.remaining();
         if remaining.is_zero() {
-            return Err(self.out_of_time(&progress.history));
+            return Err(self.deadline_response(&progress.history));
         }
         let choose = ChooseWorker {
             route: target.route.clone(),
@@ -116,46 +118,46 @@
             remaining_ms: remaining.as_millis() as u64,
             client: target.client,
         };
-        let may_promise = progress.history.may_promise();
+        let may_promise_not_executed = progress.history.may_promise_not_executed();
         match self.balancer_actor.send(choose).await {
             Ok(Selection::Worker(worker)) => Ok(worker),
-            Ok(Selection::Unavailable(retry_after_ms)) if may_promise => {
+            Ok(Selection::Unavailable(retry_after_ms)) if may_promise_not_executed => {
                 Err(self.refuse("refused_nobody", retry_after_ms))
             }
-            Ok(Selection::BudgetSpent) if may_promise => {
+            Ok(Selection::BudgetSpent) if may_promise_not_executed => {
                 Err(self.refuse("refused_budget", c::RETRY_AFTER_MS))
             }
-            _ => Err(progress.worker_error.take().unwrap_or_else(worker_failed)),
+            _ => Err(progress.worker_error.take().unwrap_or_else(bad_gateway)),
         }
     }
 
-    /// The answer after the last attempt has failed.
-    fn give_up(&self, last_outcome: Outcome, history: &AttemptHistory) -> Refusal {
+    /// Returns the response to the client after the last attempt has failed.
+    fn failure_response(&self, last_outcome: Outcome, history: &AttemptHistory) -> Refusal {
         if last_outcome == Outcome::MayHaveRun {
             self.context.counters.add("worker_failed");
         }
-        if history.may_promise() {
+        if history.may_promise_not_executed() {
             self.refuse("refused_by_workers", c::RETRY_AFTER_MS)
         } else {
-            worker_failed()
+            bad_gateway()
         }
     }
 
-    /// The answer at the deadline.
-    fn out_of_time(&self, history: &AttemptHistory) -> Refusal {
-        if history.may_promise() {
+    /// Returns the response to the client when the deadline has passed.
+    fn deadline_response(&self, history: &AttemptHistory) -> Refusal {
+        if history.may_promise_not_executed() {
             self.refuse("refused_late", c::RETRY_AFTER_MS)
         } else {
             self.context.counters.add("too_late");
-            plain(StatusCode::GATEWAY_TIMEOUT, "out of time")
+            plain_text(StatusCode::GATEWAY_TIMEOUT, "out of time")
         }
     }
 
-    /// Sends the request to one worker.
+    /// Sends the request to one worker and waits for the response.
     async fn attempt(&self, attempt: &Attempt<'_>, body: RequestBody, guard: AttemptGuard) -> AttemptEnd {
         let remaining = attempt.target.remaining();
         let head = attempt.head(remaining.as_millis() as u64);
-        let begun = Instant::now();
+        let started = Instant::now();
         let call = self
             .upstream
             .call(&attempt.worker.address, head, body, attempt.options());
@@ -175,37 +177,39 @@
             }
         };
         if response.outcome != Outcome::Answered {
-            return self.not_answered(attempt.worker, &response, &guard);
+            return self.end_without_response(attempt.worker, &response, &guard);
         }
-        let elapsed_ms = begun.elapsed().as_secs_f64() * 1000.0;
+        let elapsed_ms = started.elapsed().as_secs_f64() * 1000.0;
         let response_ms = (elapsed_ms - attempt.worker.round_trip_ms).max(1.0);
-        let is_error = response.status.is_server_error() && matches!(response.body, ResponseBody::Whole(_));
+        let is_error =
+            response.status.is_server_error() && matches!(response.body, ResponseBody::Buffered(_));
         if is_error {
             guard.end(AttemptResult::Errored(response_ms));
         }
         let is_head = attempt.request.method() == Method::HEAD;
-        let to_client = to_client(response, is_head, guard, response_ms, attempt.target.deadline);
+        let response = client_response(response, is_head, guard, response_ms, attempt.target.deadline);
         if is_error && !attempt.is_non_idempotent() {
-            AttemptEnd::Errored(to_client)
+            AttemptEnd::Errored(response)
         } else {
-            AttemptEnd::Answered(to_client)
+            AttemptEnd::Answered(response)
         }
     }
 
-    /// The end of an attempt whose answer may not be passed on.
-    fn not_answered(
+    /// Ends an attempt whose response may not be passed on.
+    fn end_without_response(
         &self,
         worker: &SelectedWorker,
         response: &UpstreamResponse,
         guard: &AttemptGuard,
     ) -> AttemptEnd {
         if response.outcome == Outcome::MayHaveRun {
-            // The worker did not say that it has not run, or another may have.
+            // The worker did not state that it has not executed the request, or the response may
+            // belong to another request.
             guard.end(AttemptResult::Failed);
         } else if response.status == StatusCode::MISDIRECTED_REQUEST {
-            let answering = response.headers.get("Instance-Id");
-            let answering = answering.and_then(|v| v.to_str().ok());
-            let is_replaced = answering.is_some_and(|id| id != worker.id);
+            let answering_instance = response.headers.get("Instance-Id");
+            let answering_instance = answering_instance.and_then(|v| v.to_str().ok());
+            let is_replaced = answering_instance.is_some_and(|id| id != worker.id);
             guard.end(if is_replaced {
                 AttemptResult::Replaced
             } else {
@@ -220,16 +224,16 @@
     }
 }
 
-/// The body for the next attempt; one that is passed on as it comes can be had once.
-fn take_body(body: &mut Option<RequestBody>) -> Option<RequestBody> {
+/// Returns the body for the next attempt. A streamed body is available only once.
+fn body_for_attempt(body: &mut Option<RequestBody>) -> Option<RequestBody> {
     match body {
-        Some(RequestBody::Whole(bytes)) => Some(RequestBody::Whole(bytes.clone())),
+        Some(RequestBody::Buffered(bytes)) => Some(RequestBody::Buffered(bytes.clone())),
         streamed => streamed.take(),
     }
 }
 
-fn worker_failed() -> Response<BoxBody> {
-    plain(StatusCode::BAD_GATEWAY, "the worker failed")
+fn bad_gateway() -> Response<BoxBody> {
+    plain_text(StatusCode::BAD_GATEWAY, "the worker failed")
 }
 
 /// One attempt at a request.
@@ -237,7 +241,7 @@
     request: &'a Request,
     target: &'a Target,
     worker: &'a SelectedWorker,
-    /// Its worker shares an address with one that was tried.
+    /// Whether the worker shares its address with a worker that was already tried.
     needs_new_connection: bool,
 }
 
@@ -266,7 +270,7 @@
         }
     }
 
-    /// The head of the request to the worker.
+    /// Builds the head of the request to the worker.
     fn head(&self, remaining_ms: u64) -> RequestHead {
         let mut head = RequestHead::default();
         head.method = self.request.method().clone();
@@ -291,7 +295,7 @@
     }
 }
 
-/// An attempt that counts against a worker until it has ended.
+/// Counts an attempt against a worker until the attempt has ended.
 pub(super) struct AttemptGuard {
     balancer_actor: Addr<BalancerActor>,
     worker: String,
@@ -300,7 +304,7 @@
 }
 
 impl AttemptGuard {
-    /// Tells the balancer how the attempt ended; the first result counts.
+    /// Reports the result of the attempt to the balancer; only the first result counts.
     pub(super) fn end(&self, result: AttemptResult) {
         if self.is_open.replace(false) {
             self.balancer_actor.do_send(ObserveAttempt {
--- a/crates/pebblepond/src/proxy/connection.rs
+++ b/crates/pebblepond/src/proxy/connection.rs
@@ -1,5 +1,6 @@
-//! A client's connection: whether it has been told to end, and which of its answers have not been
-//! handed to the kernel yet. What has not been handed over ends with the process.
+//! A client's connection: whether it is about to be closed, and which of its responses have not yet
+//! been handed to the kernel completely. Data that has not been handed to the kernel is lost when
+//! the process ends.
 
 use super::running::RunningGuard;
 use actix_codec::{AsyncRead, AsyncWrite, ReadBuf};
@@ -14,20 +15,20 @@
 use std::task::{Context, Poll};
 use tokio::net::TcpStream;
 
-/// What is known of a connection; shared by its stream, its requests and their answers.
+/// State of a connection, shared by its stream, its requests and their responses.
 #[derive(Clone, Default)]
 pub(super) struct ConnectionState(Rc<Shared>);
 
 #[derive(Default)]
 struct Shared {
     is_closing: Cell<bool>,
-    /// Requests whose answers are made, and not all handed over.
+    /// Requests whose responses are complete but not yet handed to the kernel completely.
     unsent: RefCell<Vec<RunningGuard>>,
 }
 
 impl ConnectionState {
-    /// Whether the connection has been told to end: what the client sent ahead (pipelined)
-    /// behind that is not run, since it may have gone elsewhere.
+    /// Returns whether the connection is about to be closed. A request that the client has
+    /// pipelined after that is not executed, since the client may have sent it elsewhere as well.
     pub(super) fn is_closing(&self) -> bool {
         self.0.is_closing.get()
     }
@@ -36,7 +37,8 @@
         self.0.is_closing.set(is_closing);
     }
 
-    /// The request of `guard` runs until the whole of its answer has been handed over.
+    /// Wraps a response body so that the request of `guard` counts as running until the whole
+    /// response has been handed to the kernel.
     pub(super) fn run_until_sent(&self, guard: RunningGuard, body: BoxBody) -> BoxBody {
         BoxBody::new(GuardedBody {
             body,
@@ -46,7 +48,7 @@
     }
 }
 
-/// A body that counts as running until it has been handed over.
+/// A response body whose request counts as running until the body has been handed to the kernel.
 struct GuardedBody {
     body: BoxBody,
     guard: Option<RunningGuard>,
@@ -70,12 +72,12 @@
 
 impl Drop for GuardedBody {
     fn drop(&mut self) {
-        // All of it is in the connection's buffer, or the connection ends.
+        // The whole body is in the write buffer of the connection, or the connection is ending.
         self.connection.0.unsent.borrow_mut().extend(self.guard.take());
     }
 }
 
-/// The stream of a client's connection.
+/// Stream of a client's connection.
 pub(super) struct ClientStream {
     stream: TcpStream,
     state: ConnectionState,
@@ -113,7 +115,7 @@
         Pin::new(&mut self.stream).poll_write(context, bytes)
     }
 
-    /// Called once the buffer of the connection has been written.
+    /// Called after the write buffer of the connection has been written.
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let flushed = Pin::new(&mut self.stream).poll_flush(context);
         if flushed.is_ready() {
--- a/crates/pebblepond/src/proxy/headers.rs
+++ b/crates/pebblepond/src/proxy/headers.rs
@@ -1,9 +1,9 @@
-//! Headers that go on from one connection to the next.
+//! Selection of the end-to-end headers, which are forwarded from one connection to the next.
 
 use crate::http_headers::connection_options;
 use actix_http::header::{self, HeaderMap, HeaderName};
 
-/// Headers that concern one connection only, besides those that `Connection` names.
+/// Hop-by-hop headers, in addition to those that `Connection` names.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -16,13 +16,14 @@
     "upgrade",
 ];
 
-/// The headers of a message that go on to the next connection. The length is set anew with the
-/// body.
+/// Returns the headers of a message that are forwarded. `Content-Length` is omitted, since it is
+/// set again with the body.
 pub(super) fn end_to_end(headers: &HeaderMap) -> impl Iterator<Item = (&HeaderName, &header::HeaderValue)> {
     let options = connection_options(headers).map(str::to_ascii_lowercase);
-    let named: Vec<String> = options.collect();
+    let named_by_connection: Vec<String> = options.collect();
     headers.iter().filter(move |(name, _)| {
-        let is_hop_by_hop = HOP_BY_HOP.contains(&name.as_str()) || named.iter().any(|n| n == name.as_str());
+        let is_hop_by_hop =
+            HOP_BY_HOP.contains(&name.as_str()) || named_by_connection.iter().any(|n| n == name.as_str());
         !is_hop_by_hop && *name != header::CONTENT_LENGTH
     })
 }
--- a/crates/pebblepond/src/proxy/listener.rs
+++ b/crates/pebblepond/src/proxy/listener.rs
@@ -1,5 +1,5 @@
-//! Accepts clients' connections. One HTTP service is built for each set of timeouts that the
-//! configuration lays down.
+//! Accepts clients' connections. One HTTP service is built for each set of timeouts in the
+//! configuration.
 
 use super::connection::ClientStream;
 use super::Proxy;
@@ -16,16 +16,16 @@
 
 type HttpConnections = boxed::BoxService<(ClientStream, Option<SocketAddr>), (), DispatchError>;
 
-/// What a client has to keep to on its connection.
+/// Timeouts of a client's connection.
 #[derive(Clone, Copy, PartialEq)]
 struct Timeouts {
-    /// Time for the head of a request, ms.
+    /// Time limit for receiving the head of a request, in milliseconds.
     header_ms: u64,
-    /// Time between two requests, ms.
+    /// Longest idle time between two requests, in milliseconds.
     idle_ms: u64,
 }
 
-/// Accepts connections as long as the process runs.
+/// Accepts connections until the process ends.
 pub(super) async fn accept(proxy: Rc<Proxy>, listener: TcpListener) {
     let mut timeouts = current_timeouts(&proxy);
     let Some(mut service) = build_service(proxy.clone(), timeouts).await else {
@@ -35,13 +35,13 @@
         let stream = sockets::accept(&listener, c::ACCEPT_RETRY_MS).await;
         let newest = current_timeouts(&proxy);
         if newest != timeouts {
-            if let Some(fresh) = build_service(proxy.clone(), newest).await {
-                (timeouts, service) = (newest, fresh);
+            if let Some(rebuilt) = build_service(proxy.clone(), newest).await {
+                (timeouts, service) = (newest, rebuilt);
             }
         }
         let service = service.clone();
         actix_rt::spawn(async move {
-            // How a client's connection ends is the client's affair.
+            // Errors that end a client's connection need no handling.
             let peer = stream.peer_addr().ok();
             let _ = service.call((ClientStream::new(stream), peer)).await;
         });
--- a/crates/pebblepond/src/upstream/api_call.rs
+++ b/crates/pebblepond/src/upstream/api_call.rs
@@ -1,5 +1,5 @@
-//! Calls with small JSON bodies, whose answers the connection alone matches: to the platform, and
-//! to the interface of a worker.
+//! Calls with small JSON bodies to the platform and to the control interface of a worker. Their
+//! responses are matched by the connection alone.
 
 use super::{CallError, CallOptions, RequestBody, ResponseBody, ResponseMatching, Upstream};
 use actix_http::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A call to an interface.
+/// A call to a JSON interface.
 pub struct ApiCall<'a> {
     /// Method of the request.
     pub method: Method,
@@ -18,28 +18,29 @@
     pub address: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// The worker that is meant; any other turns the call away.
+    /// Identifier of the addressed worker; any other worker rejects the call.
     pub worker: Option<&'a str>,
-    /// A JSON body.
+    /// JSON body of the request.
     pub body: Option<Bytes>,
-    /// Time for the head of the answer, and again for its body, ms.
+    /// Time limit for the head of the response, and again for its body, in milliseconds.
     pub timeout_ms: u64,
-    /// On a connection that nobody has used: its answer is nobody else's.
+    /// Whether the call is made on a new connection, so that its response cannot belong to another
+    /// request.
     pub on_new_connection: bool,
 }
 
-/// The whole answer to such a call.
+/// Complete response to an [`ApiCall`].
 #[derive(Debug)]
 pub struct ApiResponse {
-    /// Status of the answer.
+    /// Status of the response.
     pub status: StatusCode,
-    /// Headers of the answer.
+    /// Headers of the response.
     pub headers: HeaderMap,
-    /// Body of the answer.
+    /// Body of the response.
     pub body: Bytes,
 }
 
-/// Makes a call whose answer is read whole.
+/// Makes a call and reads the complete response.
 pub async fn call_api(upstream: &Rc<Upstream>, call: ApiCall<'_>) -> Result<ApiResponse, CallError> {
     let timeout = Duration::from_millis(call.timeout_ms);
     let head = request_head(&call)?;
@@ -53,12 +54,12 @@
         user_timeout_ms: c::WORKER_USER_TIMEOUT_MS + 2 * c::DEFAULT_RTT_MS as u64,
         matching: ResponseMatching::Connection,
     };
-    let body = RequestBody::Whole(call.body.unwrap_or_default());
-    let answered = upstream.call(call.address, head, body, options);
-    let response = tokio::time::timeout(timeout, answered)
+    let body = RequestBody::Buffered(call.body.unwrap_or_default());
+    let call_result = upstream.call(call.address, head, body, options);
+    let response = tokio::time::timeout(timeout, call_result)
         .await
         .map_err(|_| CallError::Unclear)??;
-    let body = tokio::time::timeout(timeout, read_whole(response.body))
+    let body = tokio::time::timeout(timeout, read_completely(response.body))
         .await
         .map_err(|_| CallError::Unclear)??;
     Ok(ApiResponse {
@@ -86,15 +87,15 @@
     Ok(head)
 }
 
-async fn read_whole(body: ResponseBody) -> Result<Bytes, CallError> {
+async fn read_completely(body: ResponseBody) -> Result<Bytes, CallError> {
     match body {
-        ResponseBody::Whole(body) => Ok(body),
+        ResponseBody::Buffered(body) => Ok(body),
         ResponseBody::Streamed(mut parts, _) => {
-            let mut whole = BytesMut::new();
+            let mut buffered = BytesMut::new();
             while let Some(part) = parts.next().await {
-                whole.extend_from_slice(&part.map_err(|_| CallError::Unclear)?);
+                buffered.extend_from_slice(&part.map_err(|_| CallError::Unclear)?);
             }
-            Ok(whole.freeze())
+            Ok(buffered.freeze())
         }
     }
 }
--- a/crates/pebblepond/src/upstream/connection.rs
+++ b/crates/pebblepond/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection: encoding of requests, and reading of heads and bodies.
+//! One HTTP/1.1 connection: encoding of requests, and reading of response heads and bodies.
 
 use super::exchange::ExchangeError;
 use super::{BodyParts, RequestBody};
@@ -12,23 +12,23 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Room for the head of a request, bytes.
-const HEAD_CAPACITY: usize = 1024;
-/// Room for the frame of a chunk, bytes.
-const CHUNK_OVERHEAD: usize = 20;
+/// Initial capacity for the head of a request, in bytes.
+const HEAD_CAPACITY_BYTES: usize = 1024;
+/// Capacity for the framing of a chunk, in bytes.
+const CHUNK_OVERHEAD_BYTES: usize = 20;
 
 /// A connection between two messages.
 pub(super) struct Connection {
     pub(super) io: TcpStream,
-    /// What has been read and not yet decoded.
+    /// Bytes that were read but not yet decoded.
     pub(super) buffer: BytesMut,
     pub(super) codec: ClientCodec,
-    /// Its last answer bore no id: a duplicate of it would bear none.
+    /// Whether the last response had no id: a duplicate of it would have none either.
     pub(super) lacks_id: bool,
 }
 
 impl Connection {
-    /// A connection on which nothing has been sent.
+    /// Creates a connection on which nothing has been sent.
     pub(super) fn new(io: TcpStream, config: ServiceConfig) -> Connection {
         Connection {
             io,
@@ -38,37 +38,37 @@
         }
     }
 
-    /// Whether another request may follow on it.
+    /// Returns whether the connection is in a state in which another request may follow.
     pub(super) fn is_between_messages(&self) -> bool {
         self.codec.keep_alive() && self.buffer.is_empty()
     }
 }
 
-/// The rest of a request's body.
+/// Part of a request's body that has not been sent.
 pub(super) struct UnsentBody {
     parts: BodyParts,
-    /// It goes out in chunks, since its length is not known.
+    /// Whether the body is sent in chunks because its length is unknown.
     is_chunked: bool,
 }
 
-/// A request as far as it is encoded.
+/// A request, encoded as far as it is available.
 pub(super) struct EncodedRequest {
-    /// The bytes that are at hand.
+    /// Encoded bytes that are ready to send.
     pub(super) ready: BytesMut,
     pub(super) rest: Option<UnsentBody>,
 }
 
-/// Encodes a request as far as it is at hand.
+/// Encodes the part of a request that is available.
 pub(super) fn encode(
     codec: &mut ClientCodec,
     head: RequestHead,
     body: RequestBody,
 ) -> Result<EncodedRequest, io::Error> {
-    let mut ready = BytesMut::with_capacity(HEAD_CAPACITY);
+    let mut ready = BytesMut::with_capacity(HEAD_CAPACITY_BYTES);
     let unsent = |parts, is_chunked| Some(UnsentBody { parts, is_chunked });
     let (size, first, rest) = match body {
-        RequestBody::Whole(whole) if whole.is_empty() => (BodySize::None, whole, None),
-        RequestBody::Whole(whole) => (BodySize::Sized(whole.len() as u64), whole, None),
+        RequestBody::Buffered(buffered) if buffered.is_empty() => (BodySize::None, buffered, None),
+        RequestBody::Buffered(buffered) => (BodySize::Sized(buffered.len() as u64), buffered, None),
         RequestBody::Streamed {
             first,
             rest,
@@ -91,7 +91,7 @@
     Ok(EncodedRequest { ready, rest })
 }
 
-/// Sends what is left of a request. A body that breaks off gets no end.
+/// Sends the rest of a request. A body that breaks off is sent without an end marker.
 pub(super) async fn send_rest(
     io: &mut (impl AsyncWrite + Unpin),
     ready: &[u8],
@@ -110,7 +110,7 @@
             io.write_all(&part).await?;
             continue;
         }
-        let mut chunk = BytesMut::with_capacity(part.len() + CHUNK_OVERHEAD);
+        let mut chunk = BytesMut::with_capacity(part.len() + CHUNK_OVERHEAD_BYTES);
         chunk.extend_from_slice(format!("{:x}\r\n", part.len()).as_bytes());
         chunk.extend_from_slice(&part);
         chunk.extend_from_slice(b"\r\n");
@@ -122,7 +122,8 @@
     Ok(())
 }
 
-/// Reads the head of an answer; it may be dropped and called again.
+/// Reads the head of a response. The future is cancel-safe: it may be dropped and the function
+/// called again.
 pub(super) async fn read_head(
     io: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
@@ -140,18 +141,18 @@
     }
 }
 
-/// Reads the body of an answer.
+/// Reader of the body of a response.
 pub(super) struct BodyReader {
     io: TcpStream,
     buffer: BytesMut,
     codec: ClientPayloadCodec,
-    /// The body ends where the connection does.
+    /// Whether the end of the connection marks the end of the body.
     ends_with_connection: bool,
     lacks_id: bool,
 }
 
 impl BodyReader {
-    /// The reader of the body that follows the head just read.
+    /// Creates the reader of the body that follows the head just read.
     pub(super) fn new(connection: Connection) -> BodyReader {
         BodyReader {
             ends_with_connection: connection.codec.message_type() == MessageType::Stream,
@@ -162,7 +163,7 @@
         }
     }
 
-    /// The connection, if it goes on after the body.
+    /// Returns the connection if it stays open after the body.
     pub(super) fn into_connection(self) -> Option<Connection> {
         (!self.ends_with_connection).then(|| Connection {
             io: self.io,
@@ -172,7 +173,7 @@
         })
     }
 
-    /// The next part; `None` at the proper end.
+    /// Reads the next part of the body; returns `None` at its regular end.
     pub(super) async fn next_part(&mut self) -> Result<Option<Bytes>, ExchangeError> {
         loop {
             if let Some(item) = self.codec.decode(&mut self.buffer)? {
--- a/crates/pebblepond/src/upstream/exchange.rs
+++ b/crates/pebblepond/src/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! A call on its connection, until the head of its answer has come.
+//! A call on its connection, until the head of its response is received.
 
 use super::connection::{encode, read_head, send_rest, BodyReader, Connection};
 use super::headers;
@@ -12,41 +12,41 @@
 use std::io;
 use tokio::io::AsyncWriteExt;
 
-/// Why no answer can be had from a connection.
+/// Reason why no response can be read from a connection.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ExchangeError {
-    /// The connection broke.
+    /// The connection failed.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The peer closed the connection before the end of a message.
-    #[error("closed by the peer")]
+    #[error("connection closed by the peer before the end of a message")]
     Closed,
-    /// The head of the answer is malformed.
+    /// The head of the response is malformed.
     #[error(transparent)]
     Head(#[from] ParseError),
-    /// The body of the answer is malformed.
+    /// The body of the response is malformed.
     #[error(transparent)]
     Body(#[from] PayloadError),
-    /// No answer to this request can be told from others any more.
-    #[error("the answer belongs to no request or to another")]
+    /// A response to this request can no longer be distinguished from others.
+    #[error("response does not belong to the request that was sent")]
     Unmatched,
 }
 
-/// A request that is sent, and whose answer's head is awaited.
+/// A request that is being sent or whose response head is awaited.
 pub(super) struct Exchange {
-    /// Gone once it cannot be read any more.
+    /// `None` once the connection can no longer be read.
     pub(super) connection: Option<Connection>,
     pub(super) attempt: Attempt,
     id: Option<HeaderValue>,
-    /// The answer has no body whatever its head says.
+    /// Whether the response has no body, whatever its head says.
     pub(super) expects_no_body: bool,
 }
 
 impl Exchange {
-    /// A call of this id, if its answer echoes one.
+    /// Creates a call; `id` is set if the response echoes it.
     pub(super) fn new(connection: Connection, id: Option<HeaderValue>, expects_no_body: bool) -> Exchange {
         let attempt = match id {
-            Some(_) => Attempt::named(connection.lacks_id),
+            Some(_) => Attempt::with_id(connection.lacks_id),
             None => Attempt::without_id(),
         };
         Exchange {
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Sends the request and reads on until a head that is ours. The peer is
-    /// heard while the body is sent: it may answer before the end.
+    /// Sends the request and reads until the head of its response. The connection is also read
+    /// while the body is sent, since the peer may respond before the end of the body.
     pub(super) async fn run(
         &mut self,
         head: RequestHead,
@@ -66,31 +66,32 @@
     ) -> Result<ResponseHead, ExchangeError> {
         let connection = self.connection.as_mut().ok_or(ExchangeError::Closed)?;
         let mut request = encode(&mut connection.codec, head, body)?;
-        // What the kernel took at first tells not sent from sent in part.
-        let taken = connection.io.write(&request.ready).await?;
-        if taken == 0 {
+        // The number of bytes that the kernel accepts first distinguishes an unsent request from a
+        // partly sent one.
+        let sent_bytes = connection.io.write(&request.ready).await?;
+        if sent_bytes == 0 {
             return Err(ExchangeError::Closed);
         }
-        let is_all = taken == request.ready.len() && request.rest.is_none();
-        self.attempt.on_written(is_all);
-        if !is_all {
+        let is_completely_sent = sent_bytes == request.ready.len() && request.rest.is_none();
+        self.attempt.on_written(is_completely_sent);
+        if !is_completely_sent {
             let Connection {
                 io, buffer, codec, ..
             } = connection;
             let (mut reading, mut writing) = io.split();
-            let unsent = &request.ready[taken..];
+            let unsent = &request.ready[sent_bytes..];
             let mut sending = std::pin::pin!(send_rest(&mut writing, unsent, request.rest.as_mut()));
             loop {
-                let heard = std::pin::pin!(read_head(&mut reading, buffer, codec));
-                let head = match select(heard, sending.as_mut()).await {
+                let receiving = std::pin::pin!(read_head(&mut reading, buffer, codec));
+                let head = match select(receiving, sending.as_mut()).await {
                     Either::Left((head, _)) => head?,
-                    Either::Right((sent, _)) => break sent?,
+                    Either::Right((result, _)) => break result?,
                 };
                 let summary = headers::summarize(&head, self.id.as_ref(), self.expects_no_body);
-                match self.attempt.head(summary) {
-                    HeadAction::Ours => return Ok(head),
+                match self.attempt.on_head(summary) {
+                    HeadAction::Accepted => return Ok(head),
                     HeadAction::Interim => {}
-                    // Its body would have to be passed over meanwhile.
+                    // The body of the unmatched response would have to be skipped while sending.
                     HeadAction::Unmatched | HeadAction::Broken => return Err(ExchangeError::Unmatched),
                 }
             }
@@ -99,7 +100,7 @@
         self.await_head().await
     }
 
-    /// Reads on until a head that is ours.
+    /// Reads until the head of the response to this request.
     async fn await_head(&mut self) -> Result<ResponseHead, ExchangeError> {
         loop {
             let connection = self.connection.as_mut().ok_or(ExchangeError::Closed)?;
@@ -108,10 +109,10 @@
             } = connection;
             let head = read_head(io, buffer, codec).await?;
             let summary = headers::summarize(&head, self.id.as_ref(), self.expects_no_body);
-            match self.attempt.head(summary) {
-                HeadAction::Ours => return Ok(head),
+            match self.attempt.on_head(summary) {
+                HeadAction::Accepted => return Ok(head),
                 HeadAction::Interim => {}
-                // A surplus answer to another request stands where ours is due.
+                // A surplus response to another request arrived before the expected one.
                 HeadAction::Unmatched => {
                     let connection = self.connection.take().ok_or(ExchangeError::Closed)?;
                     self.connection = Some(skip_body(connection).await?);
@@ -121,7 +122,7 @@
         }
     }
 
-    /// What a failed call means for its request.
+    /// Returns the error of a failed call, by what is known of the execution of its request.
     pub(super) fn error(&self) -> CallError {
         match self.attempt.outcome() {
             Outcome::NotRun => CallError::NotSent,
@@ -129,14 +130,14 @@
         }
     }
 
-    /// Whether the peer seems to have closed the connection before the call.
+    /// Returns whether the peer appears to have closed the connection before the call.
     pub(super) fn seems_stale(&self) -> bool {
-        let is_silent = self.connection.as_ref().is_some_and(|c| c.buffer.is_empty());
-        is_silent && self.attempt.phase() < Phase::ResponseStarted
+        let has_received_nothing = self.connection.as_ref().is_some_and(|c| c.buffer.is_empty());
+        has_received_nothing && self.attempt.phase() < Phase::ResponseStarted
     }
 }
 
-/// Reads the body of an answer that is not ours.
+/// Reads and discards the body of a response to another request.
 async fn skip_body(connection: Connection) -> Result<Connection, ExchangeError> {
     if connection.codec.message_type() == MessageType::None {
         return Ok(connection);
--- a/crates/pebblepond/src/upstream/mod.rs
+++ b/crates/pebblepond/src/upstream/mod.rs
@@ -1,12 +1,13 @@
-//! HTTP/1.1 calls to workers and the platform, on connections whose fate is decided here:
-//! `actix-http`'s codec over a plain stream. What `awc` would decide in silence (retries, pooling,
-//! what a lost connection means) is explicit.
+//! HTTP/1.1 calls to workers and the platform. They use the codec of `actix-http` over a plain
+//! stream, so that decisions that `awc` would make implicitly (retries, pooling, the meaning of a
+//! lost connection) are explicit here.
 //!
-//! - [`Upstream::call`] makes one call; what its answer proves is an [`Outcome`];
+//! - [`Upstream::call`] makes one call; what its response proves is an [`Outcome`];
 //! - [`pool`] keeps idle connections;
-//! - [`exchange`] sends a request and finds the head of its answer;
+//! - [`exchange`] sends a request and finds the head of its response;
 //! - [`connection`] reads and writes messages;
-//! - [`api_call`] is the short form for calls to the platform and to a worker's own interface.
+//! - [`api_call`] is the short form for calls to the platform and to the control interface of a
+//!   worker.
 
 mod api_call;
 mod connection;
@@ -16,7 +17,7 @@
 
 pub use api_call::{call_api, ApiCall, ApiResponse};
 
-use crate::http_headers::number;
+use crate::http_headers::parse_number;
 use crate::sockets::{self, is_quiet};
 use actix_http::h1::MessageType;
 use actix_http::header::HeaderMap;
@@ -36,83 +37,84 @@
 /// A stream of the parts of a body.
 pub type BodyParts = Pin<Box<dyn Stream<Item = io::Result<Bytes>>>>;
 
-/// The body of a call.
+/// Body of a request.
 pub enum RequestBody {
-    /// All of it.
-    Whole(Bytes),
-    /// Passed on as it comes.
+    /// The complete body.
+    Buffered(Bytes),
+    /// The body is streamed as it is received.
     Streamed {
-        /// What has come.
+        /// The part that has been received.
         first: Bytes,
-        /// What is still to come.
+        /// The part that is still to be received.
         rest: BodyParts,
-        /// The length, bytes, if it is known.
+        /// Total length in bytes, if it is known.
         length: Option<u64>,
     },
 }
 
-/// Why a call has no answer.
+/// Reason why a call has no response.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum CallError {
-    /// Not one byte went out.
-    #[error("nothing was sent")]
+    /// No byte of the request was sent.
+    #[error("no byte of the request was sent")]
     NotSent,
-    /// Something may have arrived, and nothing usable came back.
-    #[error("sent, without a usable answer")]
+    /// A part of the request may have arrived, and no usable response was received.
+    #[error("request sent, but no usable response received")]
     Unclear,
 }
 
-/// The body of an answer.
+/// Body of a response.
 pub enum ResponseBody {
-    /// All of it.
-    Whole(Bytes),
-    /// Passed on as it comes, with its length in bytes if it is known.
+    /// The complete body.
+    Buffered(Bytes),
+    /// The body is streamed as it is received, with its length in bytes if it is known.
     Streamed(BodyParts, Option<u64>),
 }
 
-/// The answer to a call.
+/// Response to a call.
 pub struct UpstreamResponse {
-    /// Status of the answer.
+    /// Status of the response.
     pub status: StatusCode,
-    /// Headers of the answer.
+    /// Headers of the response.
     pub headers: HeaderMap,
-    /// Body of the answer.
+    /// Body of the response.
     pub body: ResponseBody,
-    /// What it proves of the request.
+    /// What the response proves about the execution of the request.
     pub outcome: Outcome,
 }
 
-/// How one call is to be made.
+/// Options of one call.
 pub struct CallOptions {
-    /// An idle connection may have rested this long, ms; 0 asks for a new one.
+    /// Longest idle time of a pooled connection that may be used, in milliseconds; 0 requires a new
+    /// connection.
     pub max_idle_ms: u64,
-    /// Time to connect in, ms.
+    /// Time limit for connecting, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// Bytes without an acknowledgement end the connection after this time, ms.
+    /// Time after which unacknowledged bytes end the connection, in milliseconds.
     pub user_timeout_ms: u64,
-    /// How the answer is matched with the request.
+    /// How the response is matched with the request.
     pub matching: ResponseMatching,
 }
 
-/// How an answer is told from those to other requests.
+/// How a response is distinguished from responses to other requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ResponseMatching {
-    /// It echoes the id of the request, which must not run twice.
+    /// The response echoes the id of the request, which must not run twice.
     IdNonIdempotent,
-    /// It echoes the id of the request.
+    /// The response echoes the id of the request.
     Id,
-    /// By the connection alone: the peer echoes nothing.
+    /// Only the connection matches the response: the peer echoes no id.
     Connection,
 }
 
-/// The node's connections to workers and the platform.
+/// Connections of the node to workers and the platform.
 pub struct Upstream {
     config: ServiceConfig,
     pool: ConnectionPool,
 }
 
 impl Upstream {
-    /// Without any connection.
+    /// Creates an instance without connections.
     pub fn new() -> Rc<Upstream> {
         Rc::new(Upstream {
             config: ServiceConfig::default(),
@@ -120,17 +122,18 @@
         })
     }
 
-    /// Drops idle connections that are past use.
+    /// Closes idle connections whose idle time limit has passed.
     pub fn sweep(&self) {
         self.pool.sweep();
     }
 
-    /// Drops the idle connections to an address.
+    /// Closes the idle connections to an address.
     pub fn forget(&self, address: &str) {
         self.pool.forget(address);
     }
 
-    /// A connection to make a call on, and how long it has rested if it did.
+    /// Returns a connection for a call, and for how long it has been idle if it was taken from the
+    /// pool.
     async fn connection(
         &self,
         address: &str,
@@ -138,8 +141,8 @@
     ) -> Result<(Connection, Option<Duration>), CallError> {
         if options.max_idle_ms > 0 {
             let idle = self.pool.take(address, options.max_idle_ms, options.matching);
-            if let Some((connection, rested)) = idle {
-                return Ok((connection, Some(rested)));
+            if let Some((connection, idle_time)) = idle {
+                return Ok((connection, Some(idle_time)));
             }
         }
         let io = sockets::connect_for(address, options.connect_timeout_ms, options.user_timeout_ms)
@@ -151,7 +154,7 @@
         Ok((Connection::new(io, self.config.clone()), None))
     }
 
-    /// Makes one call. Bodies up to [`c::BUFFERED_BODY_BYTES`] come back whole.
+    /// Makes one call. Bodies of up to [`c::BUFFERED_BODY_BYTES`] are returned completely.
     pub async fn call(
         self: &Rc<Self>,
         address: &str,
@@ -165,18 +168,19 @@
                 headers::single_value(&head.headers, headers::ATTEMPT_ID).cloned()
             }
         };
-        // Without an id the connection matches, so no other request may use it.
+        // Without an id only the connection matches the response, so no other request may use it.
         let is_exclusive = id.is_none() && options.matching != ResponseMatching::Connection;
         if is_exclusive {
             options.max_idle_ms = 0;
         }
-        let (connection, rested) = self.connection(address, &options).await?;
+        let (connection, idle_time) = self.connection(address, &options).await?;
         let mut exchange = Exchange::new(connection, id, head.method == Method::HEAD);
         let result = exchange.run(head, body).await;
         let (Ok(head), Some(mut connection)) = (result, exchange.connection.take()) else {
-            // FIXME: the connection has just been taken, so that this never holds; see ROADMAP.md.
-            if let (Some(rested), true) = (rested, exchange.seems_stale()) {
-                self.pool.note_stale(rested);
+            // FIXME: the connection was taken above, so that this condition never holds; see
+            // ROADMAP.md.
+            if let (Some(idle_time), true) = (idle_time, exchange.seems_stale()) {
+                self.pool.note_stale(idle_time);
             }
             return Err(exchange.error());
         };
@@ -198,18 +202,18 @@
     }
 }
 
-/// What follows once an answer has come whole.
+/// Work that follows when a response has been received completely.
 struct Completion {
     upstream: Rc<Upstream>,
     address: String,
     attempt: Attempt,
-    /// How long the connection may rest, ms.
+    /// Time for which the connection may stay idle, in milliseconds.
     idle_ms: u64,
 }
 
 impl Completion {
-    /// What the answer proves. Its connection, if it goes on, is kept if the attempt lets another
-    /// request use it.
+    /// Completes the attempt and returns what its response proves. The connection, if it stays
+    /// open, is kept in the pool if the attempt allows another request on it.
     fn complete(mut self, connection: Option<Connection>) -> Outcome {
         self.attempt.on_complete();
         if let Some(connection) = connection {
@@ -223,7 +227,7 @@
     }
 }
 
-/// Reads the body that follows a head, whole if it is small.
+/// Reads the body that follows a head; a small body is read completely.
 async fn read_response(
     head: ResponseHead,
     connection: Connection,
@@ -232,7 +236,7 @@
     let mut response = UpstreamResponse {
         status: head.status,
         headers: head.headers,
-        body: ResponseBody::Whole(Bytes::new()),
+        body: ResponseBody::Buffered(Bytes::new()),
         outcome: Outcome::MayHaveRun,
     };
     if connection.codec.message_type() == MessageType::None {
@@ -240,22 +244,22 @@
         return Ok(response);
     }
     let mut reader = BodyReader::new(connection);
-    let mut whole = BytesMut::new();
-    while whole.len() <= c::BUFFERED_BODY_BYTES {
+    let mut buffered = BytesMut::new();
+    while buffered.len() <= c::BUFFERED_BODY_BYTES {
         match reader.next_part().await? {
-            Some(part) if whole.is_empty() => whole = BytesMut::from(part),
-            Some(part) => whole.extend_from_slice(&part),
+            Some(part) if buffered.is_empty() => buffered = BytesMut::from(part),
+            Some(part) => buffered.extend_from_slice(&part),
             None => {
                 response.outcome = completion.complete(reader.into_connection());
-                response.body = ResponseBody::Whole(whole.freeze());
+                response.body = ResponseBody::Buffered(buffered.freeze());
                 return Ok(response);
             }
         }
     }
-    let length = number(&response.headers, "Content-Length");
+    let length = parse_number(&response.headers, "Content-Length");
     response.outcome = completion.attempt.outcome();
     let rest = StreamedBody {
-        first: Some(whole.freeze()),
+        first: Some(buffered.freeze()),
         reader,
         completion,
     };
@@ -263,7 +267,7 @@
     Ok(response)
 }
 
-/// The body of an answer that is passed on as it comes.
+/// A response body that is streamed as it is received.
 struct StreamedBody {
     first: Option<Bytes>,
     reader: BodyReader,
@@ -283,7 +287,10 @@
                     body.completion.complete(body.reader.into_connection());
                     None
                 }
-                Err(_) => Some((Err(io::Error::other("the worker broke off")), None)),
+                Err(_) => Some((
+                    Err(io::Error::other("response body ended early or is malformed")),
+                    None,
+                )),
             }
         }))
     }
--- a/crates/pebblepond/src/upstream/pool.rs
+++ b/crates/pebblepond/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections by address, and how long one may rest.
+//! Pool of idle connections by address, with limits on their idle time.
 
 use super::connection::Connection;
 use super::ResponseMatching;
@@ -8,32 +8,32 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// A connection that rests.
+/// An idle connection in the pool.
 pub(super) struct IdleConnection {
     pub(super) connection: Connection,
     pub(super) since: Instant,
-    /// The peer may end it from then on.
+    /// Time from which the peer may close the connection.
     until: Instant,
 }
 
-/// Peers have lately closed connections that rested.
+/// Temporarily reduced limit on the idle time, set after a peer closed an idle connection.
 #[derive(Clone, Copy)]
-struct IdleCaution {
-    /// How long a connection may rest for now, ms.
+struct ReducedIdleLimit {
+    /// Idle time up to which a connection may be used, in milliseconds.
     max_idle_ms: u64,
-    /// Until when that holds.
+    /// Time until which the limit applies.
     until: Instant,
 }
 
-/// The idle connections of a node.
+/// Pool of the idle connections of a node.
 #[derive(Default)]
 pub(super) struct ConnectionPool {
     pub(super) idle: RefCell<HashMap<String, Vec<IdleConnection>>>,
-    caution: Cell<Option<IdleCaution>>,
+    reduced_limit: Cell<Option<ReducedIdleLimit>>,
 }
 
 impl ConnectionPool {
-    /// Drops connections that are past use.
+    /// Closes connections whose idle time limit has passed.
     pub(super) fn sweep(&self) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|_, connections| {
@@ -42,34 +42,38 @@
         });
     }
 
-    /// Drops the connections to an address.
+    /// Closes the connections to an address.
     pub(super) fn forget(&self, address: &str) {
         self.idle.borrow_mut().remove(address);
     }
 
-    /// A connection that had rested for this long ended under a call: for a
-    /// while none is used again that has rested half as long.
-    pub(super) fn note_stale(&self, rested: Duration) {
-        let half_ms = rested.as_millis() as u64 / 2;
-        self.caution.set(Some(IdleCaution {
-            max_idle_ms: self.cautious(half_ms),
+    /// Records that a connection that had been idle for `idle_time` was closed by the peer when it
+    /// was used. For a while, connections that have been idle for half as long or longer are not
+    /// used.
+    pub(super) fn note_stale(&self, idle_time: Duration) {
+        let half_idle_ms = idle_time.as_millis() as u64 / 2;
+        self.reduced_limit.set(Some(ReducedIdleLimit {
+            max_idle_ms: self.effective_max_idle_ms(half_idle_ms),
             until: Instant::now() + Duration::from_millis(c::STALE_CONNECTION_CAUTION_MS),
         }));
     }
 
-    /// The least of this time and what caution allows, ms.
-    fn cautious(&self, max_idle_ms: u64) -> u64 {
-        match self.caution.get() {
-            Some(caution) if Instant::now() < caution.until => max_idle_ms.min(caution.max_idle_ms),
+    /// Returns the lower of the given limit and the temporarily reduced limit, in milliseconds.
+    fn effective_max_idle_ms(&self, max_idle_ms: u64) -> u64 {
+        match self.reduced_limit.get() {
+            Some(reduced_limit) if Instant::now() < reduced_limit.until => {
+                max_idle_ms.min(reduced_limit.max_idle_ms)
+            }
             _ => max_idle_ms,
         }
     }
 
-    /// A connection to an address that has rested no longer than this, and how long it has.
+    /// Takes a connection to an address that has been idle for less than `max_idle_ms`, and returns
+    /// it with its idle time.
     ///
-    /// A connection whose last answer bore no id is passed over for a request that must not run
-    /// twice. If there is no other, the oldest such one is dropped: the new connection stands in
-    /// its place, so that the worker does not get more of them.
+    /// A connection whose last response had no id is skipped for a request that must not run twice.
+    /// If there is no other, the oldest skipped connection is closed: the new connection replaces
+    /// it, so that the worker does not get more connections.
     pub(super) fn take(
         &self,
         address: &str,
@@ -77,35 +81,35 @@
         matching: ResponseMatching,
     ) -> Option<(Connection, Duration)> {
         let now = Instant::now();
-        let max_idle = Duration::from_millis(self.cautious(max_idle_ms));
+        let max_idle = Duration::from_millis(self.effective_max_idle_ms(max_idle_ms));
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(address)?;
         let is_usable = |idle: &IdleConnection| {
-            let has_rested = now.duration_since(idle.since);
-            has_rested < max_idle
+            let idle_time = now.duration_since(idle.since);
+            idle_time < max_idle
                 && now < idle.until
                 && idle.connection.buffer.is_empty()
                 && is_quiet(&idle.connection.io)
         };
-        let mut passed_over = None;
+        let mut skipped = None;
         for i in (0..connections.len()).rev() {
             if matching == ResponseMatching::IdNonIdempotent && connections[i].connection.lacks_id {
-                passed_over = Some(i);
+                skipped = Some(i);
                 continue;
             }
             let candidate = connections.remove(i);
             if is_usable(&candidate) {
                 return Some((candidate.connection, now.duration_since(candidate.since)));
             }
-            passed_over = passed_over.map(|p| p - 1);
+            skipped = skipped.map(|p| p - 1);
         }
-        if let Some(i) = passed_over {
+        if let Some(i) = skipped {
             connections.remove(i);
         }
         None
     }
 
-    /// Keeps a connection that may rest so long, ms.
+    /// Adds a connection that may stay idle for `idle_ms` milliseconds.
     pub(super) fn put(&self, address: String, connection: Connection, idle_ms: u64) {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(address).or_default();
