--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -12,11 +12,11 @@
 pub struct Locality {
     /// Number of nodes that accept clients, including this node.
     pub nodes: usize,
-    /// Index of this node among them, from 0.
+    /// Index of this node among the nodes that accept clients, from 0.
     pub number: usize,
     /// Number of nodes in the zone of this node that accept clients, including this node.
     pub nodes_in_zone: usize,
-    /// Index of this node among the nodes of its zone, from 0.
+    /// Index of this node among the nodes of its zone that accept clients, from 0.
     pub number_in_zone: usize,
 }
 
--- a/crates/balancer/tests/attempt.rs
+++ b/crates/balancer/tests/attempt.rs
@@ -17,7 +17,7 @@
     IdIgnored,
     ResentAfterSomeBytes,
     PromisedAfterSomeBytes,
-    WorkerRefusalTaken,
+    WorkerRefusalTrusted,
     ConnectionWithoutIdReused,
     /// The second attempt may use the connection of the first.
     ConnectionUsedTwice,
@@ -75,8 +75,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Event {
-    /// A request is sent; the flag tells whether stray bytes on pooled connections have arrived and
-    /// are noticed.
+    /// A request is sent; the flag tells whether stray bytes on pooled connections have already
+    /// arrived, so that these connections are not used.
     Start(usize, bool),
     Write(usize, bool),
     Timeout(usize),
@@ -116,8 +116,8 @@
         }
     }
 
-    fn may_promise(&self, histories: &AttemptHistory) -> bool {
-        histories.may_promise_not_executed() || self.fault == Fault::PromisedAfterSomeBytes
+    fn may_promise(&self, history: &AttemptHistory) -> bool {
+        history.may_promise_not_executed() || self.fault == Fault::PromisedAfterSomeBytes
     }
 
     /// Ends the attempt of a request.
@@ -134,14 +134,14 @@
             outcome,
             Outcome::NotRun | Outcome::UnprovenRejection | Outcome::MayHaveRun
         );
-        let is_own_refusal = w.connections[index]
+        let is_worker_refusal = w.connections[index]
             .last_response
             .as_ref()
             .is_some_and(|response| response.status == 503 && !response.not_executed);
         w.states[r] = match outcome {
             Outcome::Answered => unreachable!("handled when its response is delivered"),
             _ if timed_out => RequestState::Done(ClientResult::Unknown),
-            _ if is_own_refusal && self.fault == Fault::WorkerRefusalTaken => {
+            _ if is_worker_refusal && self.fault == Fault::WorkerRefusalTrusted => {
                 RequestState::Done(ClientResult::NotExecuted)
             }
             _ if may_retry && w.histories[r].may_repeat() && w.sends[r] < self.limit => RequestState::Waiting,
@@ -442,7 +442,7 @@
         Fault::IdIgnored,
         Fault::ResentAfterSomeBytes,
         Fault::PromisedAfterSomeBytes,
-        Fault::WorkerRefusalTaken,
+        Fault::WorkerRefusalTrusted,
         Fault::ConnectionWithoutIdReused,
         Fault::ConnectionUsedTwice,
     ] {
--- a/crates/pebblepond/src/balancer_actor.rs
+++ b/crates/pebblepond/src/balancer_actor.rs
@@ -110,7 +110,7 @@
     client_zones: HashMap<IpAddr, String>,
     /// Time of the last report, in milliseconds.
     reported_at: u64,
-    /// Reports received since then from the nodes that follow this one, by their site.
+    /// Reports that the nodes that follow this one have sent since the last report, merged by site.
     relayed_reports: BTreeMap<String, Report>,
 }
 
@@ -177,8 +177,8 @@
         placement::draw_site(&self.state.fractions, service, group, random, |_| true).map(str::to_string)
     }
 
-    /// Sends the leader the counts of this node since the last report, and the reports of the nodes
-    /// that follow it.
+    /// Sends the counts of this node since the last report, and the reports of the nodes that
+    /// follow it, to the voter that this node follows or to the leader.
     fn report(&mut self) {
         let now = self.context.now();
         let interval_ms = now - self.reported_at;
--- a/crates/pebblepond/src/forwarding_tests.rs
+++ b/crates/pebblepond/src/forwarding_tests.rs
@@ -1,5 +1,5 @@
-//! The forwarding path over real sockets: a proxy, and simulated workers that
-//! do what a test tells them. Nothing here depends on how long things take.
+//! Tests of the forwarding path over real sockets: a proxy and simulated workers that follow a
+//! script. No test depends on how long things take.
 
 use crate::kernel::{start_all_but, NodeContext, NodeStatus};
 use crate::proxy::Proxy;
@@ -13,36 +13,37 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What a stand-in does with the connection's next request.
+/// Action of a simulated worker on the next request of a connection.
 #[derive(Clone)]
 enum WorkerStep {
     /// Sends these bytes.
-    Say(String),
-    /// Sends these bytes and closes.
-    SayAndClose(String),
-    /// Closes without a word.
+    Respond(String),
+    /// Sends these bytes and closes the connection.
+    RespondAndClose(String),
+    /// Closes the connection without a response.
     Close,
-    /// Says nothing at all.
+    /// Sends nothing and keeps the connection open.
     Hang,
 }
 
 #[derive(Default)]
 struct WorkerScript {
     steps: RefCell<Vec<WorkerStep>>,
-    /// Requests as they arrived.
+    /// Received requests, in the order of their arrival.
     received: RefCell<Vec<String>>,
     connections: RefCell<usize>,
     closed: RefCell<usize>,
 }
 
 fn ok(body: &str) -> WorkerStep {
-    WorkerStep::Say(format!(
+    WorkerStep::Respond(format!(
         "HTTP/1.1 200 OK\r\nAttempt-Id: 7\r\nServer-Seal: s\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     ))
 }
 
-/// Reads one request with a length, or none.
+/// Reads one request, with a body if it has a `Content-Length`; returns `None` at the end of the
+/// connection.
 pub(crate) async fn read_request(io: &mut TcpStream) -> Option<String> {
     let mut got = Vec::new();
     let mut byte = [0u8; 1];
@@ -64,13 +65,13 @@
     Some(String::from_utf8_lossy(&got).into_owned())
 }
 
-async fn worker(steps: Vec<WorkerStep>) -> (Rc<WorkerScript>, String) {
+async fn start_worker(steps: Vec<WorkerStep>) -> (Rc<WorkerScript>, String) {
     let script = Rc::new(WorkerScript {
         steps: RefCell::new(steps),
         ..Default::default()
     });
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds to a port");
+    let address = listener.local_addr().expect("has a local address").to_string();
     let shared = script.clone();
     actix_rt::spawn(async move {
         while let Ok((mut io, _)) = listener.accept().await {
@@ -79,18 +80,18 @@
             actix_rt::spawn(async move {
                 while let Some(request) = read_request(&mut io).await {
                     script.received.borrow_mut().push(request);
-                    let act = if script.steps.borrow().len() > 1 {
+                    let step = if script.steps.borrow().len() > 1 {
                         script.steps.borrow_mut().remove(0)
                     } else {
                         script.steps.borrow()[0].clone()
                     };
-                    match act {
-                        WorkerStep::Say(text) => {
+                    match step {
+                        WorkerStep::Respond(text) => {
                             if io.write_all(text.as_bytes()).await.is_err() {
                                 break;
                             }
                         }
-                        WorkerStep::SayAndClose(text) => {
+                        WorkerStep::RespondAndClose(text) => {
                             let _ = io.write_all(text.as_bytes()).await;
                             return;
                         }
@@ -109,13 +110,13 @@
     (script, address)
 }
 
-/// A port that nobody listens on, below those that the kernel hands out: there
-/// another test's connection could take it before it is listened on.
+/// Returns a port on which nobody listens, below the kernel's ephemeral ports: a connection of
+/// another test could take an ephemeral port before this test listens on it.
 pub(crate) fn free_port() -> u16 {
-    static TAKEN: AtomicU32 = AtomicU32::new(0);
+    static ATTEMPTS: AtomicU32 = AtomicU32::new(0);
     loop {
-        let taken = TAKEN.fetch_add(1, Ordering::Relaxed);
-        let port = 10_000 + ((std::process::id() * 61 + taken) % 20_000) as u16;
+        let attempt = ATTEMPTS.fetch_add(1, Ordering::Relaxed);
+        let port = 10_000 + ((std::process::id() * 61 + attempt) % 20_000) as u16;
         if std::net::TcpListener::bind(("127.0.0.1", port)).is_ok() {
             return port;
         }
@@ -129,14 +130,14 @@
       {"Name":"once","RouteType":"non_idempotent","Condition":{"PathPrefix":"/once/"},"Treatment":{"Service":"s","Timeout":"20s","AttemptLimit":2}}]}],
     "Groups":[{"Name":"s","ConnectionLimit":100}]}"#;
 
-/// A proxy whose service has these workers; it may send as many further attempts
-/// as it likes. The address clients use.
-pub(crate) async fn proxy(workers: &[String]) -> SocketAddrV4 {
-    node(workers).await.1
+/// Starts a proxy whose service has these workers, with a retry budget that is large enough for
+/// every test; returns the address for clients.
+pub(crate) async fn start_proxy(workers: &[String]) -> SocketAddrV4 {
+    start_node(workers).await.1
 }
 
-/// The same, with its context.
-pub(crate) async fn node(workers: &[String]) -> (Rc<NodeContext>, SocketAddrV4) {
+/// Starts a proxy as `start_proxy` does; returns its context as well.
+pub(crate) async fn start_node(workers: &[String]) -> (Rc<NodeContext>, SocketAddrV4) {
     let port = free_port();
     let text = format!(
         r#"
@@ -160,15 +161,15 @@
         RetryRatio = 5.0
         "#
     );
-    let settings = Settings::parse(&text).expect("settings");
+    let settings = Settings::parse(&text).expect("valid settings");
     let node = NodeContext::new(settings, String::new(), 0);
     let mut state = ControlState::default();
-    let order = ConfigurationCommand {
+    let command = ConfigurationCommand {
         base: 0,
         body: CONFIG.into(),
         ..Default::default()
     };
-    state.apply(1, &Change::encode(ChangeKind::Replace(order)));
+    state.apply(1, &Change::encode(ChangeKind::Replace(command)));
     let put = workers
         .iter()
         .enumerate()
@@ -207,12 +208,12 @@
             "counter_log",
         ],
     )
-    .expect("starts");
+    .expect("components start");
     (node, SocketAddrV4::new([127, 0, 0, 1].into(), port))
 }
 
-/// Sends bytes and reads until the proxy closes.
-pub(crate) async fn raw(proxy: SocketAddrV4, text: &str) -> String {
+/// Sends bytes and reads until the proxy closes the connection.
+pub(crate) async fn send_raw(proxy: SocketAddrV4, text: &str) -> String {
     let mut io = TcpStream::connect(proxy).await.expect("connects");
     io.write_all(text.as_bytes()).await.expect("sends");
     let mut got = Vec::new();
@@ -228,18 +229,20 @@
     format!("POST {path} HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: 7\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-pub(crate) fn status(answer: &str) -> &str {
-    answer.split(' ').nth(1).unwrap_or("")
+pub(crate) fn status(response: &str) -> &str {
+    response.split(' ').nth(1).unwrap_or("")
 }
 
 #[actix_rt::test]
-async fn what_goes_through_is_unchanged_but_for_the_connection() {
-    let (script, address) = worker(vec![ok("fine")]).await;
-    let proxy = proxy(&[address]).await;
-    let answer = raw(proxy, &get("/again/x%20y?q=%2F")).await;
+async fn forwarded_messages_are_unchanged_except_for_hop_by_hop_headers() {
+    let (script, address) = start_worker(vec![ok("fine")]).await;
+    let proxy = start_proxy(&[address]).await;
+    let response = send_raw(proxy, &get("/again/x%20y?q=%2F")).await;
     assert!(
-        answer.starts_with("HTTP/1.1 200") && answer.ends_with("fine") && answer.contains("erver-seal: s"),
-        "{answer}"
+        response.starts_with("HTTP/1.1 200")
+            && response.ends_with("fine")
+            && response.contains("erver-seal: s"),
+        "{response}"
     );
     let received = script.received.borrow()[0].to_lowercase();
     assert!(
@@ -256,277 +259,303 @@
         received.contains("deadline-ms: ") && received.contains("attempt-id: 7"),
         "{received}"
     );
-    let answer = raw(proxy, &post("/once/a", "body")).await;
-    assert_eq!(status(&answer), "200");
+    let response = send_raw(proxy, &post("/once/a", "body")).await;
+    assert_eq!(status(&response), "200");
     assert!(script.received.borrow()[1].ends_with("\r\n\r\nbody"));
 }
 
 #[actix_rt::test]
-async fn once_means_once_and_a_promise_is_given_only_where_it_holds() {
-    for (act, wanted) in [
+async fn non_idempotent_request_is_sent_once_and_refused_only_if_not_executed() {
+    for (step, expected) in [
         (WorkerStep::Close, "502"),
-        (WorkerStep::Say("nonsense\r\n\r\n".into()), "502"),
+        (WorkerStep::Respond("nonsense\r\n\r\n".into()), "502"),
         (
-            WorkerStep::Say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".into()),
+            WorkerStep::Respond("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".into()),
             "502",
         ),
         (
-            WorkerStep::SayAndClose(
+            WorkerStep::RespondAndClose(
                 "HTTP/1.1 200 OK\r\nAttempt-Id: 7\r\nServer-Seal: s\r\nContent-Length: 9\r\n\r\nhalf".into(),
             ),
             "502",
         ),
         (
-            WorkerStep::Say("HTTP/1.1 503 No\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n".into()),
+            WorkerStep::Respond("HTTP/1.1 503 No\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n".into()),
             "503",
         ),
         (
-            WorkerStep::Say("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n".into()),
+            WorkerStep::Respond("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n".into()),
             "503",
         ),
         (
-            WorkerStep::Say("HTTP/1.1 500 No\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n".into()),
+            WorkerStep::Respond("HTTP/1.1 500 No\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n".into()),
             "500",
         ),
     ] {
-        let (script, address) = worker(vec![act]).await;
-        let proxy = proxy(&[address]).await;
-        let answer = raw(proxy, &post("/once/a", "body")).await;
-        assert_eq!(status(&answer), wanted, "{answer}");
+        let (script, address) = start_worker(vec![step]).await;
+        let proxy = start_proxy(&[address]).await;
+        let response = send_raw(proxy, &post("/once/a", "body")).await;
+        assert_eq!(status(&response), expected, "{response}");
         assert_eq!(script.received.borrow().len(), 1);
-        assert_eq!(answer.contains("etry-after"), wanted == "503", "{answer}");
+        assert_eq!(response.contains("etry-after"), expected == "503", "{response}");
     }
 }
 
 #[actix_rt::test]
-async fn a_request_turned_away_goes_to_another_worker_and_a_broken_one_only_if_it_may() {
-    let shed = WorkerStep::Say("HTTP/1.1 503 No\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n".into());
-    let (_, a) = worker(vec![shed.clone(), ok("a")]).await;
-    let (_, b) = worker(vec![shed, ok("b")]).await;
-    let front_address = proxy(&[a, b]).await;
-    // The first worker turns it away, the second too; then both are well.
-    assert_eq!(status(&raw(front_address, &post("/once/a", "x")).await), "503");
-    let (broken, a) = worker(vec![WorkerStep::Close]).await;
-    let (also, b) = worker(vec![WorkerStep::Close]).await;
-    let front_address = proxy(&[a, b]).await;
-    assert_eq!(status(&raw(front_address, &get("/again/a")).await), "502");
+async fn rejected_request_is_retried_and_failed_one_only_if_idempotent() {
+    let rejection =
+        WorkerStep::Respond("HTTP/1.1 503 No\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n".into());
+    let (_, a) = start_worker(vec![rejection.clone(), ok("a")]).await;
+    let (_, b) = start_worker(vec![rejection, ok("b")]).await;
+    let front_address = start_proxy(&[a, b]).await;
+    // Both workers reject the request; afterwards both would answer.
     assert_eq!(
-        broken.received.borrow().len() + also.received.borrow().len(),
+        status(&send_raw(front_address, &post("/once/a", "x")).await),
+        "503"
+    );
+    let (broken, a) = start_worker(vec![WorkerStep::Close]).await;
+    let (other_broken, b) = start_worker(vec![WorkerStep::Close]).await;
+    let front_address = start_proxy(&[a, b]).await;
+    assert_eq!(status(&send_raw(front_address, &get("/again/a")).await), "502");
+    assert_eq!(
+        broken.received.borrow().len() + other_broken.received.borrow().len(),
         2,
-        "each worker once, and no silent repeat"
+        "one attempt per worker, without implicit retries"
     );
 }
 
 #[actix_rt::test]
 async fn stray_bytes_never_reach_the_next_request() {
     let stray = "HTTP/1.1 200 OK\r\nAttempt-Id: 7\r\nServer-Seal: s\r\nContent-Length: 1\r\n\r\n1HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
-    let (script, address) = worker(vec![WorkerStep::Say(stray.into()), ok("right")]).await;
-    let proxy = proxy(&[address]).await;
-    assert!(raw(proxy, &get("/again/a")).await.ends_with("\r\n\r\n1"));
-    assert!(raw(proxy, &get("/again/b")).await.ends_with("right"));
+    let (script, address) = start_worker(vec![WorkerStep::Respond(stray.into()), ok("right")]).await;
+    let proxy = start_proxy(&[address]).await;
+    assert!(send_raw(proxy, &get("/again/a")).await.ends_with("\r\n\r\n1"));
+    assert!(send_raw(proxy, &get("/again/b")).await.ends_with("right"));
     assert_eq!(
         *script.connections.borrow(),
         2,
-        "the connection with stray bytes was not used again"
+        "the connection with stray bytes must not be reused"
     );
 }
 
 #[actix_rt::test]
-async fn a_surplus_answer_in_the_place_of_the_next_is_passed_over() {
-    let stale = "HTTP/1.1 200 OK\r\nAttempt-Id: 6\r\nServer-Seal: s\r\nContent-Length: 5\r\n\r\nwrong";
-    let WorkerStep::Say(right) = ok("right") else {
+async fn surplus_response_before_the_expected_one_is_skipped() {
+    let surplus = "HTTP/1.1 200 OK\r\nAttempt-Id: 6\r\nServer-Seal: s\r\nContent-Length: 5\r\n\r\nwrong";
+    let WorkerStep::Respond(right) = ok("right") else {
         return;
     };
-    let (script, address) = worker(vec![WorkerStep::Say(format!("{stale}{right}")), ok("next")]).await;
-    let front_address = proxy(&[address]).await;
-    assert!(raw(front_address, &post("/once/a", "x")).await.ends_with("right"));
-    assert!(raw(front_address, &post("/once/a", "x")).await.ends_with("next"));
+    let (script, address) =
+        start_worker(vec![WorkerStep::Respond(format!("{surplus}{right}")), ok("next")]).await;
+    let front_address = start_proxy(&[address]).await;
+    assert!(send_raw(front_address, &post("/once/a", "x"))
+        .await
+        .ends_with("right"));
+    assert!(send_raw(front_address, &post("/once/a", "x"))
+        .await
+        .ends_with("next"));
     assert_eq!(
         (script.received.borrow().len(), *script.connections.borrow()),
         (2, 2),
-        "run once each, and not on the connection that had strayed"
+        "each request runs once, and the second on a new connection"
     );
-    // Nothing but a stranger's answer is no answer; nor is a success without an id.
-    let nameless = stale.replace("Attempt-Id: 6\r\n", "");
-    for only in [stale, &nameless] {
-        let (_, address) = worker(vec![WorkerStep::SayAndClose(only.into())]).await;
-        let front_address = proxy(&[address]).await;
-        assert_eq!(status(&raw(front_address, &post("/once/a", "x")).await), "502");
+    // A response to another request does not count as a response, and neither does a success
+    // without an id.
+    let without_id = surplus.replace("Attempt-Id: 6\r\n", "");
+    for response in [surplus, &without_id] {
+        let (_, address) = start_worker(vec![WorkerStep::RespondAndClose(response.into())]).await;
+        let front_address = start_proxy(&[address]).await;
+        assert_eq!(
+            status(&send_raw(front_address, &post("/once/a", "x")).await),
+            "502"
+        );
     }
 }
 
 #[actix_rt::test]
-async fn an_address_that_another_worker_has_is_tried_once() {
+async fn address_reused_by_another_worker_is_tried_once() {
     let other = "HTTP/1.1 421 No\r\nNot-Executed: 1\r\nInstance-Id: x\r\nContent-Length: 0\r\n\r\n";
-    let (gone, a) = worker(vec![WorkerStep::Say(other.into())]).await;
-    let (_, b) = worker(vec![ok("b")]).await;
-    let front_address = proxy(&[a, b]).await;
+    let (replaced, a) = start_worker(vec![WorkerStep::Respond(other.into())]).await;
+    let (_, b) = start_worker(vec![ok("b")]).await;
+    let front_address = start_proxy(&[a, b]).await;
     for _ in 0..10 {
-        assert_eq!(status(&raw(front_address, &post("/once/a", "x")).await), "200");
+        assert_eq!(
+            status(&send_raw(front_address, &post("/once/a", "x")).await),
+            "200"
+        );
     }
     assert!(
-        gone.received.borrow().len() <= 1,
-        "it answers at once, and is no use"
+        replaced.received.borrow().len() <= 1,
+        "a worker with the wrong identity must not be preferred for its fast answers"
     );
 }
 
 #[actix_rt::test]
-async fn a_node_about_to_end_refuses_at_once_what_it_could_not_finish() {
-    let (script, address) = worker(vec![ok("fine")]).await;
-    let (node, front_address) = node(&[address]).await;
+async fn node_that_refuses_requests_answers_503_immediately() {
+    let (script, address) = start_worker(vec![ok("fine")]).await;
+    let (node, front_address) = start_node(&[address]).await;
     node.shutting_down.set(true);
-    assert_eq!(status(&raw(front_address, &post("/once/a", "x")).await), "200");
+    assert_eq!(
+        status(&send_raw(front_address, &post("/once/a", "x")).await),
+        "200"
+    );
     node.refusing_requests.set(true);
-    let answer = raw(front_address, &post("/once/a", "x")).await;
+    let response = send_raw(front_address, &post("/once/a", "x")).await;
     assert!(
-        status(&answer) == "503" && answer.contains("etry-after"),
-        "{answer}"
+        status(&response) == "503" && response.contains("etry-after"),
+        "{response}"
     );
     assert_eq!(script.received.borrow().len(), 1);
 }
 
-/// Guards against requests that run and are cut off by the end of the process (LOST; review
-/// case 3): one is taken only if what it may last fits into what is left.
+/// Guards against requests that are running when the process ends and are aborted (LOST; review
+/// case 3): a request is accepted only if its deadline is within the remaining time.
 #[actix_rt::test]
-async fn a_node_that_shuts_down_takes_only_what_can_end_in_time() {
-    let (script, address) = worker(vec![ok("fine")]).await;
-    let (node, front_address) = node(&[address]).await;
+async fn node_that_shuts_down_accepts_only_requests_that_can_finish_in_time() {
+    let (script, address) = start_worker(vec![ok("fine")]).await;
+    let (node, front_address) = start_node(&[address]).await;
     let mut settings = (*node.settings.get()).clone();
     settings.terms.bounds.grace_period.ms = 6000;
     node.settings.set(settings);
-    let leaving = node.clone();
-    actix_rt::spawn(async move { crate::shutdown::shut_down(&leaving).await });
+    let node_to_stop = node.clone();
+    actix_rt::spawn(async move { crate::shutdown::shut_down(&node_to_stop).await });
     while !node.shutting_down.get() {
         actix_rt::task::yield_now().await;
     }
-    // By the route it may last 20 s.
-    let answer = raw(front_address, &post("/once/a", "x")).await;
+    // The route allows the request to take 20 s.
+    let response = send_raw(front_address, &post("/once/a", "x")).await;
     assert!(
-        status(&answer) == "503" && answer.contains("etry-after"),
-        "{answer}"
+        status(&response) == "503" && response.contains("etry-after"),
+        "{response}"
     );
-    let within =
+    let request_with_deadline =
         |ms: u64| post("/once/a", "x").replace("Attempt-Id", &format!("Deadline-Ms: {ms}\r\nAttempt-Id"));
-    let answer = raw(front_address, &within(5_900)).await;
-    assert_eq!(status(&answer), "503", "{answer}");
+    let response = send_raw(front_address, &request_with_deadline(5_900)).await;
+    assert_eq!(status(&response), "503", "{response}");
     assert_eq!(script.received.borrow().len(), 0);
-    let answer = raw(front_address, &within(500)).await;
-    assert_eq!(status(&answer), "200", "{answer}");
+    let response = send_raw(front_address, &request_with_deadline(500)).await;
+    assert_eq!(status(&response), "200", "{response}");
 }
 
-/// Waits until so many requests run.
-async fn until_running(node: &NodeContext, wanted: u64) {
-    let proxy = node.get::<Rc<Proxy>>().expect("a proxy");
-    while proxy.running() != wanted {
+/// Waits until the number of running requests is `expected`.
+async fn until_running(node: &NodeContext, expected: u64) {
+    let proxy = node.get::<Rc<Proxy>>().expect("proxy is registered");
+    while proxy.running() != expected {
         actix_rt::time::sleep(std::time::Duration::from_millis(1)).await;
     }
 }
 
-/// Guards against answers that are cut off by the end of the process since only their requests
-/// counted as running (LOST; review case 4): they run until the client has been sent all of it.
+/// Guards against responses that are truncated by the end of the process because only their
+/// requests counted as running (LOST; review case 4): a request counts as running until the client
+/// has been sent the complete response.
 #[actix_rt::test]
-async fn an_answer_that_is_still_being_sent_is_a_running_request() {
-    /// More than sockets hold between a writer and a reader that has stopped, bytes.
+async fn response_that_is_still_being_sent_counts_as_a_running_request() {
+    /// More than sockets buffer between a writer and a reader that has stopped, in bytes.
     const BODY_BYTES: usize = 48 << 20;
-    let (_script, address) = worker(vec![ok(&"x".repeat(BODY_BYTES)), ok("brief")]).await;
-    let (node, front_address) = node(&[address]).await;
-    let proxy = node.get::<Rc<Proxy>>().expect("a proxy");
+    let (_script, address) = start_worker(vec![ok(&"x".repeat(BODY_BYTES)), ok("brief")]).await;
+    let (node, front_address) = start_node(&[address]).await;
+    let proxy = node.get::<Rc<Proxy>>().expect("proxy is registered");
     let mut io = TcpStream::connect(front_address).await.expect("connects");
-    let keep = |path| get(path).replace("Connection: close, X-Hop\r\n", "");
-    io.write_all(keep("/again/long").as_bytes()).await.expect("sends");
-    let mut part = vec![0; 1 << 16];
-    let mut got = io.read(&mut part).await.expect("the head");
-    // The client takes nothing more for a while.
+    let get_keep_alive = |path| get(path).replace("Connection: close, X-Hop\r\n", "");
+    io.write_all(get_keep_alive("/again/long").as_bytes())
+        .await
+        .expect("sends");
+    let mut buffer = vec![0; 1 << 16];
+    let mut got = io.read(&mut buffer).await.expect("reads the head");
+    // The client reads nothing for a while.
     actix_rt::time::sleep(std::time::Duration::from_millis(300)).await;
-    assert_eq!(proxy.running(), 1, "the answer has not been sent");
+    assert_eq!(proxy.running(), 1, "the response has not been sent completely");
     while got < BODY_BYTES {
-        got += io.read(&mut part).await.expect("the body");
+        got += io.read(&mut buffer).await.expect("reads the body");
     }
     until_running(&node, 0).await;
-    // The connection goes on, and with it the count.
-    io.write_all(keep("/again/brief").as_bytes())
+    // The connection stays open, and its requests are still counted.
+    io.write_all(get_keep_alive("/again/brief").as_bytes())
         .await
         .expect("sends");
-    assert!(io.read(&mut part).await.expect("an answer") > 0);
+    assert!(io.read(&mut buffer).await.expect("reads the response") > 0);
     until_running(&node, 0).await;
-    // A client that leaves ends its request.
-    io.write_all(keep("/again/brief").as_bytes())
+    // A client that disconnects ends its request.
+    io.write_all(get_keep_alive("/again/brief").as_bytes())
         .await
         .expect("sends");
     drop(io);
     until_running(&node, 0).await;
 }
 
-/// Guards against requests that are taken between the last look at what runs and the end of the
-/// process (LOST): it ends at once, and what it takes then is cut off, although a worker may have
-/// run it.
+/// Guards against requests that are accepted between the last check for running requests and the
+/// end of the process (LOST): the process ends immediately afterwards, so a request accepted then
+/// is aborted although a worker may have executed it.
 #[actix_rt::test]
-async fn a_node_that_has_decided_to_end_takes_no_request() {
-    let (script, address) = worker(vec![ok("fine")]).await;
-    let (node, front_address) = node(&[address]).await;
+async fn node_accepts_no_request_after_shutdown() {
+    let (script, address) = start_worker(vec![ok("fine")]).await;
+    let (node, front_address) = start_node(&[address]).await;
     let mut settings = (*node.settings.get()).clone();
     settings.terms.bounds.grace_period.ms = 1000;
     node.settings.set(settings);
     crate::shutdown::shut_down(&node).await;
     for request in [post("/once/a", "x"), get("/short/a")] {
-        let answer = raw(front_address, &request).await;
-        assert_eq!(script.received.borrow().len(), 0, "a worker ran it: {answer}");
-        assert_eq!(status(&answer), "503");
+        let response = send_raw(front_address, &request).await;
+        assert_eq!(
+            script.received.borrow().len(),
+            0,
+            "a worker executed the request: {response}"
+        );
+        assert_eq!(status(&response), "503");
     }
 }
 
 #[actix_rt::test]
-async fn a_closing_worker_is_not_called_on_the_same_connection() {
+async fn connection_that_the_worker_closes_is_not_reused() {
     let closing = "HTTP/1.1 200 OK\r\nAttempt-Id: 7\r\nServer-Seal: s\r\nConnection: close\r\nContent-Length: 1\r\n\r\n1";
-    let (script, address) = worker(vec![WorkerStep::Say(closing.into()), ok("2"), ok("3")]).await;
-    let proxy = proxy(&[address]).await;
+    let (script, address) = start_worker(vec![WorkerStep::Respond(closing.into()), ok("2"), ok("3")]).await;
+    let proxy = start_proxy(&[address]).await;
     for end in ["1", "2", "3"] {
-        assert!(raw(proxy, &get("/again/a")).await.ends_with(end));
+        assert!(send_raw(proxy, &get("/again/a")).await.ends_with(end));
     }
     assert_eq!(
         *script.connections.borrow(),
         2,
-        "the second connection served twice"
+        "the second connection serves two requests"
     );
 }
 
 #[actix_rt::test]
-async fn bad_requests_get_their_status_and_reach_nobody() {
-    let (script, address) = worker(vec![ok("fine")]).await;
-    let proxy = proxy(&[address]).await;
-    let big = "x".repeat(1001);
-    let long = format!(
+async fn invalid_requests_get_an_error_status_and_reach_no_worker() {
+    let (script, address) = start_worker(vec![ok("fine")]).await;
+    let proxy = start_proxy(&[address]).await;
+    let large_body = "x".repeat(1001);
+    let long_header = format!(
         "GET /again/a HTTP/1.1\r\nHost: a.example\r\nX: {}\r\n\r\n",
         "y".repeat(2000)
     );
     let cases = [
         (get("/none/"), "404"),
         ("GET /again/a HTTP/1.1\r\nHost: other.example\r\nConnection: close\r\n\r\n".into(), "404"),
-        (post("/once/a", &big), "413"),
-        (long, "431"),
+        (post("/once/a", &large_body), "413"),
+        (long_header, "431"),
         ("GET /again/a HTTP/1.1\r\nConnection: close\r\n\r\n".into(), "400"),
         ("garbage\r\n\r\n".into(), "400"),
         ("POST /once/a HTTP/1.1\r\nHost: a.example\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n".into(), "400"),
         ("POST /once/a HTTP/1.1\r\nHost: a.example\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nabcde".into(), "400"),
         ("POST /once/a HTTP/1.1\r\nHost: a.example\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n0\r\n\r\n".into(), "400"),
     ];
-    for (request, wanted) in cases {
-        let answer = raw(proxy, &request).await;
-        assert_eq!(status(&answer), wanted, "{request}\n{answer}");
+    for (request, expected) in cases {
+        let response = send_raw(proxy, &request).await;
+        assert_eq!(status(&response), expected, "{request}\n{response}");
         assert_eq!(
-            answer.matches("HTTP/1.1").count(),
+            response.matches("HTTP/1.1").count(),
             1,
-            "one answer and the connection closed: {answer}"
+            "expected one response and a closed connection: {response}"
         );
     }
     assert!(script.received.borrow().is_empty());
 }
 
 #[actix_rt::test]
-async fn out_of_time_is_said_and_a_client_that_leaves_ends_the_try() {
-    let (script, address) = worker(vec![WorkerStep::Hang]).await;
-    let proxy = proxy(&[address]).await;
-    assert_eq!(status(&raw(proxy, &get("/short/a")).await), "504");
+async fn deadline_yields_504_and_client_disconnect_ends_the_attempt() {
+    let (script, address) = start_worker(vec![WorkerStep::Hang]).await;
+    let proxy = start_proxy(&[address]).await;
+    assert_eq!(status(&send_raw(proxy, &get("/short/a")).await), "504");
     let mut io = TcpStream::connect(proxy).await.expect("connects");
     io.write_all(get("/again/a").as_bytes()).await.expect("sends");
     while script.received.borrow().len() < 2 {
@@ -538,7 +567,7 @@
     }
 }
 
-/// Header lines with the values that differ from run to run left out.
+/// Returns the text with the header values that differ from run to run replaced by `*`.
 fn without_values(text: &str) -> String {
     let line = |line: &str| match line.split_once(": ") {
         Some((name, _)) if ["date", "deadline-ms", "host"].contains(&name) => format!("{name}: *"),
@@ -546,16 +575,16 @@
     };
     let mut lines: Vec<String> = text.lines().map(line).collect();
     let end = lines.iter().position(String::is_empty).unwrap_or(lines.len());
-    // Their order differs from run to run.
+    // The order of headers differs from run to run.
     lines[1..end].sort();
     lines.join("\n")
 }
 
 #[actix_rt::test]
-async fn headers_to_workers_and_clients_stay_as_they_were() {
-    let (script, address) = worker(vec![ok("fine")]).await;
-    let proxy = proxy(&[address]).await;
-    let mut announced = Vec::new();
+async fn headers_to_workers_and_clients_match_the_recorded_ones() {
+    let (script, address) = start_worker(vec![ok("fine")]).await;
+    let proxy = start_proxy(&[address]).await;
+    let mut sent_to_clients = Vec::new();
     for request in [
         get("/again/a"),
         post("/once/a", "body"),
@@ -564,7 +593,7 @@
         post("/once/a", &"x".repeat(2000)),
         get("/again/a").replace("X-Kept: 2", &format!("X-Kept: {}", "2".repeat(3000))),
     ] {
-        announced.push(without_values(&raw(proxy, &request).await));
+        sent_to_clients.push(without_values(&send_raw(proxy, &request).await));
     }
     let received: Vec<String> = script
         .received
@@ -572,14 +601,17 @@
         .iter()
         .map(|s| without_values(s))
         .collect();
-    let now = format!(
+    let current = format!(
         "to workers:\n{}\n\nto clients:\n{}\n",
         received.join("\n--\n"),
-        announced.join("\n--\n")
+        sent_to_clients.join("\n--\n")
     );
-    if now != include_str!("../tests/data/headers.txt") {
+    if current != include_str!("../tests/data/headers.txt") {
         let path = std::env::temp_dir().join("headers.txt");
-        std::fs::write(&path, &now).expect("written");
-        panic!("the headers have changed; as they are now: {}", path.display());
+        std::fs::write(&path, &current).expect("writes the headers");
+        panic!(
+            "the headers differ from tests/data/headers.txt; current headers: {}",
+            path.display()
+        );
     }
 }
--- a/crates/pebblepond/src/proxy/attempts.rs
+++ b/crates/pebblepond/src/proxy/attempts.rs
@@ -43,7 +43,8 @@
 }
 
 impl Proxy {
-    /// Forwards a request to one worker after another until one answers.
+    /// Forwards a request to one worker after another until a response may be passed on or no
+    /// further attempt is allowed.
     pub(super) async fn forward(
         &self,
         request: &Request,
--- a/crates/pebblepond/src/proxy/connection.rs
+++ b/crates/pebblepond/src/proxy/connection.rs
@@ -22,7 +22,8 @@
 #[derive(Default)]
 struct Shared {
     is_closing: Cell<bool>,
-    /// Requests whose responses are complete but not yet handed to the kernel completely.
+    /// Guards of the requests whose responses were produced but not yet handed to the kernel
+    /// completely.
     unsent: RefCell<Vec<RunningGuard>>,
 }
 
--- a/crates/pebblepond/src/upstream/exchange.rs
+++ b/crates/pebblepond/src/upstream/exchange.rs
@@ -43,7 +43,8 @@
 }
 
 impl Exchange {
-    /// Creates a call; `id` is set if the response echoes it.
+    /// Creates an exchange on `connection`; `id` is the id of the request, if the response echoes
+    /// it.
     pub(super) fn new(connection: Connection, id: Option<HeaderValue>, expects_no_body: bool) -> Exchange {
         let attempt = match id {
             Some(_) => Attempt::with_id(connection.lacks_id),
--- a/crates/pebblepond/src/upstream/pool.rs
+++ b/crates/pebblepond/src/upstream/pool.rs
@@ -109,7 +109,7 @@
         None
     }
 
-    /// Adds a connection that may stay idle for `idle_ms` milliseconds.
+    /// Adds a connection to the pool, where it may stay idle for `idle_ms` milliseconds.
     pub(super) fn put(&self, address: String, connection: Connection, idle_ms: u64) {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(address).or_default();
