--- a/crates/pebblepond/src/admin_http.rs
+++ b/crates/pebblepond/src/admin_http.rs
@@ -1,5 +1,5 @@
-//! The node's own HTTP interfaces: readiness, control and directory, each an
-//! `actix-web` application on the process's one thread.
+//! The node's HTTP interfaces for readiness, control and directory, served with `actix-web` on the
+//! single thread of the process.
 
 mod rollouts;
 
@@ -27,35 +27,40 @@
 
 inventory::submit! { Component { name: "admin_http", order: 90, start } }
 
-/// Largest body that control takes, bytes: a configuration of many thousand routes.
+/// Maximum size of a request body on the control interface, in bytes: enough for a configuration
+/// with many thousand routes.
 const MAX_CONTROL_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 fn start(context: &Rc<NodeContext>) -> Result<(), StartError> {
-    let points = context.settings.get().network.listen_points.clone();
-    let mut seen = BTreeSet::new();
-    for address in [points.readiness, points.control, points.directory]
-        .into_iter()
-        .flatten()
+    let listen_points = context.settings.get().network.listen_points.clone();
+    let mut served_addresses = BTreeSet::new();
+    for address in [
+        listen_points.readiness,
+        listen_points.control,
+        listen_points.directory,
+    ]
+    .into_iter()
+    .flatten()
     {
-        if seen.insert(address) {
+        if served_addresses.insert(address) {
             serve(context.clone(), address)?;
         }
     }
     Ok(())
 }
 
-/// Serves all interfaces at one address; what is asked for tells them apart.
+/// Serves all interfaces at one address; the request path selects the interface.
 fn serve(context: Rc<NodeContext>, address: SocketAddrV4) -> Result<(), StartError> {
     let listener = sockets::listen(address).map_err(|source| StartError::Listen { address, source })?;
-    let data = web::Data::new(Shared(context));
+    let data = web::Data::new(SharedContext(context));
     let app = App::new()
         .app_data(data)
         .app_data(web::PayloadConfig::new(MAX_CONTROL_BODY_BYTES))
         .route("/readiness", web::get().to(readiness))
         .route("/resolution", web::get().to(resolution))
-        .route("/configuration/replace", web::post().to(replace))
-        .route("/configuration/modify", web::post().to(modify))
-        .route("/configuration/read", web::get().to(read))
+        .route("/configuration/replace", web::post().to(replace_configuration))
+        .route("/configuration/modify", web::post().to(modify_configuration))
+        .route("/configuration/read", web::get().to(read_configuration))
         .route("/evacuation/{zone}/{what}", web::post().to(evacuate))
         .route("/rollouts/begin", web::post().to(rollouts::begin))
         .route("/rollouts/list", web::get().to(rollouts::list))
@@ -90,10 +95,10 @@
     Ok(())
 }
 
-/// The node's context, for handlers; everything runs on one thread.
-struct Shared(Rc<NodeContext>);
+/// The node's context for the request handlers, which all run on one thread.
+struct SharedContext(Rc<NodeContext>);
 
-async fn readiness(context: web::Data<Shared>) -> HttpResponse {
+async fn readiness(context: web::Data<SharedContext>) -> HttpResponse {
     if context.0.is_ready() {
         HttpResponse::Ok().finish()
     } else {
@@ -101,8 +106,8 @@
     }
 }
 
-/// Runs a command and answers with what came of it.
-async fn run_command(context: &NodeContext, request: &HttpRequest, command: Command) -> HttpResponse {
+/// Executes a command and converts its result into the HTTP response.
+async fn execute_command(context: &NodeContext, request: &HttpRequest, command: Command) -> HttpResponse {
     let Some(driver) = context.get::<Addr<RaftDriver>>() else {
         return HttpResponse::ServiceUnavailable().finish();
     };
@@ -121,37 +126,45 @@
         response.insert_header((header::RETRY_AFTER, "0.2"));
     }
     if status == StatusCode::TEMPORARY_REDIRECT {
-        // The node that the body names first.
+        // Redirects to the first node in the body.
         let body: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
         if let Some(node) = body["Nodes"][0].as_str() {
-            let to = format!("http://{node}{}", request.uri());
-            response.insert_header((header::LOCATION, to));
+            let location = format!("http://{node}{}", request.uri());
+            response.insert_header((header::LOCATION, location));
         }
     }
     response.content_type("application/json").body(answer.body)
 }
 
-/// An answer that says what is wrong.
+/// Builds a JSON error response with the given text.
 fn error_response(status: StatusCode, text: &str) -> HttpResponse {
     HttpResponse::build(status).json(serde_json::json!({ "ErrorText": text }))
 }
 
-/// A body, or why it could not be read.
-type Body = Result<web::Bytes, actix_web::Error>;
+/// Request body, or the error that occurred while reading it.
+type RequestBody = Result<web::Bytes, actix_web::Error>;
 
-async fn replace(context: web::Data<Shared>, request: HttpRequest, body: Body) -> HttpResponse {
-    change(&context.0, &request, body, Command::Replace).await
+async fn replace_configuration(
+    context: web::Data<SharedContext>,
+    request: HttpRequest,
+    body: RequestBody,
+) -> HttpResponse {
+    change_configuration(&context.0, &request, body, Command::Replace).await
 }
 
-async fn modify(context: web::Data<Shared>, request: HttpRequest, body: Body) -> HttpResponse {
-    change(&context.0, &request, body, Command::Modify).await
+async fn modify_configuration(
+    context: web::Data<SharedContext>,
+    request: HttpRequest,
+    body: RequestBody,
+) -> HttpResponse {
+    change_configuration(&context.0, &request, body, Command::Modify).await
 }
 
-/// A change to the configuration, on top of the version that it names.
-async fn change(
+/// Executes a configuration change, which is based on the version in `Base-Version`.
+async fn change_configuration(
     context: &NodeContext,
     request: &HttpRequest,
-    body: Body,
+    body: RequestBody,
     kind: fn(ConfigurationCommand) -> Command,
 ) -> HttpResponse {
     let base = match base_version(request.headers()) {
@@ -171,42 +184,43 @@
         body: body.to_vec(),
         ..Default::default()
     };
-    run_command(context, request, kind(change)).await
+    execute_command(context, request, kind(change)).await
 }
 
-/// Digits of the largest number of a version.
+/// Maximum number of decimal digits of a version.
 const MAX_VERSION_DIGITS: usize = 20;
 
-/// What is wrong with a `Base-Version` header.
+/// Error in the `Base-Version` header of a request.
 #[derive(Debug, PartialEq, thiserror::Error)]
 enum BaseVersionError {
-    /// There is none.
+    /// The header is missing.
     #[error("is missing")]
     Missing,
-    /// There are several.
+    /// The header occurs more than once.
     #[error("is given more than once")]
     Repeated,
-    /// It is no whole number.
+    /// The value is not an unsigned decimal integer.
     #[error("is no number")]
-    NoNumber,
-    /// It has more digits than a version can have.
+    NotANumber,
+    /// The value has more digits than a version can have.
     #[error("is too long")]
     TooLong,
-    /// No version is so large.
+    /// The value is larger than the largest version.
     #[error("is too large")]
     TooLarge,
 }
 
-/// The version that a change builds on: one whole number, given once.
+/// Parses the version that a change is based on from the `Base-Version` header, which must occur
+/// exactly once.
 fn base_version(headers: &header::HeaderMap) -> Result<u64, BaseVersionError> {
     let mut values = headers.get_all("Base-Version");
     let value = values.next().ok_or(BaseVersionError::Missing)?;
     if values.next().is_some() {
         return Err(BaseVersionError::Repeated);
     }
-    let text = value.to_str().map_err(|_| BaseVersionError::NoNumber)?.trim();
+    let text = value.to_str().map_err(|_| BaseVersionError::NotANumber)?.trim();
     if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
-        return Err(BaseVersionError::NoNumber);
+        return Err(BaseVersionError::NotANumber);
     }
     if text.len() > MAX_VERSION_DIGITS {
         return Err(BaseVersionError::TooLong);
@@ -214,16 +228,16 @@
     text.parse().map_err(|_| BaseVersionError::TooLarge)
 }
 
-async fn read(context: web::Data<Shared>, request: HttpRequest) -> HttpResponse {
-    run_command(&context.0, &request, Command::ReadConfiguration(true)).await
+async fn read_configuration(context: web::Data<SharedContext>, request: HttpRequest) -> HttpResponse {
+    execute_command(&context.0, &request, Command::ReadConfiguration(true)).await
 }
 
-async fn status(context: web::Data<Shared>, request: HttpRequest) -> HttpResponse {
-    run_command(&context.0, &request, Command::Status(true)).await
+async fn status(context: web::Data<SharedContext>, request: HttpRequest) -> HttpResponse {
+    execute_command(&context.0, &request, Command::Status(true)).await
 }
 
 async fn evacuate(
-    context: web::Data<Shared>,
+    context: web::Data<SharedContext>,
     request: HttpRequest,
     path: web::Path<(String, String)>,
 ) -> HttpResponse {
@@ -240,7 +254,7 @@
         zone: zone.clone(),
         begin,
     };
-    let answer = run_command(&context.0, &request, Command::Evacuate(change)).await;
+    let answer = execute_command(&context.0, &request, Command::Evacuate(change)).await;
     let status = answer.status().as_u16();
     log::info!("event=evacuation_command zone={zone} what={what} status={status}");
     answer
@@ -257,11 +271,11 @@
     zone: String,
 }
 
-/// Where a client should go: the site is drawn by the placement, and all its
-/// ready proxies are the answer. Those of the client's own zone alone would leave
-/// it with nothing when the zone loses power and the directory with it.
+/// Returns the proxies that a client should use: draws a site according to the placement and returns
+/// the ready proxies of that site. Returning only those of the client's own zone would leave the
+/// client without any proxy when that zone loses power, including its directory.
 async fn resolution(
-    context: web::Data<Shared>,
+    context: web::Data<SharedContext>,
     request: HttpRequest,
     query: web::Query<ResolutionQuery>,
 ) -> HttpResponse {
@@ -276,11 +290,11 @@
         });
     }
     let members = context.members.get();
-    let up: Vec<&Member> = members
+    let ready_proxies: Vec<&Member> = members
         .iter()
         .filter(|m| m.is_alive() && m.is_ready && !m.client_address.is_empty())
         .collect();
-    let addresses = choose_proxies(context, &query, &up);
+    let addresses = choose_proxies(context, &query, &ready_proxies);
     if addresses.is_empty() {
         return HttpResponse::ServiceUnavailable()
             .insert_header((header::RETRY_AFTER, "0.2"))
@@ -291,26 +305,27 @@
         .json(serde_json::json!({ "Addresses": addresses, "Validity": format!("{validity}ms") }))
 }
 
-fn choose_proxies(context: &NodeContext, query: &ResolutionQuery, up: &[&Member]) -> Vec<String> {
+fn choose_proxies(context: &NodeContext, query: &ResolutionQuery, ready_proxies: &[&Member]) -> Vec<String> {
     let state = context.state.get();
     let mut rng = rand::thread_rng();
-    let site = draw_site(&state, query, up, &mut rng);
-    let known = up.iter().any(|m| m.region == query.region);
+    let site = draw_site(&state, query, ready_proxies, &mut rng);
+    let is_region_up = ready_proxies.iter().any(|m| m.region == query.region);
     let site = site.unwrap_or_else(|| {
-        // No figures: the client's own region, or anywhere if none is up there.
-        if known {
+        // No site can be drawn: use the client's own region, or any region if it has no ready
+        // proxy.
+        if is_region_up {
             query.region.clone()
         } else {
             String::new()
         }
     });
-    let mut addresses: Vec<String> = up
+    let mut addresses: Vec<String> = ready_proxies
         .iter()
         .filter(|m| site.is_empty() || m.region == site)
         .map(|m| m.client_address.clone())
         .collect();
     if addresses.is_empty() {
-        addresses = up.iter().map(|m| m.client_address.clone()).collect();
+        addresses = ready_proxies.iter().map(|m| m.client_address.clone()).collect();
     }
     addresses.shuffle(&mut rng);
     addresses.truncate(c::DIRECTORY_MAX_ADDRESSES);
@@ -320,7 +335,7 @@
 fn draw_site(
     state: &control_state::ControlState,
     query: &ResolutionQuery,
-    up: &[&Member],
+    ready_proxies: &[&Member],
     rng: &mut impl Rng,
 ) -> Option<String> {
     let config = state.configuration.as_ref()?;
@@ -332,6 +347,6 @@
         .map(|s| &*s.service)
         .collect();
     let service = services.choose(rng)?;
-    let usable = |site: &str| up.iter().any(|m| m.region == site);
+    let usable = |site: &str| ready_proxies.iter().any(|m| m.region == site);
     placement::draw_site(&state.fractions, service, &query.zone, rng.gen(), usable).map(str::to_string)
 }
--- a/crates/pebblepond/src/admin_http/rollouts.rs
+++ b/crates/pebblepond/src/admin_http/rollouts.rs
@@ -1,6 +1,6 @@
-//! The operator's interface to rollouts.
+//! The control interface for rollouts.
 
-use super::{error_response, run_command, Shared};
+use super::{error_response, execute_command, SharedContext};
 use actix_web::http::StatusCode;
 use actix_web::{web, HttpRequest, HttpResponse};
 use config::DurationText;
@@ -9,10 +9,10 @@
 use serde::Deserialize;
 use validator::Validate;
 
-/// Who is taken for the author of a change that names none.
-const UNNAMED_OPERATOR: &str = "operator";
+/// Author recorded for a change that names none.
+const DEFAULT_AUTHOR: &str = "operator";
 
-/// The body of a request to begin; fields that are not known are passed over.
+/// Body of a request to begin a rollout; unknown fields are ignored.
 #[derive(Deserialize, Validate)]
 #[serde(rename_all = "PascalCase")]
 struct BeginBody {
@@ -27,18 +27,18 @@
     why: String,
 }
 
-/// The body of a request to change a rollout.
+/// Body of a request to change a rollout.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 struct ChangeBody {
     who: String,
     why: String,
-    /// The version of the rollout that it rests on; 0 for whichever is newest.
+    /// Version of the rollout that the change is based on; 0 for the latest.
     expected: u64,
     bypass: bool,
 }
 
-/// The body of a request to turn the kill switch.
+/// Body of a request to turn the kill switch on or off.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct KillSwitchBody {
@@ -49,7 +49,7 @@
     why: String,
 }
 
-/// The first thing that is wrong with a body, with its field.
+/// Returns the first validation error of a body, prefixed with the name of its field.
 fn first_error(errors: &validator::ValidationErrors) -> String {
     let fields = errors.field_errors();
     let first = fields.iter().next();
@@ -64,7 +64,11 @@
 }
 
 /// Begins a rollout.
-pub async fn begin(context: web::Data<Shared>, request: HttpRequest, body: web::Bytes) -> HttpResponse {
+pub async fn begin(
+    context: web::Data<SharedContext>,
+    request: HttpRequest,
+    body: web::Bytes,
+) -> HttpResponse {
     let begin: BeginBody = match serde_json::from_slice(&body) {
         Ok(begin) => begin,
         Err(e) => return error_response(StatusCode::BAD_REQUEST, &format!("the body cannot be read: {e}")),
@@ -79,32 +83,32 @@
             duration_ms: begin.duration.ms,
         }),
         who: if begin.who.is_empty() {
-            UNNAMED_OPERATOR.into()
+            DEFAULT_AUTHOR.into()
         } else {
             begin.who
         },
         why: begin.why,
     };
-    run_command(&context.0, &request, Command::BeginRollout(begin)).await
+    execute_command(&context.0, &request, Command::BeginRollout(begin)).await
 }
 
-/// One rollout.
+/// Returns one rollout.
 pub async fn read(
-    context: web::Data<Shared>,
+    context: web::Data<SharedContext>,
     request: HttpRequest,
     service: web::Path<String>,
 ) -> HttpResponse {
-    run_command(&context.0, &request, Command::ReadRollout(service.into_inner())).await
+    execute_command(&context.0, &request, Command::ReadRollout(service.into_inner())).await
 }
 
-/// All rollouts.
-pub async fn list(context: web::Data<Shared>, request: HttpRequest) -> HttpResponse {
-    run_command(&context.0, &request, Command::ReadRollouts(true)).await
+/// Returns all rollouts.
+pub async fn list(context: web::Data<SharedContext>, request: HttpRequest) -> HttpResponse {
+    execute_command(&context.0, &request, Command::ReadRollouts(true)).await
 }
 
 /// Promotes, pauses, resumes, rolls back or cancels a rollout.
 pub async fn change(
-    context: web::Data<Shared>,
+    context: web::Data<SharedContext>,
     request: HttpRequest,
     path: web::Path<(String, String)>,
     body: web::Bytes,
@@ -114,11 +118,11 @@
         let text = "a rollout can be promoted, paused, resumed, rolled back and cancelled";
         return error_response(StatusCode::NOT_FOUND, text);
     };
-    let asked: ChangeBody = if body.is_empty() {
+    let change_body: ChangeBody = if body.is_empty() {
         ChangeBody::default()
     } else {
         match serde_json::from_slice(&body) {
-            Ok(asked) => asked,
+            Ok(change_body) => change_body,
             Err(e) => {
                 return error_response(StatusCode::BAD_REQUEST, &format!("the body cannot be read: {e}"))
             }
@@ -127,21 +131,25 @@
     let change = RolloutChange {
         service,
         action: action as i32,
-        expected: asked.expected,
-        who: if asked.who.is_empty() {
-            UNNAMED_OPERATOR.into()
+        expected: change_body.expected,
+        who: if change_body.who.is_empty() {
+            DEFAULT_AUTHOR.into()
         } else {
-            asked.who
+            change_body.who
         },
-        why: asked.why,
-        bypass: asked.bypass,
+        why: change_body.why,
+        bypass: change_body.bypass,
         ..Default::default()
     };
-    run_command(&context.0, &request, Command::ChangeRollout(change)).await
+    execute_command(&context.0, &request, Command::ChangeRollout(change)).await
 }
 
-/// Turns the kill switch, which stops all rollouts, on or off.
-pub async fn kill_switch(context: web::Data<Shared>, request: HttpRequest, body: web::Bytes) -> HttpResponse {
+/// Turns the kill switch on or off. While it is on, no rollout starts or is promoted.
+pub async fn kill_switch(
+    context: web::Data<SharedContext>,
+    request: HttpRequest,
+    body: web::Bytes,
+) -> HttpResponse {
     let switch: KillSwitchBody = match serde_json::from_slice(&body) {
         Ok(switch) => switch,
         Err(e) => return error_response(StatusCode::BAD_REQUEST, &format!("the body cannot be read: {e}")),
@@ -151,5 +159,5 @@
         who: switch.who,
         why: switch.why,
     };
-    run_command(&context.0, &request, Command::KillSwitch(switch)).await
+    execute_command(&context.0, &request, Command::KillSwitch(switch)).await
 }
--- a/crates/pebblepond/src/cli/call.rs
+++ b/crates/pebblepond/src/cli/call.rs
@@ -1,23 +1,23 @@
-//! Calls to control, with `awc`.
+//! Calls to the control interface, made with `awc`.
 
 use super::{exit, ControlArgs, Failure};
 use std::time::Duration;
 
-/// Wait for one address, ms: the system itself answers within a second.
+/// Time to wait for one address, in milliseconds; the system itself answers within a second.
 const TIMEOUT_MS: u64 = 2000;
-/// Largest answer read, bytes.
+/// Maximum size of a response body, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// The answer of the control interface.
+/// Response of the control interface.
 pub struct ControlResponse {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Body.
+    /// Response body.
     pub body: Vec<u8>,
 }
 
 impl ControlResponse {
-    /// What the system said was wrong.
+    /// Returns the error text of the response, or its status if it has none.
     pub fn error(&self) -> String {
         let value: Option<serde_json::Value> = serde_json::from_slice(&self.body).ok();
         let text = value.as_ref().and_then(|v| v["ErrorText"].as_str());
@@ -25,7 +25,7 @@
     }
 }
 
-/// Makes a call at the first address that answers with anything but a 5xx.
+/// Calls the control addresses in turn and returns the first response whose status is below 500.
 pub fn call(
     control: &ControlArgs,
     method: &str,
@@ -37,7 +37,7 @@
         let client = awc::Client::builder()
             .timeout(Duration::from_millis(TIMEOUT_MS))
             .finish();
-        let mut last = String::from("no address given");
+        let mut last_error = String::from("no address given");
         for address in &control.control {
             let url = format!("http://{address}{path}");
             let mut request = match method {
@@ -47,7 +47,7 @@
             if let Some(base) = base {
                 request = request.insert_header(("Base-Version", base.to_string()));
             }
-            let sent = if body.is_empty() {
+            let result = if body.is_empty() {
                 request.send().await
             } else {
                 request
@@ -55,26 +55,26 @@
                     .send_body(body.clone())
                     .await
             };
-            match sent {
-                Ok(mut answer) => match answer.body().limit(MAX_BODY_BYTES).await {
+            match result {
+                Ok(mut http_response) => match http_response.body().limit(MAX_BODY_BYTES).await {
                     Ok(bytes) => {
                         let response = ControlResponse {
-                            status: answer.status().as_u16(),
+                            status: http_response.status().as_u16(),
                             body: bytes.to_vec(),
                         };
                         if response.status < 500 {
                             return Ok(response);
                         }
-                        last = format!("{address}: {}", response.error());
+                        last_error = format!("{address}: {}", response.error());
                     }
-                    Err(e) => last = format!("{address}: {e}"),
+                    Err(e) => last_error = format!("{address}: {e}"),
                 },
-                Err(e) => last = format!("{address}: {e}"),
+                Err(e) => last_error = format!("{address}: {e}"),
             }
         }
         Err(Failure(
             exit::UNREACHABLE,
-            format!("no control address answered; the last: {last}"),
+            format!("no control address answered; the last: {last_error}"),
         ))
     })
 }
--- a/crates/pebblepond/src/cli/configuration.rs
+++ b/crates/pebblepond/src/cli/configuration.rs
@@ -1,13 +1,13 @@
-//! Reading, sending and comparing the configuration, and evacuations.
+//! Commands that read, send and compare configurations, and that evacuate zones.
 
 use super::call::{call, ControlResponse};
-use super::check::{is_modify, valid_config, valid_modify};
+use super::check::{is_modification, read_valid_configuration, read_valid_modification};
 use super::{exit, CliResult, ControlArgs, Failure};
 use config::{Configuration, Route, Service};
 use std::collections::BTreeMap;
 use std::path::Path;
 
-fn current(control: &ControlArgs) -> Result<Option<Vec<u8>>, Failure> {
+fn fetch_current(control: &ControlArgs) -> Result<Option<Vec<u8>>, Failure> {
     let response = call(control, "GET", "/configuration/read", None, Vec::new())?;
     match response.status {
         200 => Ok(Some(response.body)),
@@ -16,22 +16,24 @@
     }
 }
 
-fn read_current(control: &ControlArgs) -> Result<Option<Configuration>, Failure> {
-    current(control)?.map(|body| parsed(&body)).transpose()
+fn fetch_current_configuration(control: &ControlArgs) -> Result<Option<Configuration>, Failure> {
+    fetch_current(control)?
+        .map(|body| parse_current(&body))
+        .transpose()
 }
 
-fn parsed(body: &[u8]) -> Result<Configuration, Failure> {
-    Configuration::parse(body).map_err(|f| {
+fn parse_current(body: &[u8]) -> Result<Configuration, Failure> {
+    Configuration::parse(body).map_err(|error| {
         Failure(
             exit::REFUSED,
-            format!("the configuration in force cannot be read: {f}"),
+            format!("the configuration in force cannot be read: {error}"),
         )
     })
 }
 
-/// Prints the configuration in force.
+/// Prints the current configuration.
 pub fn get(control: &ControlArgs) -> CliResult {
-    let Some(body) = current(control)? else {
+    let Some(body) = fetch_current(control)? else {
         return Err(Failure(exit::REFUSED, "there is no configuration yet".into()));
     };
     let text = match serde_json::from_slice::<serde_json::Value>(&body) {
@@ -42,28 +44,28 @@
     Ok(())
 }
 
-/// Sends a configuration file.
+/// Sends a configuration file if it is valid.
 pub fn put(file: &Path, base: Option<u64>, control: &ControlArgs) -> CliResult {
-    let (body, config) = valid_config(file)?;
+    let (body, config) = read_valid_configuration(file)?;
     let base = match base {
         Some(base) => base,
-        None => read_current(control)?.map_or(0, |c| c.version),
+        None => fetch_current_configuration(control)?.map_or(0, |c| c.version),
     };
     send(control, "/configuration/replace", base, body, config.version)
 }
 
-/// Sends a file of changes.
+/// Sends a modification file if the resulting configuration is valid.
 pub fn modify(file: &Path, base: Option<u64>, control: &ControlArgs) -> CliResult {
-    let Some(current) = current(control)? else {
+    let Some(current) = fetch_current(control)? else {
         return Err(Failure(
             exit::REFUSED,
             "there is no configuration yet to modify".into(),
         ));
     };
-    let (modification, config) = valid_modify(file, &current)?;
+    let (modification, config) = read_valid_modification(file, &current)?;
     let base = match base {
         Some(base) => base,
-        None => parsed(&current)?.version,
+        None => parse_current(&current)?.version,
     };
     send(
         control,
@@ -74,12 +76,12 @@
     )
 }
 
-/// Sends a change of the configuration and says how it went.
+/// Sends a configuration change and prints the result.
 fn send(control: &ControlArgs, path: &str, base: u64, body: Vec<u8>, version: u64) -> CliResult {
     let response = call(control, "POST", path, Some(base), body)?;
     match response.status {
         200 => {
-            report(control, &format!("version {version} is in force"), "version", version);
+            print_result(control, &format!("version {version} is in force"), "version", version);
             Ok(())
         }
         412 => Err(Failure(
@@ -89,15 +91,15 @@
                 response.error()
             ),
         )),
-        _ => Err(refusal(&response)),
+        _ => Err(rejection(&response)),
     }
 }
 
-fn refusal(response: &ControlResponse) -> Failure {
+fn rejection(response: &ControlResponse) -> Failure {
     Failure(exit::REFUSED, response.error())
 }
 
-fn report(control: &ControlArgs, text: &str, field: &str, value: impl Into<serde_json::Value>) {
+fn print_result(control: &ControlArgs, text: &str, field: &str, value: impl Into<serde_json::Value>) {
     if control.json {
         println!("{}", serde_json::json!({ field: value.into() }));
     } else {
@@ -110,25 +112,25 @@
     let path = format!("/evacuation/{zone}/{what}");
     let response = call(control, "POST", &path, None, Vec::new())?;
     if response.status != 200 {
-        return Err(refusal(&response));
+        return Err(rejection(&response));
     }
     let text = match what {
         "begin" => format!("nothing more goes to the workers of {zone}"),
         _ => format!("{zone} is taken back"),
     };
-    report(control, &text, "zone", zone);
+    print_result(control, &text, "zone", zone);
     Ok(())
 }
 
-/// Prints what a file would change.
+/// Prints the changes that a file would make to the current configuration.
 pub fn diff(file: &Path, control: &ControlArgs) -> CliResult {
-    let current = current(control)?;
+    let current = fetch_current(control)?;
     let new = match &current {
-        Some(current) if is_modify(file) => valid_modify(file, current)?.1,
-        _ => valid_config(file)?.1,
+        Some(current) if is_modification(file) => read_valid_modification(file, current)?.1,
+        _ => read_valid_configuration(file)?.1,
     };
     let lines = match &current {
-        Some(old) => differences(&parsed(old)?, &new),
+        Some(old) => differences(&parse_current(old)?, &new),
         None => vec![format!("+ version {}, the first", new.version)],
     };
     if control.json {
@@ -143,7 +145,7 @@
     }
 }
 
-/// What changes from one configuration to another, a line each.
+/// Lists the differences between two configurations, one line each.
 fn differences(old: &Configuration, new: &Configuration) -> Vec<String> {
     let mut lines = Vec::new();
     let limits = |c: &Configuration| format!("{:?}", c.limits);
@@ -154,21 +156,21 @@
         c.hosts
             .values()
             .flatten()
-            .map(|r| (format!("route {}{}", r.host, r.prefix), show_route(r)))
+            .map(|r| (format!("route {}{}", r.host, r.prefix), describe_route(r)))
             .collect()
     };
     let services = |c: &Configuration| -> BTreeMap<String, String> {
         c.services
             .values()
-            .map(|s| (format!("service {}", s.name), show_service(s)))
+            .map(|s| (format!("service {}", s.name), describe_service(s)))
             .collect()
     };
-    compare(&routes(old), &routes(new), &mut lines);
-    compare(&services(old), &services(new), &mut lines);
+    add_differences(&routes(old), &routes(new), &mut lines);
+    add_differences(&services(old), &services(new), &mut lines);
     lines
 }
 
-fn compare(old: &BTreeMap<String, String>, new: &BTreeMap<String, String>, lines: &mut Vec<String>) {
+fn add_differences(old: &BTreeMap<String, String>, new: &BTreeMap<String, String>, lines: &mut Vec<String>) {
     for (name, before) in old {
         match new.get(name) {
             None => lines.push(format!("- {name}: {before}")),
@@ -181,7 +183,7 @@
     }
 }
 
-fn show_route(r: &Route) -> String {
+fn describe_route(r: &Route) -> String {
     let split: Vec<String> = r
         .split
         .iter()
@@ -199,7 +201,7 @@
     )
 }
 
-fn show_service(s: &Service) -> String {
+fn describe_service(s: &Service) -> String {
     format!(
         "health {} connections {} cold {}/s for {}ms partitioned {}",
         s.health_path, s.connection_limit, s.warmup_rate, s.warmup_period_ms, s.partitioned
--- a/crates/pebblepond/src/cli/configuration_tests.rs
+++ b/crates/pebblepond/src/cli/configuration_tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn every_kind_of_difference_has_its_line() {
+fn each_kind_of_difference_is_listed_on_its_own_line() {
     let old = config("1s", r#",{"Name":"gone"}"#);
     let new = config("2s", r#",{"Name":"new"}"#);
     let lines = differences(&old, &new);
--- a/crates/pebblepond/src/cli/keys.rs
+++ b/crates/pebblepond/src/cli/keys.rs
@@ -1,4 +1,4 @@
-//! Who holds which keys, as the leader's copy of the control state tells it.
+//! Commands that show which workers hold which keys, according to the control state of the leader.
 
 use super::call::call;
 use super::{exit, CliResult, ControlArgs, Failure};
@@ -7,18 +7,18 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// What can be asked about keys.
+/// Subcommands of `keys`.
 #[derive(Subcommand)]
 pub enum KeysCommand {
-    /// Show the ranges of each divided service, by holder, and what is on its way.
+    /// Show the key ranges of each partitioned service with their holders and states.
     List {
-        /// Only this service.
+        /// Show only this service.
         #[arg(long)]
         service: Option<String>,
         #[command(flatten)]
         control: ControlArgs,
     },
-    /// Show who holds one key, in each divided service.
+    /// Show which worker holds a key in each partitioned service.
     Show {
         /// A key, from 0 to 65535.
         #[arg(value_parser = clap::value_parser!(u32).range(..i64::from(KEY_SPACE)))]
@@ -28,35 +28,35 @@
     },
 }
 
-/// Runs such a command.
+/// Runs a `keys` subcommand.
 pub fn run(command: KeysCommand) -> CliResult {
     match command {
         KeysCommand::List { service, control } => {
             let ranges = read(&control)?;
-            let of: Vec<Range> = ranges
+            let selected: Vec<KeyRange> = ranges
                 .into_iter()
                 .filter(|r| service.as_ref().is_none_or(|s| r.service == *s))
                 .collect();
-            if let (Some(service), true) = (&service, of.is_empty()) {
+            if let (Some(service), true) = (&service, selected.is_empty()) {
                 let text = format!("no keys of {service} are held; is it divided?");
                 return Err(Failure(exit::REFUSED, text));
             }
             if control.json {
                 println!(
                     "{}",
-                    json!({"ranges": of.iter().map(Range::shown).collect::<Vec<_>>()})
+                    json!({"ranges": selected.iter().map(KeyRange::to_json).collect::<Vec<_>>()})
                 );
             } else {
-                print!("{}", list(&of));
+                print!("{}", list(&selected));
             }
         }
         KeysCommand::Show { key, control } => {
             let ranges = read(&control)?;
-            let of: Vec<Range> = ranges
+            let selected: Vec<KeyRange> = ranges
                 .into_iter()
                 .filter(|r| r.from <= key && key <= r.to)
                 .collect();
-            if of.is_empty() {
+            if selected.is_empty() {
                 return Err(Failure(
                     exit::REFUSED,
                     format!("no service has key {key} in a range"),
@@ -65,10 +65,10 @@
             if control.json {
                 println!(
                     "{}",
-                    json!({"key": key, "ranges": of.iter().map(Range::shown).collect::<Vec<_>>()})
+                    json!({"key": key, "ranges": selected.iter().map(KeyRange::to_json).collect::<Vec<_>>()})
                 );
             } else {
-                for r in &of {
+                for r in &selected {
                     println!("{}", r.line());
                 }
             }
@@ -77,31 +77,31 @@
     Ok(())
 }
 
-/// A range of a service, as `status` tells it.
+/// Key range of a service, as reported by `/status`.
 #[derive(Debug, PartialEq)]
-struct Range {
+struct KeyRange {
     service: String,
     from: u32,
     to: u32,
     worker: String,
     fence: u64,
-    leaving: bool,
+    is_leaving: bool,
 }
 
-impl Range {
-    fn from_status(h: &Value) -> Option<Range> {
-        Some(Range {
-            service: h["service"].as_str()?.to_string(),
-            from: h["from"].as_u64()? as u32,
-            to: h["to"].as_u64()? as u32,
-            worker: h["worker"].as_str()?.to_string(),
-            fence: h["fence"].as_u64()?,
-            leaving: h["leaving"].as_bool()?,
+impl KeyRange {
+    fn from_status(row: &Value) -> Option<KeyRange> {
+        Some(KeyRange {
+            service: row["service"].as_str()?.to_string(),
+            from: row["from"].as_u64()? as u32,
+            to: row["to"].as_u64()? as u32,
+            worker: row["worker"].as_str()?.to_string(),
+            fence: row["fence"].as_u64()?,
+            is_leaving: row["leaving"].as_bool()?,
         })
     }
 
     fn state(&self) -> &'static str {
-        match (self.worker.is_empty(), self.leaving) {
+        match (self.worker.is_empty(), self.is_leaving) {
             (true, _) => "held by nobody",
             (false, true) => "being taken back",
             (false, false) => "held",
@@ -120,13 +120,13 @@
         )
     }
 
-    fn shown(&self) -> Value {
+    fn to_json(&self) -> Value {
         json!({"service": self.service, "from": self.from, "to": self.to, "worker": self.worker,
             "fence": self.fence, "state": self.state()})
     }
 }
 
-fn read(control: &ControlArgs) -> Result<Vec<Range>, Failure> {
+fn read(control: &ControlArgs) -> Result<Vec<KeyRange>, Failure> {
     let response = call(control, "GET", "/status", None, Vec::new())?;
     if response.status != 200 {
         return Err(Failure(exit::REFUSED, response.error()));
@@ -134,40 +134,40 @@
     let value: Value =
         serde_json::from_slice(&response.body).map_err(|e| Failure(exit::REFUSED, e.to_string()))?;
     let rows = value["holdings"].as_array().cloned().unwrap_or_default();
-    Ok(rows.iter().filter_map(Range::from_status).collect())
+    Ok(rows.iter().filter_map(KeyRange::from_status).collect())
 }
 
-/// Each service's sums first, then its ranges.
-fn list(ranges: &[Range]) -> String {
-    let mut services: BTreeMap<&str, Vec<&Range>> = BTreeMap::new();
+/// Formats the ranges by service: first the totals of the service, then its ranges.
+fn list(ranges: &[KeyRange]) -> String {
+    let mut services: BTreeMap<&str, Vec<&KeyRange>> = BTreeMap::new();
     for r in ranges {
         services.entry(&r.service).or_default().push(r);
     }
-    let mut out = String::new();
+    let mut text = String::new();
     for (service, ranges) in services {
-        let keys = |of: &dyn Fn(&&Range) -> bool| -> u32 {
-            let of = ranges.iter().copied().filter(|r| of(r));
-            of.map(|r| r.to - r.from + 1).sum()
+        let count_keys = |predicate: &dyn Fn(&&KeyRange) -> bool| -> u32 {
+            let matching = ranges.iter().copied().filter(|r| predicate(r));
+            matching.map(|r| r.to - r.from + 1).sum()
         };
         let mut holders: Vec<&str> = ranges.iter().map(|r| r.worker.as_str()).collect();
         holders.retain(|w| !w.is_empty());
         holders.sort_unstable();
         holders.dedup();
-        out += &format!(
+        text += &format!(
             "{service}: {} ranges, {} holders, {} keys on their way, {} held by nobody\n",
             ranges.len(),
             holders.len(),
-            keys(&|r| r.leaving && !r.worker.is_empty()),
-            keys(&|r| r.worker.is_empty()),
+            count_keys(&|r| r.is_leaving && !r.worker.is_empty()),
+            count_keys(&|r| r.worker.is_empty()),
         );
         for r in ranges {
-            out += &format!("  {}\n", r.line());
+            text += &format!("  {}\n", r.line());
         }
     }
-    if out.is_empty() {
-        out = "no service is divided\n".into();
+    if text.is_empty() {
+        text = "no service is divided\n".into();
     }
-    out
+    text
 }
 
 #[cfg(test)]
--- a/crates/pebblepond/src/cli/mod.rs
+++ b/crates/pebblepond/src/cli/mod.rs
@@ -1,5 +1,5 @@
-//! The command line: what an operator types. Everything but `serve` talks to
-//! `control`, or only reads files.
+//! The command line. Every command except `serve` calls the control interface of a node or only
+//! reads files.
 
 mod call;
 mod check;
@@ -13,24 +13,24 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Exit codes; they stay as they are.
+/// Exit codes of the commands, which must not change.
 pub mod exit {
-    /// A difference was found, or the system refused the command.
+    /// A difference was found, or the system rejected the command.
     pub const REFUSED: u8 = 1;
-    /// The command line cannot be read.
+    /// The command line is invalid.
     pub const USAGE: u8 = 2;
     /// A file is missing, unreadable or invalid.
     pub const INVALID: u8 = 3;
     /// No control address answered in time.
     pub const UNREACHABLE: u8 = 4;
-    /// Another version is current.
+    /// The change is based on a version that is no longer current.
     pub const CONFLICT: u8 = 5;
 }
 
-/// Why a command failed: its exit code and one line.
+/// Failure of a command: its exit code and a one-line message.
 pub struct Failure(pub u8, pub String);
 
-/// What a command comes to.
+/// Result of a command.
 type CliResult = Result<(), Failure>;
 
 #[derive(Parser)]
@@ -47,33 +47,33 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a node. The path of the settings file stands in PEBBLEPOND_CONFIG.
+    /// Run a node. The path of the settings file is read from PEBBLEPOND_CONFIG.
     Serve(ServeArgs),
-    /// Check a settings file, a configuration file, or both; lists what is wrong.
+    /// Check a settings file, a configuration file, or both, and list all errors.
     Check(CheckArgs),
     /// Read, send or compare the configuration.
     #[command(subcommand)]
     Config(ConfigCommand),
-    /// Empty a zone's workers, or take that back.
+    /// Begin or finish the evacuation of a zone.
     #[command(subcommand)]
     Evacuate(EvacuateCommand),
-    /// Move services to new versions, and steer that.
+    /// Begin, inspect and control rollouts of new versions.
     #[command(subcommand)]
     Rollout(rollout::RolloutCommand),
-    /// Show who holds which keys.
+    /// Show which workers hold which keys.
     #[command(subcommand)]
     Keys(keys::KeysCommand),
     /// Show leader, members, versions, key holders and fractions.
     Status(ControlArgs),
 }
 
-/// How a node is run.
+/// Arguments of `serve`.
 #[derive(Args)]
 pub struct ServeArgs {
-    /// Pause between two lines of counters in the log, in seconds; 0 for none.
+    /// Interval at which changed counters are logged, in seconds; 0 to disable.
     #[arg(long, default_value_t = config::constants::COUNTERS_INTERVAL_S)]
     pub counters_every: u64,
-    /// Least level of what is logged.
+    /// Minimum level of logged events.
     #[arg(long, default_value = "info", value_parser = ["error", "warn", "info", "debug"])]
     pub log_level: String,
 }
@@ -97,30 +97,30 @@
     /// Control addresses, tried in turn.
     #[arg(long, value_name = "IP:PORT", required = true, value_delimiter = ',')]
     control: Vec<SocketAddrV4>,
-    /// Print the answer as JSON.
+    /// Print the response as JSON.
     #[arg(long)]
     json: bool,
 }
 
 #[derive(Subcommand)]
 enum ConfigCommand {
-    /// Print the newest configuration.
+    /// Print the current configuration.
     Get(ControlArgs),
-    /// Send a configuration file; it is checked first and never sent invalid.
+    /// Check a configuration file and, if it is valid, send it.
     Put {
         /// The configuration file (JSON).
         file: PathBuf,
-        /// The version it rests on; the current one if left out, 0 for the first.
+        /// Version that the file is based on; the current one if omitted, 0 for the first configuration.
         #[arg(long)]
         base: Option<u64>,
         #[command(flatten)]
         control: ControlArgs,
     },
-    /// Change named items; the result is checked first and never sent invalid.
+    /// Change named items; the changes are sent only if the result is valid.
     Modify {
         /// The file of changes (JSON): `Version`, `Upsert`, `Remove`.
         file: PathBuf,
-        /// The version it rests on; the current one if left out.
+        /// Version that the changes are based on; the current one if omitted.
         #[arg(long)]
         base: Option<u64>,
         #[command(flatten)]
@@ -137,13 +137,13 @@
 
 #[derive(Subcommand)]
 enum EvacuateCommand {
-    /// Send nothing more to the workers of a zone.
+    /// Stop sending requests to the workers of a zone.
     Begin {
         zone: String,
         #[command(flatten)]
         control: ControlArgs,
     },
-    /// Take the evacuation of a zone back.
+    /// End the evacuation of a zone.
     Finish {
         zone: String,
         #[command(flatten)]
@@ -151,18 +151,18 @@
     },
 }
 
-/// Runs a command.
+/// Parses the command line and runs the command.
 pub fn run<E: std::fmt::Display>(serve: fn(&ServeArgs) -> Result<(), E>) -> ExitCode {
     let cli = match Cli::try_parse() {
         Ok(cli) => cli,
         Err(e) => {
-            // Help and version are no mistakes.
+            // Requests for the help or the version are not usage errors.
             let code = if e.use_stderr() { exit::USAGE } else { 0 };
             let _ = e.print();
             return ExitCode::from(code);
         }
     };
-    let done = match cli.command {
+    let result = match cli.command {
         Command::Serve(args) => serve(&args).map_err(|e| Failure(exit::INVALID, e.to_string())),
         Command::Check(args) => check::check(
             args.settings.as_deref(),
@@ -187,11 +187,11 @@
         Command::Rollout(command) => rollout::run(command),
         Command::Status(c) => status::status(&c),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failure(code, text)) => {
-            if !text.is_empty() {
-                eprintln!("pebblepond: {text}");
+        Err(Failure(code, message)) => {
+            if !message.is_empty() {
+                eprintln!("pebblepond: {message}");
             }
             ExitCode::from(code)
         }
--- a/crates/pebblepond/src/cli/rollout.rs
+++ b/crates/pebblepond/src/cli/rollout.rs
@@ -1,27 +1,27 @@
-//! Rollouts of versions, as an operator steers them.
+//! Commands with which an operator controls rollouts of new versions.
 
 use super::call::{call, ControlResponse};
 use super::{exit, CliResult, ControlArgs, Failure};
 use clap::{Args, Subcommand};
 use serde_json::{json, Value};
 
-/// What can be done to rollouts.
+/// Subcommands of `rollout`.
 #[derive(Subcommand)]
 pub enum RolloutCommand {
-    /// Show the newest rollout of each service, and what its figures come to.
+    /// Show the latest rollout of each service and its verdict.
     List(ControlArgs),
-    /// Show one rollout with its stages, figures and records.
+    /// Show one rollout with its stage, metrics and records.
     Show {
         service: String,
         #[command(flatten)]
         control: ControlArgs,
     },
-    /// Move a service to the workers of a new version.
+    /// Begin to roll a service out to a new version.
     Begin {
         service: String,
-        /// The version to move to.
+        /// The target version.
         version: String,
-        /// By when it is to be done, as in `90s`.
+        /// Time within which the rollout must complete, for example `90s`.
         #[arg(long)]
         duration: String,
         #[command(flatten)]
@@ -29,24 +29,24 @@
         #[command(flatten)]
         control: ControlArgs,
     },
-    /// Go on to the next stage, if the gate and the figures allow it.
+    /// Advance to the next stage, if the gate and the metrics allow it.
     Promote(ChangeArgs),
-    /// Keep the stage as it is until somebody resumes it; its term goes on.
+    /// Keep the current stage until the rollout is resumed; its duration keeps running.
     Pause(ChangeArgs),
-    /// Go on after a pause.
+    /// Continue a paused rollout.
     Resume(ChangeArgs),
-    /// Restore the split from before.
+    /// Restore the traffic split from before the rollout.
     Rollback(ChangeArgs),
-    /// Give up a rollout that has not started.
+    /// Cancel a rollout that has not started.
     Cancel(ChangeArgs),
-    /// Restore the split from before for every active rollout.
+    /// Roll back every active rollout; cancel those that have not started.
     Panic {
         #[command(flatten)]
         author: Author,
         #[command(flatten)]
         control: ControlArgs,
     },
-    /// While it is on, no rollout starts or is promoted.
+    /// Turn the kill switch on or off; while it is on, no rollout starts or is promoted.
     KillSwitch {
         #[arg(value_parser = ["on", "off"])]
         to: String,
@@ -57,7 +57,7 @@
     },
 }
 
-/// Who does it, and why; both are kept as records.
+/// Author of a change and the reason for it; both are kept in the records of the rollout.
 #[derive(Args)]
 pub struct Author {
     #[arg(long, default_value = "operator")]
@@ -66,15 +66,15 @@
     why: String,
 }
 
-/// A change of a rollout.
+/// Arguments of a command that changes a rollout.
 #[derive(Args)]
 pub struct ChangeArgs {
     service: String,
-    /// The version of the rollout that this rests on (`rollout show`); the newest
-    /// if left out.
+    /// Version of the rollout that the change is based on (see `rollout show`); the latest if
+    /// omitted.
     #[arg(long, default_value_t = 0)]
     expect: u64,
-    /// Pass over the gate; wants a reason of ten letters or more.
+    /// Bypass the gate; requires a reason of at least ten characters.
     #[arg(long, requires = "why")]
     bypass: bool,
     #[command(flatten)]
@@ -83,25 +83,25 @@
     control: ControlArgs,
 }
 
-/// Runs such a command.
+/// Runs a `rollout` subcommand.
 pub fn run(command: RolloutCommand) -> CliResult {
     match command {
         RolloutCommand::List(control) => {
-            let all = read(&control)?;
-            print(&control, &all, list(&all));
+            let listing = read(&control)?;
+            print(&control, &listing, list(&listing));
             Ok(())
         }
         RolloutCommand::Show { service, control } => {
-            let all = read(&control)?;
-            let Some(one) = find(&all, &service) else {
+            let listing = read(&control)?;
+            let Some(rollout) = find(&listing, &service) else {
                 return Err(Failure(
                     exit::REFUSED,
                     format!("there is no rollout of {service}"),
                 ));
             };
-            let figures = &all["Figures"]["rollouts"][&service];
-            let whole = json!({"Rollout": one, "Figures": figures});
-            print(&control, &whole, show(one, figures));
+            let figures = &listing["Figures"]["rollouts"][&service];
+            let details = json!({"Rollout": rollout, "Figures": figures});
+            print(&control, &details, show(rollout, figures));
             Ok(())
         }
         RolloutCommand::Begin {
@@ -125,7 +125,7 @@
         RolloutCommand::Resume(args) => change(&args, "resume"),
         RolloutCommand::Rollback(args) => change(&args, "rollback"),
         RolloutCommand::Cancel(args) => change(&args, "cancel"),
-        RolloutCommand::Panic { author, control } => panic_all(&author, &control),
+        RolloutCommand::Panic { author, control } => roll_back_all(&author, &control),
         RolloutCommand::KillSwitch { to, author, control } => {
             let body = json!({"On": to == "on", "Who": author.who, "Why": author.why});
             post(
@@ -154,15 +154,15 @@
     }
 }
 
-fn rows(all: &Value) -> impl Iterator<Item = &Value> {
-    all["Rollouts"].as_array().into_iter().flatten()
+fn rows(listing: &Value) -> impl Iterator<Item = &Value> {
+    listing["Rollouts"].as_array().into_iter().flatten()
 }
 
-fn find<'a>(all: &'a Value, service: &str) -> Option<&'a Value> {
-    rows(all).find(|r| r["Service"] == service)
+fn find<'a>(listing: &'a Value, service: &str) -> Option<&'a Value> {
+    rows(listing).find(|r| r["Service"] == service)
 }
 
-fn word(value: &Value) -> String {
+fn plain_text(value: &Value) -> String {
     match value {
         Value::String(s) => s.clone(),
         Value::Null => "-".into(),
@@ -170,73 +170,77 @@
     }
 }
 
-fn list(all: &Value) -> String {
-    let mut out = format!(
+fn list(listing: &Value) -> String {
+    let mut output = format!(
         "kill switch {}  emergency level {}\n",
-        if all["KillSwitch"] == true { "on" } else { "off" },
-        word(&all["Figures"]["level"])
+        if listing["KillSwitch"] == true {
+            "on"
+        } else {
+            "off"
+        },
+        plain_text(&listing["Figures"]["level"])
     );
-    for r in rows(all) {
-        let service = word(&r["Service"]);
-        out += &format!(
+    for r in rows(listing) {
+        let service = plain_text(&r["Service"]);
+        output += &format!(
             "{service:20} to {:10} {:12} stage {} share {:<5} version {}  {}\n",
-            word(&r["TargetVersion"]),
-            word(&r["Phase"]),
-            word(&r["Stage"]),
-            word(&r["Share"]),
-            word(&r["Version"]),
-            word(&all["Figures"]["rollouts"][&service]["verdict"]),
+            plain_text(&r["TargetVersion"]),
+            plain_text(&r["Phase"]),
+            plain_text(&r["Stage"]),
+            plain_text(&r["Share"]),
+            plain_text(&r["Version"]),
+            plain_text(&listing["Figures"]["rollouts"][&service]["verdict"]),
         );
     }
-    out
+    output
 }
 
 fn show(r: &Value, figures: &Value) -> String {
-    let mut out = format!(
+    let mut output = format!(
         "{} to {}: {} ({})\nstage {} share {} version {} duration {} elapsed {} ms before {}\n",
-        word(&r["Service"]),
-        word(&r["TargetVersion"]),
-        word(&r["Phase"]),
-        word(&r["State"]),
-        word(&r["Stage"]),
-        word(&r["Share"]),
-        word(&r["Version"]),
-        word(&r["Duration"]),
-        word(&figures["elapsed_ms"]),
-        word(&r["Before"]),
+        plain_text(&r["Service"]),
+        plain_text(&r["TargetVersion"]),
+        plain_text(&r["Phase"]),
+        plain_text(&r["State"]),
+        plain_text(&r["Stage"]),
+        plain_text(&r["Share"]),
+        plain_text(&r["Version"]),
+        plain_text(&r["Duration"]),
+        plain_text(&figures["elapsed_ms"]),
+        plain_text(&r["Before"]),
     );
     if figures.is_object() {
-        out += &format!("verdict {}\n", word(&figures["verdict"]));
+        output += &format!("verdict {}\n", plain_text(&figures["verdict"]));
         for side in ["old", "new"] {
-            let f = &figures[side];
-            out += &format!(
+            let cohort = &figures[side];
+            output += &format!(
                 "  {side}: answered {} errors {} lost {} mean {:.0} ms\n",
-                word(&f["answered"]),
-                word(&f["errors"]),
-                word(&f["lost"]),
-                f["mean_ms"].as_f64().unwrap_or(0.0)
+                plain_text(&cohort["answered"]),
+                plain_text(&cohort["errors"]),
+                plain_text(&cohort["lost"]),
+                cohort["mean_ms"].as_f64().unwrap_or(0.0)
             );
         }
     }
-    for a in r["Records"].as_array().into_iter().flatten() {
-        out += &format!(
+    for record in r["Records"].as_array().into_iter().flatten() {
+        output += &format!(
             "  {:>8} ms {:9} {:10} by {}{}  {}\n",
-            word(&a["elapsed_ms"]),
-            word(&a["action"]),
-            word(&a["target"]),
-            word(&a["who"]),
-            if a["bypass"] == true {
+            plain_text(&record["elapsed_ms"]),
+            plain_text(&record["action"]),
+            plain_text(&record["target"]),
+            plain_text(&record["who"]),
+            if record["bypass"] == true {
                 " (gate passed over)"
             } else {
                 ""
             },
-            word(&a["why"]),
+            plain_text(&record["why"]),
         );
     }
-    out
+    output
 }
 
-fn refusal(response: &ControlResponse) -> Failure {
+fn rejection(response: &ControlResponse) -> Failure {
     let code = if response.status == 412 {
         exit::CONFLICT
     } else {
@@ -248,7 +252,7 @@
 fn post(control: &ControlArgs, path: &str, body: &Value, text: &str) -> CliResult {
     let response = call(control, "POST", path, None, body.to_string().into_bytes())?;
     if response.status != 200 {
-        return Err(refusal(&response));
+        return Err(rejection(&response));
     }
     print(control, &json!({"done": text}), format!("{text}\n"));
     Ok(())
@@ -265,14 +269,14 @@
     )
 }
 
-/// Rolls every active rollout back and says of each how that went.
-fn panic_all(author: &Author, control: &ControlArgs) -> CliResult {
-    let all = read(control)?;
-    let active = rows(&all).filter(|r| r["State"] == "in_progress");
+/// Rolls back or cancels every active rollout and prints the result of each.
+fn roll_back_all(author: &Author, control: &ControlArgs) -> CliResult {
+    let listing = read(control)?;
+    let active = rows(&listing).filter(|r| r["State"] == "in_progress");
     let mut failed = 0;
-    let mut out = Vec::new();
+    let mut results = Vec::new();
     for r in active {
-        let service = word(&r["Service"]);
+        let service = plain_text(&r["Service"]);
         let action = if r["Phase"] == "CREATED" {
             "cancel"
         } else {
@@ -286,18 +290,18 @@
             Err(Failure(_, text)) => text,
         };
         failed += u32::from(text != "restored");
-        out.push(json!({"service": service, "result": text}));
+        results.push(json!({"service": service, "result": text}));
     }
-    let lines: String = out
+    let lines: String = results
         .iter()
-        .map(|r| format!("{}: {}\n", word(&r["service"]), word(&r["result"])))
+        .map(|r| format!("{}: {}\n", plain_text(&r["service"]), plain_text(&r["result"])))
         .collect();
-    let text = if out.is_empty() {
+    let text = if results.is_empty() {
         "no rollout is active\n".into()
     } else {
         lines
     };
-    print(control, &json!({ "rollouts": out }), text);
+    print(control, &json!({ "rollouts": results }), text);
     match failed {
         0 => Ok(()),
         n => Err(Failure(exit::REFUSED, format!("{n} rollouts were not restored"))),
--- a/crates/pebblepond/src/cli/status.rs
+++ b/crates/pebblepond/src/cli/status.rs
@@ -1,4 +1,4 @@
-//! The state of the system, as the leader tells it.
+//! The `status` command: shows the state of the system as the leader reports it.
 
 use super::call::call;
 use super::{exit, CliResult, ControlArgs, Failure};
@@ -24,7 +24,7 @@
     value[name].as_array().cloned().unwrap_or_default()
 }
 
-fn word(value: &Value) -> String {
+fn plain_text(value: &Value) -> String {
     match value {
         Value::String(s) => s.clone(),
         Value::Null => "-".into(),
@@ -32,109 +32,116 @@
     }
 }
 
-/// How the core stands, in the words of the operators' page.
-fn core(c: &Value) -> String {
-    if c.is_null() {
+/// Formats the `core` object of the status in the terms of the operators' page.
+fn describe_core(core: &Value) -> String {
+    if core.is_null() {
         return String::new();
     }
-    let yes = |name: &str| c[name] == Value::Bool(true);
-    let mut out = if !yes("in_contact") {
+    let is_true = |name: &str| core[name] == Value::Bool(true);
+    let mut output = if !is_true("in_contact") {
         format!(
             "THIS NODE IS OUT OF CONTACT: no word of a majority for {} ms; what follows may be old\n",
-            word(&c["silent_ms"])
+            plain_text(&core["silent_ms"])
         )
-    } else if yes("leads") {
-        format!("this node leads, for {} ms\n", word(&c["led_for_ms"]))
+    } else if is_true("leads") {
+        format!("this node leads, for {} ms\n", plain_text(&core["led_for_ms"]))
     } else {
-        format!("this node follows; last word {} ms ago\n", word(&c["silent_ms"]))
+        format!(
+            "this node follows; last word {} ms ago\n",
+            plain_text(&core["silent_ms"])
+        )
     };
-    out += &format!("voters {}, majority {}", word(&c["voters"]), word(&c["majority"]));
-    if yes("leads") {
-        let further = c["further_losses"].as_i64().unwrap_or(0);
-        out += &format!(
+    output += &format!(
+        "voters {}, majority {}",
+        plain_text(&core["voters"]),
+        plain_text(&core["majority"])
+    );
+    if is_true("leads") {
+        let further = core["further_losses"].as_i64().unwrap_or(0);
+        output += &format!(
             "; live {}, caught up {}, learning {}; bears {further} further loss{}{}",
-            word(&c["live"]),
-            word(&c["caught_up"]),
-            word(&c["learning"]),
+            plain_text(&core["live"]),
+            plain_text(&core["caught_up"]),
+            plain_text(&core["learning"]),
             if further == 1 { "" } else { "es" },
-            if yes("bears_tolerance") {
+            if is_true("bears_tolerance") {
                 ""
             } else {
                 ", less than Tolerance"
             },
         );
     }
-    if yes("roll_change_under_way") {
-        out += "; a change of the voters is under way";
+    if is_true("roll_change_under_way") {
+        output += "; a change of the voters is under way";
     }
-    if yes("disk_in_trouble") {
-        out += "; DISK IN TROUBLE";
+    if is_true("disk_in_trouble") {
+        output += "; DISK IN TROUBLE";
     }
-    out += &format!(
+    output += &format!(
         "\nsnapshot at {} ({} bytes), {} entries since; orders remembered: {} configurations, {} others\n\n",
-        word(&c["snapshot_index"]),
-        word(&c["snapshot_bytes"]),
-        word(&c["log_entries"]),
-        word(&c["orders"]["configurations"]),
-        word(&c["orders"]["others"]),
+        plain_text(&core["snapshot_index"]),
+        plain_text(&core["snapshot_bytes"]),
+        plain_text(&core["log_entries"]),
+        plain_text(&core["orders"]["configurations"]),
+        plain_text(&core["orders"]["others"]),
     );
-    out
+    output
 }
 
-fn show(v: &Value) -> String {
-    let mut out = format!(
+fn show(status: &Value) -> String {
+    let mut output = format!(
         "leader {}  term {}  lease {}  commit {}  version {}  workers {}  evacuated {}\n\nmembers\n",
-        word(&v["leader"]),
-        word(&v["term"]),
-        word(&v["lease"]),
-        word(&v["commit"]),
-        word(&v["version"]),
-        word(&v["workers"]),
-        word(&v["evacuated"]),
+        plain_text(&status["leader"]),
+        plain_text(&status["term"]),
+        plain_text(&status["lease"]),
+        plain_text(&status["commit"]),
+        plain_text(&status["version"]),
+        plain_text(&status["workers"]),
+        plain_text(&status["evacuated"]),
     );
-    out = core(&v["core"]) + &out;
-    for m in rows(v, "members") {
+    output = describe_core(&status["core"]) + &output;
+    for member in rows(status, "members") {
         let flags: Vec<&str> = ["alive", "ready", "disk", "votes"]
             .into_iter()
-            .filter(|f| m[*f] == Value::Bool(true))
+            .filter(|flag| member[*flag] == Value::Bool(true))
             .collect();
-        out += &format!(
+        output += &format!(
             "  {:20} {:22} {:10} applied {:>6}  silent {:>6} ms  {}\n",
-            word(&m["name"]),
-            word(&m["address"]),
-            word(&m["zone"]),
-            word(&m["applied"]),
-            word(&m["silent_ms"]),
+            plain_text(&member["name"]),
+            plain_text(&member["address"]),
+            plain_text(&member["zone"]),
+            plain_text(&member["applied"]),
+            plain_text(&member["silent_ms"]),
             flags.join(" ")
         );
     }
-    out += "\nkeys\n";
-    for h in rows(v, "holdings") {
-        out += &format!(
+    output += "\nkeys\n";
+    for holding in rows(status, "holdings") {
+        output += &format!(
             "  {:12} {:>5} to {:>5}  {:16} fence {}{}\n",
-            word(&h["service"]),
-            word(&h["from"]),
-            word(&h["to"]),
-            word(&h["worker"]),
-            word(&h["fence"]),
-            if h["leaving"] == Value::Bool(true) {
+            plain_text(&holding["service"]),
+            plain_text(&holding["from"]),
+            plain_text(&holding["to"]),
+            plain_text(&holding["worker"]),
+            plain_text(&holding["fence"]),
+            if holding["leaving"] == Value::Bool(true) {
                 "  leaving"
             } else {
                 ""
             }
         );
     }
-    out += "\nfractions\n";
-    for f in rows(v, "fractions") {
-        let part = f["part"].as_f64().unwrap_or(0.0);
-        out += &format!(
+    output += "\nfractions\n";
+    for fraction in rows(status, "fractions") {
+        let part = fraction["part"].as_f64().unwrap_or(0.0);
+        output += &format!(
             "  {:12} {:10} {:12} {part:.2}\n",
-            word(&f["service"]),
-            word(&f["group"]),
-            word(&f["site"])
+            plain_text(&fraction["service"]),
+            plain_text(&fraction["group"]),
+            plain_text(&fraction["site"])
         );
     }
-    out
+    output
 }
 
 #[cfg(test)]
--- a/crates/pebblepond/src/cli/status_tests.rs
+++ b/crates/pebblepond/src/cli/status_tests.rs
@@ -1,5 +1,5 @@
 #[test]
-fn shows_what_there_is_and_bears_what_is_missing() {
+fn status_is_shown_even_if_fields_are_missing() {
     let v = serde_json::json!({"leader": true, "term": 3,
         "members": [{"name": "n1", "alive": true, "votes": true, "ready": false}],
         "holdings": [{"service": "s", "from": 0, "to": 9, "worker": "w", "fence": 4, "leaving": true}]});
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn tells_how_the_core_stands() {
+fn the_state_of_the_core_is_shown() {
     let core = serde_json::json!({"leads": false, "silent_ms": 4200, "in_contact": false, "term": 9,
         "voters": 6, "majority": 4, "orders": {"configurations": 12, "ahead": 0, "others": 3},
         "roll_change_under_way": true});
--- a/crates/pebblepond/src/counter_log.rs
+++ b/crates/pebblepond/src/counter_log.rs
@@ -1,4 +1,4 @@
-//! Counters in the log, at a slow pace: only those that have changed.
+//! Logs the counters that have changed, once per interval.
 
 use crate::kernel::{Component, NodeContext, StartError};
 use std::collections::BTreeMap;
@@ -9,24 +9,24 @@
 inventory::submit! { Component { name: "counter_log", order: 110, start } }
 
 fn start(context: &Rc<NodeContext>) -> Result<(), StartError> {
-    let every = context.counters_interval_s;
-    if every == 0 {
+    let interval_s = context.counters_interval_s;
+    if interval_s == 0 {
         return Ok(());
     }
     let context = context.clone();
     actix_rt::spawn(async move {
-        let mut before = BTreeMap::new();
+        let mut previous = BTreeMap::new();
         loop {
-            actix_rt::time::sleep(Duration::from_secs(every)).await;
-            let now = context.counters.all();
+            actix_rt::time::sleep(Duration::from_secs(interval_s)).await;
+            let current = context.counters.all();
             let mut line = String::new();
-            for (name, count) in now.iter().filter(|(n, c)| before.get(*n) != Some(*c)) {
+            for (name, count) in current.iter().filter(|(n, c)| previous.get(*n) != Some(*c)) {
                 let _ = write!(line, " {name}={count}");
             }
             if !line.is_empty() {
                 log::info!("event=counters{line}");
             }
-            before = now;
+            previous = current;
         }
     });
     Ok(())
--- a/crates/pebblepond/src/discovery/listing.rs
+++ b/crates/pebblepond/src/discovery/listing.rs
@@ -1,54 +1,55 @@
-//! The pages of one reading of the platform's list. They are put together only
-//! if they belong together, and go by only while the node leads without a break since they were asked for.
+//! Assembles the pages of one listing of the platform's workers. The listing is used only if its
+//! pages belong together and the node has led without interruption since the listing began.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What follows a page.
+/// Next step after a page has been added.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Next {
-    /// Ask for the page of this token.
+pub enum NextStep {
+    /// Request the page with this token.
     Page(String),
+    /// The listing is complete.
     Done,
-    /// The page is no answer to what was asked, or the list never ends.
-    Broken,
+    /// The page is not the response to the request, or the list does not end.
+    Invalid,
 }
 
-/// A reading under way, of entries by their identifier.
+/// A listing in progress, with the entries read so far by their identifier.
 pub struct Listing<T> {
-    /// Since when the node had led as it was begun, ms.
+    /// Start of the leadership under which the listing was begun, in milliseconds.
     leader_since: u64,
-    asked: BTreeSet<String>,
+    requested_tokens: BTreeSet<String>,
     entries: BTreeMap<String, T>,
 }
 
 impl<T> Listing<T> {
-    /// A reading that begins now.
+    /// Creates an empty listing that begins under the given leadership.
     pub fn new(leader_since: u64) -> Listing<T> {
         Listing {
             leader_since,
-            asked: BTreeSet::new(),
+            requested_tokens: BTreeSet::new(),
             entries: BTreeMap::new(),
         }
     }
 
-    /// Takes the page that was asked for. A page that leads to one that was asked
-    /// for before is the answer to an earlier call.
-    pub fn add_page(&mut self, entries: BTreeMap<String, T>, token: Option<String>) -> Next {
+    /// Adds the requested page. A page whose next token was already requested is the response to an
+    /// earlier call.
+    pub fn add_page(&mut self, entries: BTreeMap<String, T>, token: Option<String>) -> NextStep {
         self.entries.extend(entries);
         match token {
             Some(token) if !token.is_empty() => {
-                if self.asked.insert(token.clone()) {
-                    Next::Page(token)
+                if self.requested_tokens.insert(token.clone()) {
+                    NextStep::Page(token)
                 } else {
-                    Next::Broken
+                    NextStep::Invalid
                 }
             }
-            _ => Next::Done,
+            _ => NextStep::Done,
         }
     }
 
-    /// All entries, if the node has led all the time since the reading began: in between,
-    /// another leader may have read a newer list.
+    /// Returns all entries if the node has led without interruption since the listing began;
+    /// otherwise another leader may have read a newer list in between.
     pub fn finish(self, leader_since: Option<u64>) -> Option<BTreeMap<String, T>> {
         (leader_since == Some(self.leader_since)).then_some(self.entries)
     }
--- a/crates/pebblepond/src/discovery/mod.rs
+++ b/crates/pebblepond/src/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! Service discovery: the leader reads the platform's list of workers, under its lease, and
-//! logs what has changed.
+//! Service discovery: while it holds the leader lease, the leader reads the platform's list of
+//! workers and proposes the changes to the log.
 
 mod listing;
 
@@ -8,7 +8,7 @@
 use crate::upstream::{call_api, ApiCall, Upstream};
 use actix::prelude::*;
 use config::{constants as c, DurationText};
-use listing::{Listing, Next};
+use listing::{Listing, NextStep};
 use placement::{is_empty_change, DiscoveryInput, ProxyNode, WarmupAdmission};
 use protocol::{ChangeKind, Worker};
 use serde::Deserialize;
@@ -31,8 +31,8 @@
             leader_since: None,
         };
         loop {
-            let pause = discovery.round().await;
-            actix_rt::time::sleep(Duration::from_millis(pause)).await;
+            let pause_ms = discovery.poll().await;
+            actix_rt::time::sleep(Duration::from_millis(pause_ms)).await;
         }
     });
     Ok(())
@@ -61,7 +61,7 @@
 }
 
 impl ListedInstance {
-    fn into_row(self, id: String) -> Worker {
+    fn into_worker(self, id: String) -> Worker {
         Worker {
             id,
             draining: self.state != "ready",
@@ -84,13 +84,14 @@
     context: Rc<NodeContext>,
     upstream: Rc<Upstream>,
     warmup: WarmupAdmission,
-    /// Since when this node leads, as far as the list goes.
+    /// Start of the leadership that `warmup` was last reset for, in milliseconds.
     leader_since: Option<u64>,
 }
 
 impl Discovery {
-    /// One look at the list, if that is this node's duty; the pause after it.
-    async fn round(&mut self) -> u64 {
+    /// Reads the list once if this node holds the leader lease, and proposes what has changed.
+    /// Returns the pause until the next call, in milliseconds.
+    async fn poll(&mut self) -> u64 {
         const IDLE_MS: u64 = 100;
         let Some(driver) = self.context.get::<Addr<RaftDriver>>() else {
             return IDLE_MS;
@@ -105,7 +106,7 @@
             self.leader_since = Some(since);
             self.warmup.reset();
         }
-        let begun = self.context.now();
+        let started_at = self.context.now();
         let as_of = self.context.state.get().index;
         let mut pages = 0;
         if let Some(listing) = self.read_list(since, &mut pages).await {
@@ -114,7 +115,7 @@
                 self.context.counters.add("listings_of_another_lease");
                 return IDLE_MS;
             };
-            let listed = listed.into_iter().map(|(id, l)| (id.clone(), l.into_row(id)));
+            let listed = listed.into_iter().map(|(id, l)| (id.clone(), l.into_worker(id)));
             let settings = self.context.settings.get();
             let input = DiscoveryInput {
                 state: &self.context.state.get(),
@@ -131,12 +132,12 @@
         } else {
             self.context.counters.add("platform_calls_failed");
         }
-        (begun + c::LIST_INTERVAL_MS.max(pages * c::LIST_PAGE_INTERVAL_MS))
+        (started_at + c::LIST_INTERVAL_MS.max(pages * c::LIST_PAGE_INTERVAL_MS))
             .saturating_sub(self.context.now())
             .max(IDLE_MS)
     }
 
-    /// The nodes that take clients.
+    /// Returns the nodes that accept client requests.
     fn proxy_nodes(&self) -> Vec<ProxyNode> {
         let members = self.context.members.get();
         let serving = members.iter().filter(|m| m.is_alive() && m.is_ready && m.id != 0);
@@ -170,9 +171,9 @@
             }
             let page: Page = serde_json::from_slice(&response.body).ok()?;
             match listing.add_page(page.instances, page.next_token) {
-                Next::Page(token) => path = format!("/instances?PageToken={token}"),
-                Next::Done => return Some(listing),
-                Next::Broken => return None,
+                NextStep::Page(token) => path = format!("/instances?PageToken={token}"),
+                NextStep::Done => return Some(listing),
+                NextStep::Invalid => return None,
             }
         }
     }
--- a/crates/pebblepond/src/gossip_driver.rs
+++ b/crates/pebblepond/src/gossip_driver.rs
@@ -1,4 +1,4 @@
-//! Drives the membership protocol over UDP and publishes who is there.
+//! Runs the membership protocol over UDP and publishes the member table.
 
 use crate::kernel::{Component, NodeContext, StartError};
 use actix::prelude::*;
@@ -14,9 +14,9 @@
 
 inventory::submit! { Component { name: "gossip", order: 30, start } }
 
-/// Largest datagram that is read, bytes.
+/// Maximum size of a received datagram, in bytes.
 const DATAGRAM_BYTES: usize = 16 * 1024;
-/// Pause after a failed read, ms.
+/// Pause after a failed read, in milliseconds.
 const READ_RETRY_MS: u64 = 10;
 
 fn start(context: &Rc<NodeContext>) -> Result<(), StartError> {
@@ -50,8 +50,8 @@
 fn own_member(settings: &Settings) -> Member {
     let entity = &settings.own_entity;
     let client_address = settings.network.listen_points.front;
-    // The time of day makes a later run of the process outrank an earlier one; it need not be
-    // exact.
+    // The wall-clock time gives a later run of the process a higher incarnation than an earlier
+    // one; it need not be accurate.
     let incarnation = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(1, |d| d.as_millis() as u64);
@@ -88,56 +88,57 @@
     message: gossip::Message,
 }
 
-/// Changes what this node says of itself.
+/// Updates the fields of its own member entry that this node gossips.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Message)]
 #[rtype(result = "()")]
 pub struct UpdateOwnMember {
-    /// Its identity.
+    /// Identity of this node.
     pub id: u64,
-    /// The cluster that it belongs to; 0 for none.
+    /// Cluster that this node belongs to; 0 for none.
     pub cluster: u64,
-    /// It takes clients.
+    /// Whether this node accepts client requests.
     pub is_ready: bool,
-    /// Whom it has chosen to bootstrap a new cluster; 0 for nobody.
+    /// Node that this node has chosen to bootstrap a new cluster; 0 for none.
     pub appointed: u64,
-    /// Its disk was empty at the first start of the whole system.
+    /// Whether the disk of this node was empty at the first start of the whole system.
     pub is_new_system: bool,
 }
 
-/// The owner of the membership.
+/// Actor that owns the membership protocol and its socket.
 pub struct GossipDriver {
     context: Rc<NodeContext>,
     protocol: MembershipProtocol,
     socket: Rc<UdpSocket>,
-    /// When the table of members was last published, ms.
+    /// Time at which the member table was last published, in milliseconds.
     published_at: u64,
 }
 
 impl GossipDriver {
-    fn schedule(&mut self, actor: &mut Context<Self>) {
+    fn run_and_reschedule(&mut self, ctx: &mut Context<Self>) {
         let now = self.context.now();
         self.protocol.tick(now);
-        self.flush();
+        self.send_and_publish();
         let mut wait = self.protocol.next_tick_at().saturating_sub(now);
         if self.protocol.has_changed() {
             wait = wait.min(c::MEMBER_TABLE_INTERVAL_MS);
         }
         let wait = Duration::from_millis(wait.max(c::PROBE_TIMEOUT_MS / 10));
-        actor.run_later(wait, Self::schedule);
+        ctx.run_later(wait, Self::run_and_reschedule);
     }
 
-    fn flush(&mut self) {
+    fn send_and_publish(&mut self) {
         for Envelope { to, message } in self.protocol.take_outgoing() {
             if let Ok(to) = to.parse::<SocketAddr>() {
-                // A datagram that cannot be sent counts as lost.
+                // A datagram that cannot be sent is treated as lost.
                 let _ = self.socket.try_send_to(&message.encode_to_vec(), to);
             }
         }
         self.publish_members();
     }
 
-    /// Updates come in bursts when all start together; the table is made anew at most once for
-    /// each, or it would cost a small node a second.
+    /// Publishes the member table if it has changed. Updates come in bursts when all nodes start
+    /// together, and rebuilding a large table for each would take a small node a second, so a large
+    /// table is rebuilt at most once per `MEMBER_TABLE_INTERVAL_MS`.
     fn publish_members(&mut self) {
         let now = self.context.now();
         let is_due = now >= self.published_at + c::MEMBER_TABLE_INTERVAL_MS
@@ -150,7 +151,7 @@
         }
     }
 
-    /// The mean round trip to each site.
+    /// Publishes the mean round-trip time to each site.
     fn publish_round_trips(&self) {
         let settings = self.context.settings.get();
         let mut sums: BTreeMap<String, (f64, f64)> = BTreeMap::new();
@@ -170,10 +171,10 @@
 
 impl Actor for GossipDriver {
     type Context = Context<Self>;
-    fn started(&mut self, actor: &mut Self::Context) {
-        self.schedule(actor);
+    fn started(&mut self, ctx: &mut Self::Context) {
+        self.run_and_reschedule(ctx);
         let interval = Duration::from_millis(c::REPORT_INTERVAL_MS);
-        actor.run_interval(interval, |driver, _| driver.publish_round_trips());
+        ctx.run_interval(interval, |driver, _| driver.publish_round_trips());
     }
 }
 
@@ -186,7 +187,7 @@
         if self.protocol.unmatched_acks() != before {
             self.context.counters.add("unmatched_acks");
         }
-        self.flush();
+        self.send_and_publish();
     }
 }
 
@@ -200,6 +201,6 @@
             own.appointed = update.appointed;
             own.is_new_system = update.is_new_system;
         });
-        self.flush();
+        self.send_and_publish();
     }
 }
--- a/crates/pebblepond/src/main.rs
+++ b/crates/pebblepond/src/main.rs
@@ -1,5 +1,5 @@
-//! The one program of pebblepond: `serve` runs a node, everything else talks to a node or reads
-//! files. Each component registers itself with the kernel and owns its part of the state.
+//! The pebblepond program: `serve` runs a node; the other commands call a node or read files. Each
+//! component of a node registers itself with the kernel and owns its part of the state.
 
 mod admin_http;
 mod balancer_actor;
@@ -39,10 +39,10 @@
 use kernel::{NodeContext, StartError};
 use std::process::ExitCode;
 
-/// The log: a line on standard error for each event, `level=LEVEL event=EVENT key=value ...`.
-struct Log;
+/// Logger that writes one line per event to standard error: `level=LEVEL event=EVENT key=value ...`.
+struct StderrLogger;
 
-impl log::Log for Log {
+impl log::Log for StderrLogger {
     fn enabled(&self, metadata: &log::Metadata<'_>) -> bool {
         metadata.level() <= log::max_level() && metadata.target().starts_with("pebblepond")
     }
@@ -58,30 +58,30 @@
     fn flush(&self) {}
 }
 
-static LOG: Log = Log;
+static LOGGER: StderrLogger = StderrLogger;
 
 fn main() -> ExitCode {
     cli::run(serve)
 }
 
-/// Why a node cannot be run.
+/// Reason why a node cannot run.
 #[derive(Debug, thiserror::Error)]
 enum ServeError {
-    /// Nothing names the settings file.
+    /// The environment variable with the path of the settings file is not set.
     #[error("{SETTINGS_ENV} is not set")]
     NoSettingsPath,
     /// The settings file cannot be read.
     #[error("{path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the settings file.
         path: String,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// A component cannot start.
+    /// A component failed to start.
     #[error(transparent)]
     Start(#[from] StartError),
     /// The process's event loop has failed.
@@ -89,9 +89,9 @@
     EventLoop(#[source] std::io::Error),
 }
 
-/// Runs a node until it is told to end.
+/// Runs a node until it is shut down.
 fn serve(args: &cli::ServeArgs) -> Result<(), ServeError> {
-    if log::set_logger(&LOG).is_ok() {
+    if log::set_logger(&LOGGER).is_ok() {
         log::set_max_level(args.log_level.parse().unwrap_or(log::LevelFilter::Info));
     }
     let path = std::env::var(SETTINGS_ENV).map_err(|_| ServeError::NoSettingsPath)?;
--- a/crates/pebblepond/src/ownership_controller.rs
+++ b/crates/pebblepond/src/ownership_controller.rs
@@ -1,5 +1,5 @@
-//! The controller of key ownership: the leader grants, renews and revokes the leases of keys,
-//! under its own lease.
+//! The key ownership controller: while it holds the leader lease, the leader grants, renews and
+//! revokes key leases.
 
 use crate::control::{LeaderLease, Propose, RaftDriver};
 use crate::kernel::{Component, NodeContext, StartError};
@@ -40,15 +40,16 @@
     }
 }
 
-/// Path of a worker's interface that takes keys back.
-const RELEASE: &str = "/release";
+/// Path on a worker that revokes its ownership of a key range.
+const RELEASE_PATH: &str = "/release";
 
-/// The owner of the grants.
+/// Actor that manages the key leases while this node is the leader.
 pub struct OwnershipController {
     context: Rc<NodeContext>,
     upstream: Rc<Upstream>,
     ownership: OwnershipManager,
-    /// Since when this node leads, as far as the grants go.
+    /// Start of the leadership that `ownership` was last initialised for, in milliseconds; `None`
+    /// while this node does not lead.
     leader_since: Option<u64>,
 }
 
@@ -57,7 +58,7 @@
     fn started(&mut self, ctx: &mut Self::Context) {
         ctx.run_interval(
             Duration::from_millis(c::KEY_CHECK_INTERVAL_MS),
-            |controller, ctx| controller.round(ctx),
+            |controller, ctx| controller.check_leases(ctx),
         );
         ctx.run_interval(
             Duration::from_millis(c::IDLE_SWEEP_INTERVAL_MS),
@@ -67,7 +68,7 @@
 }
 
 impl OwnershipController {
-    fn round(&mut self, ctx: &mut Context<Self>) {
+    fn check_leases(&mut self, ctx: &mut Context<Self>) {
         if !self.context.status.get().is_leader {
             self.leader_since = None;
             return;
@@ -96,13 +97,13 @@
 
     fn perform(&mut self, action: Action, ctx: &mut Context<Self>) {
         match action {
-            Action::Log(put) => self.log(put, ctx),
+            Action::Log(put) => self.propose_leases(put, ctx),
             Action::Grant(call) => self.grant(call, ctx),
             Action::Release(call) => self.release(call, ctx),
         }
     }
 
-    fn log(&mut self, put: Vec<KeyLease>, ctx: &mut Context<Self>) {
+    fn propose_leases(&mut self, put: Vec<KeyLease>, ctx: &mut Context<Self>) {
         let Some(driver) = self.context.get::<Addr<RaftDriver>>() else {
             return;
         };
@@ -124,19 +125,19 @@
                 .send(Propose(change))
                 .into_actor(self)
                 .map(move |_, controller, ctx| {
-                    // The end of a proposal that was made under an earlier lease says nothing
-                    // of one that is awaited under this one.
+                    // A proposal made under an earlier leadership must not be taken for the one
+                    // that is pending under the current leadership.
                     if controller.leader_since == leader_since {
                         controller.ownership.on_logged();
-                        controller.round(ctx);
+                        controller.check_leases(ctx);
                     }
                 }),
         );
     }
 
-    /// A call to a worker with a JSON body. A release must be heard from that
-    /// worker alone, since the keys go to another on its word: a doubled answer
-    /// on a connection used again would be taken for it.
+    /// Sends a request with a JSON body to a worker. A release uses a new
+    /// connection: its response allows the keys to move to another worker, and a
+    /// duplicated response on a reused connection would be taken for it.
     fn call_worker(
         &self,
         address: String,
@@ -147,8 +148,8 @@
     ) -> impl std::future::Future<Output = Result<ApiResponse, CallError>> + 'static {
         let upstream = self.upstream.clone();
         let body = Bytes::from(body.to_string());
-        if path == RELEASE {
-            // The worker may be short of connections: one in the place of others.
+        if path == RELEASE_PATH {
+            // The worker may limit its connections: close the idle ones before opening a new one.
             upstream.forget(&address);
         }
         async move {
@@ -159,7 +160,7 @@
                 worker: Some(&worker),
                 body: Some(body),
                 timeout_ms,
-                on_new_connection: path == RELEASE,
+                on_new_connection: path == RELEASE_PATH,
             };
             call_api(&upstream, call).await
         }
@@ -174,8 +175,8 @@
             body["Handover"] = lease.handover.clone().into();
         }
         let (address, worker) = (call.address.clone(), lease.worker.clone());
-        let work = self.call_worker(address, worker, "/grant", body, c::GRANT_TIMEOUT_MS);
-        ctx.spawn(work.into_actor(self).map(move |result, controller, _| {
+        let request = self.call_worker(address, worker, "/grant", body, c::GRANT_TIMEOUT_MS);
+        ctx.spawn(request.into_actor(self).map(move |result, controller, _| {
             let (now, lease) = (controller.context.now(), &call.lease);
             let granted = match result {
                 Ok(response) if response.status.is_success() => GrantResult::Accepted,
@@ -200,7 +201,7 @@
         }));
     }
 
-    /// Counts an answer that no call waits for.
+    /// Counts a response that matched no pending call, given the manager's count before it.
     fn count_unmatched(&self, before: u64) {
         if self.ownership.unmatched_answers() != before {
             self.context.counters.add("unmatched_key_answers");
@@ -211,8 +212,8 @@
         let lease = &call.lease;
         let body = serde_json::json!({ "Source": lease.from, "TargetVersion": lease.to, "fence": lease.fencing_token });
         let (address, worker) = (call.address.clone(), lease.worker.clone());
-        let work = self.call_worker(address, worker, RELEASE, body, c::RELEASE_TIMEOUT_MS);
-        ctx.spawn(work.into_actor(self).map(move |result, controller, ctx| {
+        let request = self.call_worker(address, worker, RELEASE_PATH, body, c::RELEASE_TIMEOUT_MS);
+        ctx.spawn(request.into_actor(self).map(move |result, controller, ctx| {
             let released = match result {
                 Ok(response) if response.status.is_success() => {
                     let token = response
@@ -237,7 +238,7 @@
                 .ownership
                 .on_release_result(controller.context.now(), &call, released);
             controller.count_unmatched(before);
-            controller.round(ctx);
+            controller.check_leases(ctx);
         }));
     }
 }
--- a/crates/pebblepond/src/placement_controller.rs
+++ b/crates/pebblepond/src/placement_controller.rs
@@ -1,5 +1,5 @@
-//! The controller of the placement: the leader decides it, ejects workers that fail or lag, and
-//! shares out the retry slack, under its lease.
+//! The placement controller: while it holds the leader lease, the leader computes the placement,
+//! ejects workers that fail or respond slowly, and divides the retry slack among the nodes.
 
 use crate::control::{LeaderLease, Propose, RaftDriver};
 use crate::kernel::{Component, NodeContext, StartError};
@@ -22,8 +22,8 @@
         context: context.clone(),
         demand: DemandTracker::default(),
         outliers: OutlierDetector::default(),
-        decided_at: 0,
-        basis: Basis::default(),
+        computed_at: 0,
+        triggers: PlacementTriggers::default(),
         is_proposing: false,
         leader_since: None,
     };
@@ -33,37 +33,38 @@
     Ok(())
 }
 
-/// What a decision rested on, as far as a change of it calls for another at once.
+/// State whose change makes the controller recompute the placement before its interval is over.
 #[derive(Default)]
-struct Basis {
+struct PlacementTriggers {
     /// Version of the configuration.
     version: u64,
-    /// Sites whose proxies are up.
+    /// Sites with at least one ready proxy.
     sites: BTreeSet<String>,
-    /// Number of workers that may get requests.
+    /// Number of workers that may receive requests.
     workers: usize,
 }
 
-impl Basis {
-    /// Whether the other is so different that the placement is decided again.
-    fn differs(&self, other: &Basis) -> bool {
+impl PlacementTriggers {
+    /// Returns whether the placement must be recomputed: the version or the sites differ, or the
+    /// number of workers differs by more than a tenth.
+    fn differs(&self, other: &PlacementTriggers) -> bool {
         self.version != other.version
             || self.sites != other.sites
             || self.workers.abs_diff(other.workers) * 10 > self.workers
     }
 }
 
-/// Owner of the demand and of the outlier detection.
+/// Actor that tracks the demand, computes the placement and runs the outlier detection.
 pub struct PlacementController {
     context: Rc<NodeContext>,
     demand: DemandTracker,
     outliers: OutlierDetector,
-    /// When the placement was last decided, ms.
-    decided_at: u64,
-    basis: Basis,
-    /// A proposal is under way.
+    /// Time at which the placement was last computed, in milliseconds.
+    computed_at: u64,
+    triggers: PlacementTriggers,
+    /// Whether a proposal of this controller is in progress.
     is_proposing: bool,
-    /// Since when this node leads, as far as the outlier detection goes.
+    /// Start of the leadership that the outlier detection was last reset for, in milliseconds.
     leader_since: Option<u64>,
 }
 
@@ -72,7 +73,7 @@
     fn started(&mut self, ctx: &mut Self::Context) {
         ctx.run_interval(
             Duration::from_millis(c::OUTLIER_CHECK_INTERVAL_MS),
-            |controller, ctx| controller.round(ctx),
+            |controller, ctx| controller.check(ctx),
         );
     }
 }
@@ -86,8 +87,8 @@
 }
 
 impl PlacementController {
-    /// Once an interval: asks for the lease, and with it makes at most one proposal.
-    fn round(&mut self, ctx: &mut Context<Self>) {
+    /// Checks the leader lease once per interval and, if it is held, makes at most one proposal.
+    fn check(&mut self, ctx: &mut Context<Self>) {
         if !self.context.status.get().is_leader || self.is_proposing {
             return;
         }
@@ -114,31 +115,31 @@
             self.leader_since = Some(leader_since);
             self.outliers.reset(self.context.now());
         }
-        self.change_ejections()
-            .or_else(|| self.change_placement())
-            .or_else(|| self.change_retry_allowances())
+        self.next_ejection_change()
+            .or_else(|| self.next_placement_change())
+            .or_else(|| self.next_retry_allowance_change())
     }
 
-    /// Decides the placement anew when the period is over, or at once when what it rests on has
-    /// changed.
-    fn change_placement(&mut self) -> Option<ChangeKind> {
+    /// Recomputes the placement when its interval is over, or immediately when one of its triggers
+    /// has changed, and returns the change if the result differs.
+    fn next_placement_change(&mut self) -> Option<ChangeKind> {
         let now = self.context.now();
         let state = self.context.state.get();
         if state.configuration.is_none() || state.workers.is_empty() {
             return None;
         }
-        let basis = self.current_basis();
-        if now < self.decided_at + c::PLACEMENT_INTERVAL_MS && !self.basis.differs(&basis) {
+        let triggers = self.current_triggers();
+        if now < self.computed_at + c::PLACEMENT_INTERVAL_MS && !self.triggers.differs(&triggers) {
             return None;
         }
         let settings = self.context.settings.get();
-        // A site's proxies carry what its clients send. Where each request is
-        // pointed at workers, those of a zone serve without its proxies.
+        // With a directory, a site can take requests only through its proxies. Without one, the
+        // sites are zones, and the workers of a zone serve even if its own proxies are down.
         let through_proxies = !settings.zones_are_sites();
-        let sites_up = through_proxies.then_some(&basis.sites);
+        let sites_up = through_proxies.then_some(&triggers.sites);
         let input = self.demand.close_period(now, &state, &settings.sites(), sites_up);
-        self.decided_at = now;
-        self.basis = basis;
+        self.computed_at = now;
+        self.triggers = triggers;
         let before = placement_of(&state.fractions);
         let options = Options {
             watermark: c::WATERMARK,
@@ -155,7 +156,7 @@
         Some(ChangeKind::Placement(PlacementChange { fractions }))
     }
 
-    fn current_basis(&self) -> Basis {
+    fn current_triggers(&self) -> PlacementTriggers {
         let state = self.context.state.get();
         let settings = self.context.settings.get();
         let members = self.context.members.get();
@@ -166,7 +167,7 @@
             .workers
             .values()
             .filter(|w| !w.draining && !state.evacuated.contains_key(&w.zone));
-        Basis {
+        PlacementTriggers {
             version: state.version(),
             sites: proxies
                 .map(|m| settings.site(&m.zone, &m.region).to_string())
@@ -175,8 +176,8 @@
         }
     }
 
-    /// Ejects workers that fail or lag, and takes them back.
-    fn change_ejections(&mut self) -> Option<ChangeKind> {
+    /// Ejects workers that fail or respond slowly, and readmits workers that have recovered.
+    fn next_ejection_change(&mut self) -> Option<ChangeKind> {
         let state = self.context.state.get();
         let ejected = self.outliers.evaluate(self.context.now(), &state);
         if ejected == *state.ejected {
@@ -188,33 +189,33 @@
         Some(ChangeKind::Ejections(EjectionChange { workers }))
     }
 
-    /// Divides the slack of the retry budget among the nodes that are up.
-    /// A node that is not named has none.
-    fn change_retry_allowances(&self) -> Option<ChangeKind> {
+    /// Divides the slack of the retry budget among the nodes that are ready. A node without an
+    /// allowance gets no slack.
+    fn next_retry_allowance_change(&self) -> Option<ChangeKind> {
         let state = self.context.state.get();
         state.configuration.as_ref()?;
         let members = self.context.members.get();
-        let up: BTreeSet<u64> = members
+        let ready_nodes: BTreeSet<u64> = members
             .iter()
             .filter(|m| m.is_alive() && m.is_ready && m.id != 0)
             .map(|m| m.id)
             .collect();
-        let named = &*state.retry_allowances;
-        if up.is_empty() || up == *named {
+        let holders = &*state.retry_allowances;
+        if ready_nodes.is_empty() || ready_nodes == *holders {
             return None;
         }
-        // Who was taken off may have used its share within the window still.
-        let shares = up.len().max(named.len()) as f64;
+        // A node whose allowance is revoked may have used its share within the current window.
+        let shares = ready_nodes.len().max(holders.len()) as f64;
         let slack = self.context.settings.get().terms.bounds.retry_slack * c::RETRY_SLACK_PART / shares;
         Some(ChangeKind::RetryAllowance(RetryAllowanceChange {
-            granted: up.difference(named).copied().collect(),
-            revoked: named.difference(&up).copied().collect(),
+            granted: ready_nodes.difference(holders).copied().collect(),
+            revoked: holders.difference(&ready_nodes).copied().collect(),
             slack,
         }))
     }
 }
 
-/// The fractions of the control state as a placement.
+/// Converts the fractions of the control state into a placement.
 fn placement_of(fractions: &[SiteFraction]) -> Placement {
     let mut placement = Placement::new();
     for fraction in fractions {
@@ -228,7 +229,7 @@
     placement
 }
 
-/// A placement as the fractions of the control state.
+/// Converts a placement into the fractions of the control state.
 fn fractions_of(placement: Placement) -> Vec<SiteFraction> {
     let mut fractions = Vec::new();
     for (ServiceGroup { service, group }, parts) in placement {
--- a/crates/pebblepond/src/reports.rs
+++ b/crates/pebblepond/src/reports.rs
@@ -1,5 +1,5 @@
-//! Reports of other nodes: the leader's controllers each get their part, any other node relays
-//! them to the leader with its own.
+//! Dispatches reports received from other nodes. On the leader each controller receives its part;
+//! any other node forwards them to the leader together with its own report.
 
 use crate::kernel::{Component, NodeContext, StartError};
 use crate::peer_transport::PayloadKind;
@@ -13,66 +13,66 @@
 
 fn start(context: &Rc<NodeContext>) -> Result<(), StartError> {
     let weak = Rc::downgrade(context);
-    let dispatch = move |message| {
+    let on_report = move |message| {
         if let Some(context) = weak.upgrade() {
             dispatch(&context, message);
         }
     };
     context
         .payload_handlers
-        .register(&[PayloadKind::Report], dispatch);
+        .register(&[PayloadKind::Report], on_report);
     Ok(())
 }
 
-/// What a node counted for the keys.
+/// The part of a node's report that concerns keys.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct KeyLoads {
-    /// Requests by key.
+    /// Number of requests by key.
     pub keys: Vec<KeyCounts>,
-    /// What it observed of workers.
+    /// Worker statistics that the node observed.
     pub workers: Vec<WorkerStats>,
 }
 
-/// What a node counted of services that are being rolled out.
+/// The part of a node's report that concerns services with an active rollout.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct RolloutOutcomes {
-    /// Outcomes by route and version.
+    /// Request outcomes by route and version.
     pub samples: Vec<CohortSample>,
-    /// What it observed of workers.
+    /// Worker statistics that the node observed.
     pub workers: Vec<WorkerStats>,
 }
 
-/// The rest of a report: demand, workers, distances.
+/// The remaining part of a node's report: demand, worker statistics and round-trip times.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct NodeReport {
-    /// The node's identity.
+    /// Identity of the reporting node.
     pub node: u64,
-    /// What it says.
+    /// The report.
     pub report: Report,
 }
 
-/// A report of a learner that this node relays the log to, to be passed on to the leader.
+/// A report of a learner that follows this node, to be forwarded to the leader.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct RelayedReport(pub Report);
 
-/// Who handles which part of a report.
+/// Recipients of the parts of a report.
 #[derive(Default)]
 pub struct ReportHandlers {
-    /// The controller of key ownership.
+    /// The key ownership controller.
     pub key_loads: RefCell<Option<Recipient<KeyLoads>>>,
-    /// The controller of rollouts.
+    /// The rollout controller.
     pub rollout_outcomes: RefCell<Option<Recipient<RolloutOutcomes>>>,
-    /// The controller of the placement.
+    /// The placement controller.
     pub node_reports: RefCell<Option<Recipient<NodeReport>>>,
-    /// Whoever reports for this node.
+    /// The actor that sends this node's own reports.
     pub relayed: RefCell<Option<Recipient<RelayedReport>>>,
 }
 
-/// Hands the parts of a report on.
+/// Sends the parts of a report to their handlers.
 fn dispatch(context: &NodeContext, message: PeerMessage) {
     let Some(Payload::Report(mut report)) = message.payload else {
         return;
--- a/crates/pebblepond/src/rollout_controller.rs
+++ b/crates/pebblepond/src/rollout_controller.rs
@@ -1,4 +1,5 @@
-//! The controller of rollouts: the leader's watchdog, which goes by the reports of all nodes.
+//! The rollout controller: runs the watchdog, by which the leader advances or rolls back rollouts
+//! according to the reports of all nodes.
 
 use crate::control::{IsBehind, LeaderLease, Propose, RaftDriver};
 use crate::kernel::{Component, NodeContext, StartError};
@@ -34,33 +35,33 @@
     Ok(())
 }
 
-/// Whether an operator's change of a rollout passes the gate; answered with how long the rollout
-/// has run, ms, or what stands against it.
+/// Asks whether an operator's change of a rollout passes the gate. The result is the time since
+/// the rollout was created, in milliseconds, or the condition that keeps the gate closed.
 #[derive(Message)]
 #[rtype(result = "Result<u64, GateClosed>")]
 pub struct CheckGate {
-    /// The service that is rolled out.
+    /// The service of the rollout.
     pub service: String,
-    /// What the operator wants.
+    /// The action that the operator requested.
     pub action: Action,
-    /// Passes over the gate.
+    /// Whether the gate is bypassed.
     pub bypass: bool,
 }
 
-/// What the figures of the rollouts come to, for the operator.
+/// Requests the metrics and verdicts of all rollouts as JSON, for the operator.
 #[derive(Message)]
 #[rtype(result = "serde_json::Value")]
 pub struct RolloutFigures;
 
-/// Owner of the watchdog.
+/// Actor that owns the watchdog and the emergency tracker.
 pub struct RolloutController {
     context: Rc<NodeContext>,
     watchdog: Watchdog,
     emergency: EmergencyTracker,
     emergency_level: EmergencyLevel,
-    /// When a report last came in, ms.
+    /// Time at which the last report was received, in milliseconds; 0 before the first.
     reported_at: u64,
-    /// A check is under way.
+    /// Whether a check is in progress.
     is_checking: bool,
 }
 
@@ -69,13 +70,13 @@
     fn started(&mut self, ctx: &mut Self::Context) {
         ctx.run_interval(
             Duration::from_millis(c::ROLLOUT_CHECK_INTERVAL_MS),
-            |controller, ctx| controller.round(ctx),
+            |controller, ctx| controller.check(ctx),
         );
     }
 }
 
 impl RolloutController {
-    fn round(&mut self, ctx: &mut Context<Self>) {
+    fn check(&mut self, ctx: &mut Context<Self>) {
         let state = self.context.state.get();
         self.watchdog.follow(self.context.now(), &state.rollouts);
         if !self.context.status.get().is_leader || self.is_checking {
@@ -93,30 +94,30 @@
         let versions: Vec<u64> = active.map(|rollout| rollout.version).collect();
         let conditions = async move {
             let lease = driver.send(LeaderLease).await;
-            let mut behind = Vec::new();
+            let mut unapplied = Vec::new();
             for version in versions {
                 if driver.send(IsBehind(version)).await.unwrap_or(true) {
-                    behind.push(version);
+                    unapplied.push(version);
                 }
             }
-            matches!(lease, Ok(Some(_))).then_some(behind)
+            matches!(lease, Ok(Some(_))).then_some(unapplied)
         };
-        ctx.spawn(conditions.into_actor(self).map(|behind, controller, ctx| {
+        ctx.spawn(conditions.into_actor(self).map(|unapplied, controller, ctx| {
             controller.is_checking = false;
-            if let Some(behind) = behind {
-                controller.decide(&behind, ctx);
+            if let Some(unapplied) = unapplied {
+                controller.decide(&unapplied, ctx);
             }
         }));
     }
 
-    fn decide(&mut self, behind: &[u64], ctx: &mut Context<Self>) {
+    fn decide(&mut self, unapplied: &[u64], ctx: &mut Context<Self>) {
         let now = self.context.now();
         let state = self.context.state.get();
         let Some(driver) = self.context.get::<Addr<RaftDriver>>() else {
             return;
         };
         for rollout in state.rollouts.values().filter(|rollout| rollout.is_active()) {
-            let conditions = self.conditions(&state, rollout, behind.contains(&rollout.version));
+            let conditions = self.conditions(&state, rollout, unapplied.contains(&rollout.version));
             let Some(change) = self.watchdog.decide(now, rollout, &conditions) else {
                 continue;
             };
@@ -154,17 +155,18 @@
                 _ => {}
             }
         }
-        let old = |worker: &str| {
+        let is_old = |worker: &str| {
             let row = state.workers.get(worker);
             row.is_some_and(|w| rollout.cohort(&w.version) == Cohort::Old)
         };
         let table = state.key_leases.get(&rollout.service);
-        let mut held = table.into_iter().flat_map(|t| t.values());
-        conditions.keys_remain = held.any(|lease| old(&lease.worker));
+        let mut leases = table.into_iter().flat_map(|t| t.values());
+        conditions.keys_remain = leases.any(|lease| is_old(&lease.worker));
         conditions
     }
 
-    /// What is counted of new versions is no sign of the system's state.
+    /// Adds the workers' outcomes to the emergency tracker. Workers of new versions are left out:
+    /// their failures say nothing about the health of the system as a whole.
     fn add_worker_stats(&mut self, workers: &[WorkerStats]) {
         let state = self.context.state.get();
         let canaries: BTreeSet<u32> = if state.rollouts.values().any(|rollout| rollout.is_active()) {
--- a/crates/pebblepond/tests/command_line.rs
+++ b/crates/pebblepond/tests/command_line.rs
@@ -1,5 +1,6 @@
-//! Commands, options and exit codes of the command line stay as they were (commit 7a4bca1).
-//! `data/command-line.txt` holds the help of every command; the program's own name is left out.
+//! Pins the commands, options and exit codes of the command line (those of commit 7a4bca1).
+//! `data/command-line.txt` holds the help text of every command, with the name of the program
+//! replaced by `PROGRAM`.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -12,19 +13,19 @@
         .env_remove("PEBBLEPOND_CONFIG")
         .env("COLUMNS", "100")
         .output()
-        .expect("runs")
+        .expect("the program runs")
 }
 
-/// The help of a command and of those below it.
-fn help(path: &[&str], all: &mut String) {
+/// Appends the help text of a command and of its subcommands to `help_texts`.
+fn collect_help(path: &[&str], help_texts: &mut String) {
     let output = run(&[path, &["--help"]].concat());
     assert_eq!(output.status.code(), Some(0), "{path:?}");
     let text = String::from_utf8(output.stdout).expect("utf-8");
     let name = Path::new(PROGRAM)
         .file_name()
         .and_then(|n| n.to_str())
-        .expect("a name");
-    all.push_str(&format!(
+        .expect("the program has a file name");
+    help_texts.push_str(&format!(
         "> {}\n{}\n",
         path.join(" "),
         text.replace(name, "PROGRAM")
@@ -33,23 +34,26 @@
     for line in commands.lines().take_while(|l| !l.is_empty()) {
         let command = line.split_whitespace().next().unwrap_or("help");
         if command != "help" && line.starts_with("  ") && !line.starts_with("   ") {
-            help(&[path, &[command]].concat(), all);
+            collect_help(&[path, &[command]].concat(), help_texts);
         }
     }
 }
 
 #[test]
-fn commands_and_options_stay_as_they_were() {
-    let mut all = String::new();
-    help(&[], &mut all);
-    if all != include_str!("data/command-line.txt") {
+fn help_texts_match_the_recorded_ones() {
+    let mut help_texts = String::new();
+    collect_help(&[], &mut help_texts);
+    if help_texts != include_str!("data/command-line.txt") {
         let path = std::env::temp_dir().join("command-line.txt");
-        std::fs::write(&path, &all).expect("written");
-        panic!("the command line has changed; as it is now: {}", path.display());
+        std::fs::write(&path, &help_texts).expect("written");
+        panic!(
+            "the help texts differ from data/command-line.txt; current texts: {}",
+            path.display()
+        );
     }
 }
 
-fn data(name: &str) -> String {
+fn data_path(name: &str) -> String {
     let path: PathBuf = [env!("CARGO_MANIFEST_DIR"), "tests", "data", name]
         .iter()
         .collect();
@@ -57,10 +61,10 @@
 }
 
 #[test]
-fn exit_codes_stay_as_they_were() {
-    let (settings, broken) = (data("settings.toml"), data("headers.txt"));
+fn exit_codes_are_unchanged() {
+    let (settings, not_toml) = (data_path("settings.toml"), data_path("headers.txt"));
     let shop = format!("{}/../../docs/example/shop.json", env!("CARGO_MANIFEST_DIR"));
-    let nobody = "127.0.0.1:1";
+    let unreachable = "127.0.0.1:1";
     for (arguments, code) in [
         (vec!["--version"], 0),
         (vec![], 2),
@@ -70,20 +74,20 @@
         (vec!["serve"], 3),
         (vec!["serve", "--log-level", "loud"], 2),
         (vec!["check", "--settings", &settings], 0),
-        (vec!["check", "--settings", &broken], 3),
+        (vec!["check", "--settings", &not_toml], 3),
         (vec!["check", "--settings", "/nowhere"], 3),
         (vec!["check", "--config", &shop], 0),
         (vec!["check", "--config", &settings], 3),
         (vec!["check", "--modify", &shop], 2),
-        (vec!["config", "put", &settings, "--control", nobody], 3),
-        (vec!["config", "get", "--control", nobody], 4),
+        (vec!["config", "put", &settings, "--control", unreachable], 3),
+        (vec!["config", "get", "--control", unreachable], 4),
         (
-            vec!["config", "put", &shop, "--base", "0", "--control", nobody],
+            vec!["config", "put", &shop, "--base", "0", "--control", unreachable],
             4,
         ),
-        (vec!["evacuate", "begin", "z", "--control", nobody], 4),
-        (vec!["keys", "list", "--control", nobody], 4),
-        (vec!["status", "--control", nobody], 4),
+        (vec!["evacuate", "begin", "z", "--control", unreachable], 4),
+        (vec!["keys", "list", "--control", unreachable], 4),
+        (vec!["status", "--control", unreachable], 4),
         (vec!["status", "--control", "nobody"], 2),
     ] {
         let output = run(&arguments);
--- a/crates/pebblepond/tests/processes.rs
+++ b/crates/pebblepond/tests/processes.rs
@@ -1,9 +1,9 @@
-//! Faults on real processes of this build: a part of what `fleet-test` runs.
+//! Runs some of the fault scenarios of `fleet-test` on real processes of this build.
 
 use fleet_test::scenarios::{by_name, Options, Pace, Verdict};
 use std::path::Path;
 
-fn holds(name: &str) {
+fn assert_scenario_holds(name: &str) {
     let scenario = by_name(name).expect("a scenario of this name");
     let program = Path::new(env!("CARGO_BIN_EXE_pebblepond"));
     let outcome = scenario.execute(program, Options::of(Pace::Short));
@@ -12,11 +12,11 @@
 }
 
 #[test]
-fn a_leader_that_was_frozen_goes_by_nothing_old() {
-    holds("cut-off");
+fn a_thawed_leader_does_not_act_on_stale_state() {
+    assert_scenario_holds("cut-off");
 }
 
 #[test]
-fn an_order_that_was_taken_is_acknowledged_again_by_every_node() {
-    holds("resend");
+fn an_accepted_command_is_acknowledged_again_by_every_node() {
+    assert_scenario_holds("resend");
 }
--- a/crates/pebblepond/tests/soak.rs
+++ b/crates/pebblepond/tests/soak.rs
@@ -1,17 +1,19 @@
-//! A short soak on real processes of this build; longer ones are run by hand (`fleet-test soak`).
+//! Runs a short soak test on real processes of this build; longer ones are started manually with
+//! `fleet-test soak`.
 
 use fleet_test::soak::{run, Options};
 use std::path::Path;
 
-/// What the soak is drawn by, and its time with faults, s.
+/// Seed of the random faults and load.
 const SEED: u64 = 27;
-const SECONDS: u64 = 60;
+/// Time during which faults are injected, in seconds.
+const FAULT_SECONDS: u64 = 60;
 
 #[test]
-fn a_short_soak_breaks_no_rule() {
+fn a_short_soak_reports_no_violations() {
     let options = Options {
         seed: SEED,
-        seconds: SECONDS,
+        seconds: FAULT_SECONDS,
         machines: 9,
         clients: 24,
         is_zone_shared: false,
@@ -19,7 +21,7 @@
     };
     let program = Path::new(env!("CARGO_BIN_EXE_pebblepond"));
     let report = actix_rt::System::new().block_on(run(program, options));
-    let report = report.expect("the soak is run");
+    let report = report.expect("the soak runs to its end");
     println!("{}", report.summary);
     assert!(
         report.violations.is_empty(),
