--- a/crates/fleet-test/examples/pace.rs
+++ b/crates/fleet-test/examples/pace.rs
@@ -1,11 +1,11 @@
-//! How long an order takes, on a fleet of real processes: calm, with a machine with a
-//! disk dead, and with one frozen. Several programs are measured by turns in one run, so
-//! that what else the machine does strikes them alike.
+//! Measures how long a command takes on a fleet of real processes: without faults, with one machine
+//! with a disk dead, and with one frozen. Several programs are measured in turns within one run, so
+//! that other load on the machine affects them alike.
 //!
 //!     cargo run --release -p pebblepond-fleet-test --example pace -- --orders 100 OLD NEW
 
 use clap::Parser;
-use fleet_test::checker::Asked;
+use fleet_test::checker::Operation;
 use fleet_test::fleet::{Fleet, Plan};
 use fleet_test::operator::{Operator, Record};
 use fleet_test::orders::configuration;
@@ -13,20 +13,20 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// Longest that one order is waited for.
-const WITHIN: Duration = Duration::from_secs(20);
-/// Time for the voters to join, and for a loss to be noticed.
-const SETTLE: Duration = Duration::from_secs(4);
+/// Longest wait for one command.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time for the voters to join and for a loss to be detected.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 
 #[derive(Parser)]
 struct Args {
-    /// Orders in each state.
+    /// Number of commands in each state.
     #[arg(long, default_value_t = 100)]
     orders: u64,
-    /// Routes of each configuration.
+    /// Number of routes in each configuration.
     #[arg(long, default_value_t = 20)]
     routes: usize,
-    /// Turns, each with a fleet of its own.
+    /// Number of turns, each with a fleet of its own.
     #[arg(long, default_value_t = 2)]
     turns: usize,
     #[arg(required = true)]
@@ -49,13 +49,13 @@
             println!("{}", program.display());
             for (state, times) in STATES.iter().zip(times) {
                 times.sort_by(f64::total_cmp);
-                let at = |part: f64| times[((times.len() - 1) as f64 * part) as usize];
+                let percentile = |fraction: f64| times[((times.len() - 1) as f64 * fraction) as usize];
                 println!(
-                    "  {state:11} {} orders: middle {:.1} ms, p99 {:.1} ms, most {:.1} ms",
+                    "  {state:11} {} commands: median {:.1} ms, p99 {:.1} ms, max {:.1} ms",
                     times.len(),
-                    at(0.5),
-                    at(0.99),
-                    at(1.0)
+                    percentile(0.5),
+                    percentile(0.99),
+                    percentile(1.0)
                 );
             }
         }
@@ -76,40 +76,44 @@
     let record = Record::default();
     let operator = Operator::new(&record);
     let mut version = 0;
-    actix_rt::time::sleep(SETTLE).await;
+    actix_rt::time::sleep(SETTLE_TIME).await;
     for (state, times) in times.iter_mut().enumerate() {
-        let leader = fleet.wait_for_leader(WITHIN).await?;
+        let leader = fleet.wait_for_leader(COMMAND_TIMEOUT).await?;
         let follower = (1..=plan.with_disk)
             .find(|n| *n != leader)
-            .ok_or("one node only")?;
+            .ok_or("the fleet has only one node")?;
         match state {
             1 => fleet.node(follower)?.kill(),
             2 => {
                 fleet.restart(follower)?;
-                actix_rt::time::sleep(SETTLE).await;
+                actix_rt::time::sleep(SETTLE_TIME).await;
                 fleet.node(follower)?.freeze()?;
             }
             _ => {}
         }
-        actix_rt::time::sleep(SETTLE).await;
-        let leader = fleet.wait_for_leader(WITHIN).await?;
+        actix_rt::time::sleep(SETTLE_TIME).await;
+        let leader = fleet.wait_for_leader(COMMAND_TIMEOUT).await?;
         for _ in 0..args.orders {
-            let n = record.order(
+            let n = record.command(
                 version,
                 version + 1,
                 configuration(version + 1, "pace", args.routes),
             );
-            let begun = Instant::now();
+            let started = Instant::now();
             let answer = operator
-                .settle(Asked::Replace(n), &[fleet.control_address(leader)], WITHIN)
+                .retry_until_definite(
+                    Operation::Replace(n),
+                    &[fleet.control_address(leader)],
+                    COMMAND_TIMEOUT,
+                )
                 .await;
-            if !matches!(answer, fleet_test::checker::Answer::Good(_)) {
-                return Err(format!("order {n}: {answer:?}").into());
+            if !matches!(answer, fleet_test::checker::Answer::Success(_)) {
+                return Err(format!("command {n} was not acknowledged: {answer:?}").into());
             }
-            times.push(begun.elapsed().as_secs_f64() * 1000.0);
+            times.push(started.elapsed().as_secs_f64() * 1000.0);
             version += 1;
         }
-        eprintln!("  {}: {} orders", STATES[state], times.len());
+        eprintln!("  {}: {} commands", STATES[state], times.len());
     }
     fleet.stop().await;
     Ok(())
--- a/crates/fleet-test/src/checker.rs
+++ b/crates/fleet-test/src/checker.rs
@@ -1,25 +1,24 @@
-//! What callers saw, and whether a system that keeps the rules can have shown it.
+//! Checks whether the calls that clients observed are consistent with the rules of the system.
 //!
-//! The configuration is a register with compare-and-set: an order names the
-//! version that it rests on. Its numbers rise, so of any two states the one with
-//! the higher number is the newer.
+//! The configuration is a compare-and-set register: a command names the version that it is based
+//! on. Version numbers increase, so of two states the one with the higher number is the newer one.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An order of a whole configuration, as it was sent.
+/// A command that replaces the whole configuration, as it was sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct Command {
     pub base: u64,
     pub version: u64,
     pub body: Vec<u8>,
 }
 
-/// What one call asked for.
+/// The operation that a call requested.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Asked {
-    /// The order of this place in the history.
+pub enum Operation {
+    /// Sends the command at this index of the history.
     Replace(usize),
-    /// An order that is invalid by itself; a refusal names the mark.
+    /// Sends a command that is invalid by itself; a refusal must name the mark.
     Invalid(String),
     Read,
     Evacuate {
@@ -29,262 +28,280 @@
     Status,
 }
 
-/// What came back.
+/// The result of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// A 200 and its body.
-    Good(Vec<u8>),
+    Success(Vec<u8>),
     /// A 4xx that ends the call, and its text.
     Refused(u16, String),
-    /// A 5xx, a 408 or 429, silence, or a connection that failed.
-    Unclear(String),
+    /// A 5xx, a 408 or 429, a time-out, or a connection that failed.
+    Indeterminate(String),
 }
 
-/// One call at one node, times in µs from the start of the history.
+/// One call to one node, with times in µs since the start of the history.
 #[derive(Clone, Debug)]
 pub struct Call {
-    pub asked: Asked,
+    pub operation: Operation,
     /// The node's number.
     pub node: u8,
-    pub sent: u64,
-    pub ended: u64,
+    pub sent_at_us: u64,
+    pub ended_at_us: u64,
     pub answer: Answer,
 }
 
-/// What callers of `control` observed.
+/// The commands and calls that clients of `control` observed.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    pub orders: Vec<Order>,
+    pub commands: Vec<Command>,
     pub calls: Vec<Call>,
 }
 
 impl History {
-    fn replaces(&self) -> impl Iterator<Item = (usize, &Order, &Call)> {
-        self.calls.iter().filter_map(|c| match c.asked {
-            Asked::Replace(n) => Some((n, self.orders.get(n)?, c)),
+    fn replacements(&self) -> impl Iterator<Item = (usize, &Command, &Call)> {
+        self.calls.iter().filter_map(|c| match c.operation {
+            Operation::Replace(n) => Some((n, self.commands.get(n)?, c)),
             _ => None,
         })
     }
 
-    /// When an order was acknowledged first.
+    /// Returns when each command was first acknowledged, in µs, by its index.
     fn acknowledged(&self) -> BTreeMap<usize, u64> {
         let mut first = BTreeMap::new();
-        for (n, _, call) in self.replaces() {
-            if matches!(call.answer, Answer::Good(_)) {
-                let at = first.entry(n).or_insert(call.ended);
-                *at = call.ended.min(*at);
+        for (n, _, call) in self.replacements() {
+            if matches!(call.answer, Answer::Success(_)) {
+                let at = first.entry(n).or_insert(call.ended_at_us);
+                *at = call.ended_at_us.min(*at);
             }
         }
         first
     }
 
-    /// Commands whose configuration is, byte for byte, that which was read.
-    fn read(&self) -> Vec<(&Call, Option<usize>)> {
-        let reads = self.calls.iter().filter_map(|c| match (&c.asked, &c.answer) {
-            (Asked::Read, Answer::Good(body)) => Some((c, body)),
+    /// Returns the successful reads, each with the index of the command whose configuration equals
+    /// the answer byte for byte.
+    fn successful_reads(&self) -> Vec<(&Call, Option<usize>)> {
+        let reads = self.calls.iter().filter_map(|c| match (&c.operation, &c.answer) {
+            (Operation::Read, Answer::Success(body)) => Some((c, body)),
             _ => None,
         });
         reads
-            .map(|(c, body)| (c, self.orders.iter().position(|o| o.body == *body)))
+            .map(|(c, body)| (c, self.commands.iter().position(|c| c.body == *body)))
             .collect()
     }
 
-    /// The newest version that was acknowledged, 0 if none was.
+    /// Returns the newest version that was acknowledged, or 0 if none was.
     pub fn newest_acknowledged(&self) -> u64 {
-        let taken = self.acknowledged();
-        taken.keys().map(|n| self.orders[*n].version).max().unwrap_or(0)
+        let acknowledged = self.acknowledged();
+        acknowledged
+            .keys()
+            .map(|n| self.commands[*n].version)
+            .max()
+            .unwrap_or(0)
     }
 }
 
-/// Every breach of the rules that a history shows, each in one line.
-pub fn faults(history: &History) -> Vec<String> {
-    let mut faults = Vec::new();
-    two_on_one_base(history, &mut faults);
-    taken_and_refused(history, &mut faults);
-    refused_by_old_state(history, &mut faults);
-    reads(history, &mut faults);
-    lost(history, &mut faults);
-    wrong_caller(history, &mut faults);
-    faults
+/// Returns every violation that a history shows, one line each.
+pub fn violations(history: &History) -> Vec<String> {
+    let mut found = Vec::new();
+    check_one_success_per_base(history, &mut found);
+    check_accepted_not_refused(history, &mut found);
+    check_stale_refusals(history, &mut found);
+    check_reads(history, &mut found);
+    check_acknowledged_in_lineage(history, &mut found);
+    check_answers_match_calls(history, &mut found);
+    found
 }
 
-/// Of a body that is shown, bytes.
-const SHOWN: usize = 60;
+/// Longest part of a body that a violation quotes, in bytes.
+const MAX_SHOWN_BODY_BYTES: usize = 60;
 
-fn at(call: &Call) -> String {
-    format!("node {} at {} ms", call.node, call.sent / 1000)
+fn call_site(call: &Call) -> String {
+    format!("node {} at {} ms", call.node, call.sent_at_us / 1000)
 }
 
-fn two_on_one_base(history: &History, faults: &mut Vec<String>) {
-    let mut taken: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
+fn check_one_success_per_base(history: &History, violations: &mut Vec<String>) {
+    let mut accepted: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
     for n in history.acknowledged().into_keys() {
-        taken.entry(history.orders[n].base).or_default().push(n);
+        accepted.entry(history.commands[n].base).or_default().push(n);
     }
-    for (base, orders) in taken.into_iter().filter(|(_, o)| o.len() > 1) {
-        let versions: Vec<u64> = orders.iter().map(|n| history.orders[*n].version).collect();
-        faults.push(format!(
+    for (base, commands) in accepted.into_iter().filter(|(_, c)| c.len() > 1) {
+        let versions: Vec<u64> = commands.iter().map(|n| history.commands[*n].version).collect();
+        violations.push(format!(
             "{} changes on top of version {base} were acknowledged: {versions:?}",
-            orders.len()
+            commands.len()
         ));
     }
 }
 
-/// What was taken, as its acknowledgement or a read shows, is never refused.
-fn taken_and_refused(history: &History, faults: &mut Vec<String>) {
-    let mut taken: BTreeSet<usize> = history.acknowledged().into_keys().collect();
-    taken.extend(history.read().into_iter().filter_map(|(_, n)| n));
-    for (n, order, call) in history.replaces().filter(|(n, ..)| taken.contains(n)) {
+/// Checks that a command which was accepted, as its acknowledgement or a read shows, is never
+/// refused.
+fn check_accepted_not_refused(history: &History, violations: &mut Vec<String>) {
+    let mut accepted: BTreeSet<usize> = history.acknowledged().into_keys().collect();
+    accepted.extend(history.successful_reads().into_iter().filter_map(|(_, n)| n));
+    for (n, command, call) in history.replacements().filter(|(n, ..)| accepted.contains(n)) {
         if let Answer::Refused(status, text) = &call.answer {
-            faults.push(format!(
-                "the order of {} on {} (order {n}) was taken, and refused with {status} by {}: {text}",
-                order.version,
-                order.base,
-                at(call)
+            violations.push(format!(
+                "the command of version {} on {} (command {n}) was accepted, and refused with {status} by {}: {text}",
+                command.version,
+                command.base,
+                call_site(call)
             ));
         }
     }
 }
 
-/// A valid order is refused only if another version than its base may have been
-/// current while it was under way.
-fn refused_by_old_state(history: &History, faults: &mut Vec<String>) {
+/// Checks that a valid command is refused only if a version other than its base may have been
+/// current while the call was in progress.
+fn check_stale_refusals(history: &History, violations: &mut Vec<String>) {
     let acknowledged = history.acknowledged();
-    for (n, order, call) in history.replaces() {
+    for (n, command, call) in history.replacements() {
         let Answer::Refused(status, text) = &call.answer else {
             continue;
         };
-        // The base was in force before this was sent...
-        let base_stood = order.base == 0
+        // True if the base was in force before this command was sent.
+        let base_was_in_force = command.base == 0
             || acknowledged
                 .iter()
-                .any(|(m, at)| history.orders[*m].version == order.base && *at < call.sent);
-        // ...and nothing else was sent on top of it before this was answered.
-        let rival = history
-            .replaces()
-            .any(|(m, other, sent)| m != n && other.base == order.base && sent.sent < call.ended);
-        if base_stood && !rival && !acknowledged.contains_key(&n) {
-            faults.push(format!(
-                "the order of {} on {}, the current version, was refused with {status} by {}: {text}",
-                order.version,
-                order.base,
-                at(call)
+                .any(|(m, at)| history.commands[*m].version == command.base && *at < call.sent_at_us);
+        // True if another command on the same base was sent before this call ended.
+        let has_rival = history.replacements().any(|(m, other, other_call)| {
+            m != n && other.base == command.base && other_call.sent_at_us < call.ended_at_us
+        });
+        if base_was_in_force && !has_rival && !acknowledged.contains_key(&n) {
+            violations.push(format!(
+                "the command of version {} on {}, the current version, was refused with {status} by {}: {text}",
+                command.version,
+                command.base,
+                call_site(call)
             ));
         }
     }
 }
 
-/// Nothing is read that is older than what was acknowledged or read before, or
-/// that nobody sent.
-fn reads(history: &History, faults: &mut Vec<String>) {
+/// Checks that no read returns a version older than one that was acknowledged or read before, or a
+/// configuration that nobody sent.
+fn check_reads(history: &History, violations: &mut Vec<String>) {
     let acknowledged = history.acknowledged();
-    let all = history.read();
-    let mut known: Vec<(u64, u64)> = acknowledged
+    let reads = history.successful_reads();
+    let mut observed: Vec<(u64, u64)> = acknowledged
         .iter()
-        .map(|(n, at)| (*at, history.orders[*n].version))
+        .map(|(n, at)| (*at, history.commands[*n].version))
         .collect();
-    known.extend(
-        all.iter()
-            .filter_map(|(c, n)| Some((c.ended, history.orders[(*n)?].version))),
+    observed.extend(
+        reads
+            .iter()
+            .filter_map(|(c, n)| Some((c.ended_at_us, history.commands[(*n)?].version))),
     );
-    let sent: BTreeMap<usize, u64> = history.replaces().fold(BTreeMap::new(), |mut first, (n, _, c)| {
-        let at = first.entry(n).or_insert(c.sent);
-        *at = c.sent.min(*at);
-        first
-    });
-    for (call, read) in &all {
-        let Some(n) = read else {
+    let first_sent_us: BTreeMap<usize, u64> =
+        history
+            .replacements()
+            .fold(BTreeMap::new(), |mut first, (n, _, c)| {
+                let at = first.entry(n).or_insert(c.sent_at_us);
+                *at = c.sent_at_us.min(*at);
+                first
+            });
+    for (call, read_command) in &reads {
+        let Some(n) = read_command else {
             let shown = match &call.answer {
-                Answer::Good(body) => String::from_utf8_lossy(&body[..body.len().min(SHOWN)]).into_owned(),
+                Answer::Success(body) => {
+                    String::from_utf8_lossy(&body[..body.len().min(MAX_SHOWN_BODY_BYTES)]).into_owned()
+                }
                 other => format!("{other:?}"),
             };
-            faults.push(format!(
-                "{} answered a read with what nobody sent: {shown}",
-                at(call)
+            violations.push(format!(
+                "{} answered a read with a configuration that nobody sent: {shown}",
+                call_site(call)
             ));
             continue;
         };
-        let version = history.orders[*n].version;
-        if sent.get(n).is_none_or(|first| *first > call.ended) {
-            faults.push(format!(
+        let version = history.commands[*n].version;
+        if first_sent_us.get(n).is_none_or(|first| *first > call.ended_at_us) {
+            violations.push(format!(
                 "{} showed version {version} before it was sent",
-                at(call)
+                call_site(call)
             ));
         }
-        let newest = known
+        let newest = observed
             .iter()
-            .filter(|(when, _)| *when < call.sent)
+            .filter(|(when, _)| *when < call.sent_at_us)
             .map(|(_, v)| *v)
             .max();
         if newest.is_some_and(|newest| newest > version) {
-            faults.push(format!(
+            violations.push(format!(
                 "{} showed version {version} after {} was known to be in force",
-                at(call),
+                call_site(call),
                 newest.unwrap_or(0)
             ));
         }
     }
     for call in &history.calls {
-        if let (Asked::Read, Answer::Refused(status, _)) = (&call.asked, &call.answer) {
-            let in_force = acknowledged.values().any(|when| *when < call.sent);
+        if let (Operation::Read, Answer::Refused(status, _)) = (&call.operation, &call.answer) {
+            let in_force = acknowledged.values().any(|when| *when < call.sent_at_us);
             if in_force {
-                faults.push(format!("{} refused a read with {status}", at(call)));
+                violations.push(format!("{} refused a read with {status}", call_site(call)));
             }
         }
     }
 }
 
-/// Whatever was acknowledged is what the last read shows, or was built upon by it.
-fn lost(history: &History, faults: &mut Vec<String>) {
-    let Some((last, Some(mut n))) = history.read().into_iter().max_by_key(|(c, _)| c.sent) else {
+/// Checks that every acknowledged change is what the last read returned or one of its ancestors.
+fn check_acknowledged_in_lineage(history: &History, violations: &mut Vec<String>) {
+    let Some((last, Some(mut n))) = history
+        .successful_reads()
+        .into_iter()
+        .max_by_key(|(c, _)| c.sent_at_us)
+    else {
         return;
     };
     let acknowledged = history.acknowledged();
-    let mut line = BTreeSet::from([n]);
-    // Of several orders of the base's number, the one taken is known by its
-    // acknowledgement; without one, any may have been it.
-    while history.orders[n].base != 0 {
-        let base = history.orders[n].base;
-        let mut of = (0..history.orders.len()).filter(|m| history.orders[*m].version == base);
-        let Some(first) = of.clone().next() else { break };
-        n = of.find(|m| acknowledged.contains_key(m)).unwrap_or(first);
-        if !line.insert(n) {
+    let mut lineage = BTreeSet::from([n]);
+    // If several commands carry the base's number, the accepted one is known by its
+    // acknowledgement. Without an acknowledgement it may have been any of them.
+    while history.commands[n].base != 0 {
+        let base = history.commands[n].base;
+        let mut same = (0..history.commands.len()).filter(|m| history.commands[*m].version == base);
+        let Some(any) = same.clone().next() else { break };
+        n = same.find(|m| acknowledged.contains_key(m)).unwrap_or(any);
+        if !lineage.insert(n) {
             break;
         }
     }
     for (n, when) in acknowledged {
-        if when < last.sent && !line.contains(&n) {
-            faults.push(format!(
-                "version {} (order {n}) was acknowledged, and is not part of what {} showed last",
-                history.orders[n].version,
-                at(last)
+        if when < last.sent_at_us && !lineage.contains(&n) {
+            violations.push(format!(
+                "version {} (command {n}) was acknowledged, and is not part of what {} showed last",
+                history.commands[n].version,
+                call_site(last)
             ));
         }
     }
 }
 
-/// Each answer is one to what its call asked for.
-fn wrong_caller(history: &History, faults: &mut Vec<String>) {
+/// Checks that each answer matches the operation of its call.
+fn check_answers_match_calls(history: &History, violations: &mut Vec<String>) {
     for call in &history.calls {
-        let wrong = match (&call.asked, &call.answer) {
-            (Asked::Invalid(mark), Answer::Refused(400, text)) => !text.contains(mark.as_str()),
-            (Asked::Invalid(_), Answer::Refused(..)) => false,
-            (Asked::Invalid(_), Answer::Good(_)) => true,
-            (Asked::Replace(_) | Asked::Evacuate { .. }, Answer::Good(body)) => {
+        let is_mismatch = match (&call.operation, &call.answer) {
+            (Operation::Invalid(mark), Answer::Refused(400, text)) => !text.contains(mark.as_str()),
+            (Operation::Invalid(_), Answer::Refused(..)) => false,
+            (Operation::Invalid(_), Answer::Success(_)) => true,
+            (Operation::Replace(_) | Operation::Evacuate { .. }, Answer::Success(body)) => {
                 body.len() > 2 || !b"{}".starts_with(body)
             }
-            (Asked::Status, Answer::Good(body)) => !body.starts_with(b"{") || !contains(body, b"\"members\""),
+            (Operation::Status, Answer::Success(body)) => {
+                !body.starts_with(b"{") || !contains(body, b"\"members\"")
+            }
             _ => false,
         };
-        if wrong {
-            faults.push(format!(
-                "{} answered {:?} with what belongs to another call",
-                at(call),
-                call.asked
+        if is_mismatch {
+            violations.push(format!(
+                "{} answered {:?} with an answer that belongs to another call",
+                call_site(call),
+                call.operation
             ));
         }
     }
 }
 
-fn contains(body: &[u8], part: &[u8]) -> bool {
-    body.windows(part.len()).any(|w| w == part)
+fn contains(body: &[u8], pattern: &[u8]) -> bool {
+    body.windows(pattern.len()).any(|w| w == pattern)
 }
--- a/crates/fleet-test/src/fleet.rs
+++ b/crates/fleet-test/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet: nodes, the platform's simulator, and faults.
+//! A fleet: nodes, the simulated platform, and faults.
 
 use crate::guard::Guard;
 use crate::net::Net;
@@ -12,14 +12,14 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Seeds named in the settings (deployment page), machines.
-const SEEDS: u8 = 3;
-/// Machines that may be added to a fleet, machines.
+/// Seed machines named in the settings (deployment page).
+const SEED_MACHINES: u8 = 3;
+/// Machines that may be added to a fleet.
 const SPARE_MACHINES: u8 = 8;
-/// Pause between two looks at what is waited for, ms.
-const LOOK_MS: u64 = 20;
+/// Polling interval while waiting for a condition, in milliseconds.
+const POLL_INTERVAL_MS: u64 = 20;
 
-/// Which machines a fleet has at first.
+/// Initial machines of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     pub with_disk: u8,
@@ -28,7 +28,7 @@
 
 /// A fleet of real processes on loopback addresses.
 pub struct Fleet {
-    // Fields are dropped in this order: nodes end before their folder goes.
+    // Fields are dropped in this order: nodes end before their folder is removed.
     pub nodes: Vec<Node>,
     pub platform: Platform,
     net: Net,
@@ -43,8 +43,8 @@
             .canonicalize()
             .map_err(|e| format!("{}: {e}", program.display()))?;
         let count = plan.with_disk + plan.without_disk;
-        let net = Net::find((count + SPARE_MACHINES).min(settings::MACHINES))?;
-        let guard = Guard::set()?;
+        let net = Net::find((count + SPARE_MACHINES).min(settings::MAX_MACHINES))?;
+        let guard = Guard::start()?;
         let nodes = (1..=count).map(|n| Node::new(guard.folder(), n, n <= plan.with_disk));
         let mut fleet = Fleet {
             nodes: nodes.collect(),
@@ -59,41 +59,41 @@
         Ok(fleet)
     }
 
-    /// Folder of the fleet: settings, logs and disks.
+    /// Returns the folder of the fleet, with settings, logs and disks.
     pub fn folder(&self) -> &Path {
         self.guard.folder()
     }
 
-    /// The process group of all nodes.
+    /// Returns the process group of all nodes.
     pub fn group(&self) -> i32 {
         self.guard.group()
     }
 
-    /// Leaves the folder with the logs where it is.
+    /// Keeps the folder with the logs when the fleet ends.
     pub fn keep(&mut self) {
         self.guard.keep();
     }
 
-    /// The node of a number.
+    /// Returns the node with this number.
     pub fn node(&mut self, number: u8) -> Result<&mut Node, ScenarioError> {
         let node = self.nodes.iter_mut().find(|n| n.number == number);
         node.ok_or(format!("there is no node {number}").into())
     }
 
-    fn launch(&mut self, number: u8, initial: bool, program: &Path) -> Result<(), ScenarioError> {
+    fn launch(&mut self, number: u8, is_initial_start: bool, program: &Path) -> Result<(), ScenarioError> {
         let (net, group) = (self.net, self.guard.group());
-        let seeds: Vec<SocketAddrV4> = (1..=SEEDS).map(|n| net.control(n)).collect();
+        let seeds: Vec<SocketAddrV4> = (1..=SEED_MACHINES).map(|n| net.control(n)).collect();
         let node = self.node(number)?;
-        if node.removed {
-            return Err(format!("{} is gone for good", node.name()).into());
+        if node.is_removed {
+            return Err(format!("{} was removed permanently", node.name()).into());
         }
         let disk = node.disk();
-        let text = settings::write(
+        let text = settings::render(
             &net,
             &seeds,
             &Machine {
                 number,
-                initial,
+                is_initial_start,
                 disk: disk.as_deref(),
             },
         );
@@ -101,7 +101,7 @@
         node.start(program, &text, group)
     }
 
-    /// Starts a node again, with what its disk holds.
+    /// Starts a node again with the contents of its disk.
     pub fn restart(&mut self, number: u8) -> Result<(), ScenarioError> {
         let program = self.program.clone();
         self.restart_with(number, &program)
@@ -112,15 +112,15 @@
         self.launch(number, false, program)
     }
 
-    /// The program that nodes are started with.
+    /// Returns the program that nodes are started with.
     pub fn program(&self) -> &Path {
         &self.program
     }
 
-    /// Adds a machine with an empty disk, at a new address; its number.
+    /// Adds a machine with an empty disk at a new address, and returns its number.
     pub fn add(&mut self) -> Result<u8, ScenarioError> {
         let number = self.nodes.iter().map(|n| n.number).max().unwrap_or(0) + 1;
-        if number >= settings::MACHINES {
+        if number >= settings::MAX_MACHINES {
             return Err("no address is left for another machine".into());
         }
         self.nodes.push(Node::new(self.guard.folder(), number, true));
@@ -128,81 +128,84 @@
         Ok(number)
     }
 
-    /// Control address of a node.
+    /// Returns the control address of a node.
     pub fn control_address(&self, number: u8) -> ControlAddress {
         (number, self.net.control(number))
     }
 
-    /// Control addresses of all machines in use, running or not.
+    /// Returns the control addresses of all machines in use, running or not.
     pub fn control_addresses(&self) -> Vec<ControlAddress> {
-        let used = self.nodes.iter().filter(|n| !n.removed);
-        used.map(|n| self.control_address(n.number)).collect()
+        let in_use = self.nodes.iter().filter(|n| !n.is_removed);
+        in_use.map(|n| self.control_address(n.number)).collect()
     }
 
-    /// Control addresses of the nodes whose processes run.
-    pub fn running(&self) -> Vec<ControlAddress> {
-        let up = self.nodes.iter().filter(|n| n.state() == State::Up);
-        up.map(|n| self.control_address(n.number)).collect()
+    /// Returns the control addresses of the nodes whose processes run.
+    pub fn running_control_addresses(&self) -> Vec<ControlAddress> {
+        let running = self.nodes.iter().filter(|n| n.state() == State::Up);
+        running.map(|n| self.control_address(n.number)).collect()
     }
 
-    /// Addresses of the fleet.
+    /// Returns the addresses of the fleet.
     pub fn net(&self) -> &Net {
         &self.net
     }
 
-    /// The node that leads in the newest term, of those whose processes run.
+    /// Returns the running node that leads in the newest term.
     pub fn leader(&self) -> Option<u8> {
-        let up = self.nodes.iter().filter(|n| n.state() == State::Up);
-        up.filter_map(|n| Some((n.leads_in()?, n.number)))
+        let running = self.nodes.iter().filter(|n| n.state() == State::Up);
+        running
+            .filter_map(|n| Some((n.leading_term()?, n.number)))
             .max()
             .map(|(_, number)| number)
     }
 
     /// Waits for a leader among the running nodes.
-    pub async fn wait_for_leader(&self, within: Duration) -> Result<u8, ScenarioError> {
-        let until = Instant::now() + within;
+    pub async fn wait_for_leader(&self, timeout: Duration) -> Result<u8, ScenarioError> {
+        let deadline = Instant::now() + timeout;
         loop {
             if let Some(number) = self.leader() {
                 return Ok(number);
             }
-            if Instant::now() > until {
-                return Err(format!("no leader within {} s", within.as_secs_f32()).into());
+            if Instant::now() > deadline {
+                return Err(format!("no leader within {} s", timeout.as_secs_f32()).into());
             }
-            actix_rt::time::sleep(Duration::from_millis(LOOK_MS)).await;
+            actix_rt::time::sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
         }
     }
 
-    /// Waits until a process that was asked to end has ended; how it did.
-    pub async fn wait_for_end(&mut self, number: u8, within: Duration) -> Result<String, ScenarioError> {
-        let until = Instant::now() + within;
+    /// Waits until a process that was asked to shut down has ended, and returns its exit status.
+    pub async fn wait_for_exit(&mut self, number: u8, timeout: Duration) -> Result<String, ScenarioError> {
+        let deadline = Instant::now() + timeout;
         loop {
-            if let Some(how) = self.node(number)?.ended() {
-                return Ok(how);
+            if let Some(status) = self.node(number)?.exit_status() {
+                return Ok(status);
             }
-            if Instant::now() > until {
-                return Err(
-                    format!("node {number} has not ended {} s after SIGTERM", within.as_secs()).into(),
-                );
+            if Instant::now() > deadline {
+                return Err(format!(
+                    "node {number} has not ended {} s after SIGTERM",
+                    timeout.as_secs()
+                )
+                .into());
             }
-            actix_rt::time::sleep(Duration::from_millis(LOOK_MS)).await;
+            actix_rt::time::sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
         }
     }
 
-    /// Processes that have ended though nobody ended them.
-    pub fn ended_by_themselves(&mut self) -> Vec<String> {
+    /// Describes the processes that have ended although this process did not end them.
+    pub fn unexpected_exits(&mut self) -> Vec<String> {
         let ended = self.nodes.iter_mut().filter_map(|n| {
-            let how = n.ended()?;
+            let status = n.exit_status()?;
             let log = n.log();
-            let last = log.lines().last().unwrap_or_default();
+            let last_line = log.lines().last().unwrap_or_default();
             Some(format!(
-                "{} ended by itself: {how}; its last line: {last}",
+                "{} ended unexpectedly: {status}; last log line: {last_line}",
                 n.name()
             ))
         });
         ended.collect()
     }
 
-    /// Ends all processes; also done when the fleet is dropped.
+    /// Ends all processes. Dropping the fleet does the same.
     pub async fn stop(mut self) {
         for node in &mut self.nodes {
             node.kill();
--- a/crates/fleet-test/src/guard.rs
+++ b/crates/fleet-test/src/guard.rs
@@ -1,9 +1,9 @@
-//! Nothing stays behind: a process that outlives this one ends the fleet and
-//! removes its folder as soon as this one is gone, however it went.
+//! Cleans up after a run: a watcher process that outlives this one ends the fleet and removes its
+//! folder as soon as this process is gone, for whatever reason.
 //!
-//! All nodes are in one process group, held open by a process that sleeps. The
-//! guard waits for the end of a pipe that only this process holds, and then ends
-//! that group by its number, which cannot have been given to others meanwhile.
+//! All nodes are in one process group, which a sleeping process keeps in existence. The watcher
+//! waits for the end of a pipe that only this process holds open, and then kills the group by its
+//! number. The number cannot have been reused in the meantime.
 
 use crate::ScenarioError;
 use rand::Rng;
@@ -12,9 +12,9 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// Longest life of a fleet, seconds: its holder ends by itself after it.
-const LONGEST_S: &str = "86400";
-/// What the guard does; `$1` is the folder, `$2` the process group.
+/// Longest lifetime of a fleet, in seconds; the process that holds the group ends after it.
+const MAX_LIFETIME_S: &str = "86400";
+/// Script of the watcher; `$1` is the folder, `$2` the process group.
 const SCRIPT: &str = r#"
 trap '' INT TERM HUP
 keep=
@@ -27,65 +27,65 @@
 done
 "#;
 
-/// Ends all that was started when its starter is gone.
+/// Ends all processes of the fleet when the process that started it is gone.
 pub struct Guard {
     folder: PathBuf,
-    holder: Child,
-    watch: Child,
+    group_holder: Child,
+    watcher: Child,
 }
 
 impl Guard {
-    /// Makes the fleet's folder and watches over it.
-    pub fn set() -> Result<Guard, ScenarioError> {
+    /// Creates the fleet's folder and starts the watcher.
+    pub fn start() -> Result<Guard, ScenarioError> {
         let name = format!("fleet-test-{:x}", rand::thread_rng().gen::<u64>());
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-        let quiet = |command: &mut Command| -> std::io::Result<Child> {
+        let spawn_detached = |command: &mut Command| -> std::io::Result<Child> {
             command
                 .process_group(0)
                 .stdout(Stdio::null())
                 .stderr(Stdio::null())
                 .spawn()
         };
-        let holder = quiet(Command::new("sleep").arg(LONGEST_S).stdin(Stdio::null()))
-            .map_err(|e| format!("the fleet's process group: {e}"))?;
-        let group = holder.id().to_string();
-        let watch = quiet(
+        let group_holder = spawn_detached(Command::new("sleep").arg(MAX_LIFETIME_S).stdin(Stdio::null()))
+            .map_err(|e| format!("cannot start the process that holds the fleet's process group: {e}"))?;
+        let group = group_holder.id().to_string();
+        let watcher = spawn_detached(
             Command::new("/bin/sh")
                 .args(["-c", SCRIPT, "fleet-test-guard"])
                 .arg(&folder)
                 .arg(&group)
                 .stdin(Stdio::piped()),
         );
-        match watch {
-            Ok(watch) => Ok(Guard {
+        match watcher {
+            Ok(watcher) => Ok(Guard {
                 folder,
-                holder,
-                watch,
+                group_holder,
+                watcher,
             }),
             Err(e) => {
-                let mut holder = holder;
-                let _ = holder.kill();
-                let _ = holder.wait();
+                let mut group_holder = group_holder;
+                let _ = group_holder.kill();
+                let _ = group_holder.wait();
                 let _ = std::fs::remove_dir(&folder);
-                Err(format!("the fleet's guard: {e}").into())
+                Err(format!("cannot start the fleet's watcher: {e}").into())
             }
         }
     }
 
-    /// Folder that goes with the guard.
+    /// Returns the fleet's folder.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// The process group that nodes are to be in.
+    /// Returns the process group for the nodes.
     pub fn group(&self) -> i32 {
-        self.holder.id() as i32
+        self.group_holder.id() as i32
     }
 
-    /// Leaves the folder where it is.
+    /// Keeps the folder when the fleet ends.
     pub fn keep(&mut self) {
-        if let Some(pipe) = &mut self.watch.stdin {
+        if let Some(pipe) = &mut self.watcher.stdin {
             let _ = pipe.write_all(b"keep\n");
         }
     }
@@ -93,8 +93,8 @@
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        drop(self.watch.stdin.take());
-        let _ = self.watch.wait();
-        let _ = self.holder.wait();
+        drop(self.watcher.stdin.take());
+        let _ = self.watcher.wait();
+        let _ = self.group_holder.wait();
     }
 }
--- a/crates/fleet-test/src/lib.rs
+++ b/crates/fleet-test/src/lib.rs
@@ -1,42 +1,43 @@
-//! A small fleet of real `pebblepond` processes on loopback addresses, with a
-//! simulator for the platform, driven over the published HTTP and put to faults.
+//! A small fleet of real `pebblepond` processes on loopback addresses, with a simulated platform.
+//! It is driven over the public HTTP interfaces and exposed to injected faults.
 //!
-//! Not used by the program itself. Each node has its own address in 127.0.0.0/8; all
-//! nodes have the same ports. Whatever is started is ended, and the folder of the fleet
-//! removed, also when this process is killed ([`guard`]).
+//! The `pebblepond` program itself does not use this crate. Each node has its own address in
+//! 127.0.0.0/8; all nodes use the same ports. All started processes are ended and the fleet's
+//! folder is removed, even when this process is killed ([`guard`]).
 //!
-//! Links are not cut or reset: on loopback that needs privileges, and nodes know each
-//! other by the addresses that they listen on, so that no relay can stand between them.
-//! A node that is frozen takes the place of one that is cut off.
+//! Links are not cut or reset: on loopback that needs privileges, and nodes know each other by the
+//! addresses that they listen on, so no relay can be placed between them. A frozen node stands in
+//! for a partitioned one.
 
 /// Calls to `control`.
 pub mod call;
-/// What the answers must add up to.
+/// Checks on the answers to `control` calls.
 pub mod checker;
-/// The fleet and its faults.
+/// The fleet and the faults injected into it.
 pub mod fleet;
-/// The end of all that was started.
+/// Cleanup of the fleet's processes and folder.
 pub mod guard;
-/// Loopback addresses.
+/// Loopback addresses and ports.
 pub mod net;
-/// One process.
+/// A node's process.
 pub mod node;
-/// Callers of `control`.
+/// Clients of `control`.
 pub mod operator;
 /// Configurations that are sent.
 pub mod orders;
 /// The simulated platform.
 pub mod platform;
-/// Which program is started.
+/// Lookup of the program under test.
 pub mod program;
 /// The scenarios.
 pub mod scenarios;
 /// Settings files.
 pub mod settings;
-/// Soaks: whole fleets under faults in series, judged by what clients, workers and operators saw.
+/// Soak tests: fleets under series of faults, checked by what clients, workers and operators
+/// observed.
 pub mod soak;
 
-/// What keeps a scenario from being run: no statement about the system.
+/// A reason why a scenario could not be run. It says nothing about the system under test.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct ScenarioError(String);
--- a/crates/fleet-test/src/main.rs
+++ b/crates/fleet-test/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs faults with a fleet of real processes, or starts one to look at.
+//! Runs fault-injection scenarios on a fleet of real processes, or starts a fleet for inspection.
 
 use clap::{Parser, Subcommand};
 use fleet_test::fleet::{Fleet, Plan};
@@ -30,16 +30,16 @@
 struct Cli {
     #[command(subcommand)]
     command: Command,
-    /// The program to start; the one beside this program if left out.
+    /// The pebblepond program to start; by default the one next to this program.
     #[arg(long, global = true, value_name = "PATH")]
     program: Option<PathBuf>,
-    /// Another program, for `rolling-upgrade`.
+    /// The program that `rolling-upgrade` upgrades to.
     #[arg(long, value_name = "PATH")]
     other_program: Option<PathBuf>,
     /// Shorter freezes and fewer changes.
     #[arg(long, global = true)]
     short: bool,
-    /// Leave the fleet's folder with its logs where it is.
+    /// Keep the fleet's folder with its logs.
     #[arg(long, global = true)]
     keep: bool,
 }
@@ -50,32 +50,33 @@
     List,
     /// Run all scenarios, one after the other.
     All,
-    /// Run these scenarios.
+    /// Run the named scenarios.
     Run {
         #[arg(required = true, value_name = "SCENARIO")]
         names: Vec<String>,
     },
-    /// Inject random faults for a while.
+    /// Inject random faults for some time.
     Storm {
-        /// Time for faults, s.
+        /// Time during which faults are injected, in seconds.
         #[arg(default_value_t = 60)]
         seconds: u64,
-        /// What the faults are drawn by.
+        /// Seed of the random faults.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Run a fleet with clients, workers and operators under faults in series, and judge what they saw.
+    /// Run a fleet with clients, workers and operators under series of faults, and check what they
+    /// observed.
     Soak {
-        /// What everything is drawn by.
+        /// Seed of the random choices.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Time with faults, s.
+        /// Time during which faults are injected, in seconds.
         #[arg(long = "for", default_value_t = 60, value_name = "SECONDS")]
         seconds: u64,
-        /// Machines, five of them with a disk.
+        /// Number of machines, five of them with a disk.
         #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u8).range(5..=100))]
         machines: u8,
-        /// Clients.
+        /// Number of clients.
         #[arg(long, default_value_t = 24)]
         clients: usize,
         /// Two operators evacuate the same zone.
@@ -84,10 +85,10 @@
     },
     /// Start a fleet, print where each node listens, and wait.
     Up {
-        /// Machines with a disk.
+        /// Number of machines with a disk.
         #[arg(default_value_t = 5, value_parser = clap::value_parser!(u8).range(1..=9))]
         machines: u8,
-        /// Machines without one.
+        /// Number of machines without a disk.
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u8).range(0..=5))]
         without_disk: u8,
     },
@@ -95,7 +96,7 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let chosen: Vec<&Scenario> = match &cli.command {
+    let scenarios: Vec<&Scenario> = match &cli.command {
         Command::List => {
             for s in &ALL {
                 println!("{:14} {}", s.name, s.about);
@@ -106,7 +107,7 @@
         Command::Run { names } => {
             let found: Option<Vec<&Scenario>> = names.iter().map(|n| by_name(n)).collect();
             let Some(found) = found else {
-                eprintln!("fleet-test: no such scenario; `list` names them");
+                eprintln!("fleet-test: unknown scenario; `fleet-test list` shows all of them");
                 return ExitCode::from(2);
             };
             found
@@ -123,17 +124,17 @@
     };
     actix_rt::System::new().block_on(async {
         tokio::select! {
-            // What was started ends with the future that owns it.
-            () = interrupted() => {
-                eprintln!("fleet-test: interrupted; the fleet is ended");
+            // Dropping the future ends everything that it started.
+            () = wait_for_interrupt() => {
+                eprintln!("fleet-test: interrupted; the fleet was stopped");
                 ExitCode::from(exit::INTERRUPTED)
             }
-            code = work(&cli, &chosen, &program) => code,
+            code = run_command(&cli, &scenarios, &program) => code,
         }
     })
 }
 
-async fn interrupted() {
+async fn wait_for_interrupt() {
     let kinds = [
         SignalKind::interrupt(),
         SignalKind::terminate(),
@@ -144,13 +145,13 @@
     futures_util::future::select_all(waits).await;
 }
 
-async fn work(cli: &Cli, chosen: &[&Scenario], program: &Path) -> ExitCode {
+async fn run_command(cli: &Cli, scenarios: &[&Scenario], program: &Path) -> ExitCode {
     if let Command::Up {
         machines,
         without_disk,
     } = cli.command
     {
-        return up(program, machines, without_disk, cli.keep).await;
+        return run_fleet(program, machines, without_disk, cli.keep).await;
     }
     if let Command::Soak {
         seed,
@@ -187,54 +188,54 @@
     if let Command::Storm { seconds, seed } = cli.command {
         (options.seconds, options.seed) = (seconds, seed);
     }
-    run_scenarios(chosen, program, &options).await
+    run_scenarios(scenarios, program, &options).await
 }
 
-/// Runs scenarios one after the other, and prints what each came to.
-async fn run_scenarios(chosen: &[&Scenario], program: &Path, options: &Options) -> ExitCode {
+/// Runs scenarios one after the other, and prints the outcome of each.
+async fn run_scenarios(scenarios: &[&Scenario], program: &Path, options: &Options) -> ExitCode {
     let mut code = 0;
     let mut lines = Vec::new();
-    let all = Instant::now();
-    for scenario in chosen {
+    let all_started = Instant::now();
+    for scenario in scenarios {
         println!("{}: {}", scenario.name, scenario.about);
-        let begun = Instant::now();
+        let started = Instant::now();
         let verdict = scenario.execute(program, options.clone()).await;
-        let (word, worse) = match &verdict {
+        let (outcome, exit_code) = match &verdict {
             Verdict::Held => ("held".to_string(), 0),
-            Verdict::Broken(faults) => (format!("BROKEN, {} times", faults.len()), exit::BROKEN),
+            Verdict::Broken(violations) => (format!("BROKEN, {} times", violations.len()), exit::BROKEN),
             Verdict::ScenarioError(why) => (format!("NOT RUN: {why}"), exit::NOT_RUN),
         };
-        if let Verdict::Broken(faults) = &verdict {
-            show(faults);
+        if let Verdict::Broken(violations) = &verdict {
+            print_violations(violations);
         }
         let line = format!(
-            "{:14} {:5.1} s  {word}",
+            "{:14} {:5.1} s  {outcome}",
             scenario.name,
-            begun.elapsed().as_secs_f32()
+            started.elapsed().as_secs_f32()
         );
         println!("{line}\n");
         lines.push(line);
-        if code != exit::BROKEN && worse != 0 {
-            code = worse;
+        if code != exit::BROKEN && exit_code != 0 {
+            code = exit_code;
         }
     }
     println!(
-        "{}\nin all {:.1} s",
+        "{}\ntotal {:.1} s",
         lines.join("\n"),
-        all.elapsed().as_secs_f32()
+        all_started.elapsed().as_secs_f32()
     );
     ExitCode::from(code)
 }
 
-/// Faults printed of each scenario, lines.
-const SHOWN: usize = 12;
+/// Violations printed per scenario or soak.
+const MAX_SHOWN_VIOLATIONS: usize = 12;
 
-fn show(faults: &[String]) {
-    for fault in faults.iter().take(SHOWN) {
-        println!("  - {fault}");
+fn print_violations(violations: &[String]) {
+    for violation in violations.iter().take(MAX_SHOWN_VIOLATIONS) {
+        println!("  - {violation}");
     }
-    if faults.len() > SHOWN {
-        println!("  - and {} more", faults.len() - SHOWN);
+    if violations.len() > MAX_SHOWN_VIOLATIONS {
+        println!("  - and {} more", violations.len() - MAX_SHOWN_VIOLATIONS);
     }
 }
 
@@ -246,25 +247,28 @@
             return ExitCode::from(exit::NOT_RUN);
         }
     };
-    let broken = report.violations.len();
-    for (violation, lines) in report.violations.iter().take(SHOWN) {
-        println!("{} at {} ms: {}", violation.rule, violation.at, violation.what);
-        for line in lines.iter().rev().take(LOG_LINES).rev() {
+    let violation_count = report.violations.len();
+    for (violation, lines) in report.violations.iter().take(MAX_SHOWN_VIOLATIONS) {
+        println!(
+            "{} at {} ms: {}",
+            violation.rule, violation.at, violation.description
+        );
+        for line in lines.iter().rev().take(MAX_SHOWN_LOG_LINES).rev() {
             println!("    {line}");
         }
     }
-    let verdict = match broken {
+    let verdict = match violation_count {
         0 => "held".to_string(),
-        _ => format!("BROKEN, {broken} times"),
+        _ => format!("BROKEN, {violation_count} times"),
     };
     println!("seed {}: {verdict}; {}", options.seed, report.summary);
-    ExitCode::from(if broken > 0 { exit::BROKEN } else { 0 })
+    ExitCode::from(if violation_count > 0 { exit::BROKEN } else { 0 })
 }
 
-/// Log lines printed with a breach, lines.
-const LOG_LINES: usize = 40;
+/// Log lines printed per violation.
+const MAX_SHOWN_LOG_LINES: usize = 40;
 
-async fn up(program: &Path, with_disk: u8, without_disk: u8, keep: bool) -> ExitCode {
+async fn run_fleet(program: &Path, with_disk: u8, without_disk: u8, keep: bool) -> ExitCode {
     let plan = Plan {
         with_disk,
         without_disk,
@@ -297,11 +301,11 @@
             if node.has_disk { "disk" } else { "no disk" }
         );
     }
-    println!("until interrupted");
+    println!("running until interrupted");
     loop {
         actix_rt::time::sleep(std::time::Duration::from_secs(1)).await;
-        for ended in fleet.ended_by_themselves() {
-            println!("{ended}");
+        for exit_description in fleet.unexpected_exits() {
+            println!("{exit_description}");
         }
     }
 }
--- a/crates/fleet-test/src/node.rs
+++ b/crates/fleet-test/src/node.rs
@@ -1,4 +1,4 @@
-//! One `pebblepond` process, and what may befall it.
+//! A `pebblepond` process and the faults that can be applied to it.
 
 use crate::settings;
 use crate::ScenarioError;
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// What a node's process does at the moment.
+/// The state of a node's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     Down,
@@ -16,68 +16,68 @@
     Frozen,
 }
 
-/// One process of the fleet, running or not.
+/// One node of the fleet, running or not.
 pub struct Node {
-    /// Its number, from 1.
+    /// The node's number, from 1.
     pub number: u8,
     pub has_disk: bool,
-    /// Gone for good: never started again.
-    pub removed: bool,
+    /// Whether the node has left permanently and must not be started again.
+    pub is_removed: bool,
     folder: PathBuf,
     child: Option<Child>,
     state: State,
-    /// Processes started so far; each writes a log of its own.
-    lives: u32,
+    /// Number of processes started so far; each writes its own log.
+    starts: u32,
 }
 
 impl Node {
-    /// A node that has not been started.
-    pub fn new(fleet: &Path, number: u8, has_disk: bool) -> Node {
+    /// Creates a node that has not been started.
+    pub fn new(fleet_folder: &Path, number: u8, has_disk: bool) -> Node {
         Node {
             number,
             has_disk,
-            removed: false,
-            folder: fleet.join(settings::name(number)),
+            is_removed: false,
+            folder: fleet_folder.join(settings::name(number)),
             child: None,
             state: State::Down,
-            lives: 0,
+            starts: 0,
         }
     }
 
-    /// Its name in the settings.
+    /// Returns the node's name in the settings.
     pub fn name(&self) -> String {
         settings::name(self.number)
     }
 
-    /// Whether it runs.
+    /// Returns the state of the node's process.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// The folder of its disk.
+    /// Returns the folder of the node's disk.
     pub fn disk(&self) -> Option<PathBuf> {
         self.has_disk.then(|| self.folder.join("data"))
     }
 
     fn log_path(&self) -> PathBuf {
-        self.folder.join(format!("life-{}.log", self.lives))
+        self.folder.join(format!("life-{}.log", self.starts))
     }
 
-    /// What its present or last process has logged.
+    /// Returns the log of the current or last process.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.log_path()).unwrap_or_default()
     }
 
-    /// Starts a process with these settings, in a process group.
+    /// Starts a process with these settings in a process group.
     pub fn start(&mut self, program: &Path, settings: &str, group: i32) -> Result<(), ScenarioError> {
         if self.child.is_some() {
-            return Err(format!("{} runs already", self.name()).into());
+            return Err(format!("{} is already running", self.name()).into());
         }
-        let failed = |e: std::io::Error| format!("{}: {e}", self.name());
-        std::fs::create_dir_all(self.disk().as_ref().unwrap_or(&self.folder)).map_err(failed)?;
+        let io_error = |e: std::io::Error| format!("{}: {e}", self.name());
+        std::fs::create_dir_all(self.disk().as_ref().unwrap_or(&self.folder)).map_err(io_error)?;
         let file = self.folder.join("boot.toml");
-        std::fs::write(&file, settings).map_err(failed)?;
-        self.lives += 1;
+        std::fs::write(&file, settings).map_err(io_error)?;
+        self.starts += 1;
         let log = std::fs::File::create(self.log_path()).map_err(|e| format!("{}: {e}", self.name()))?;
         let child = Command::new(program)
             .args(["serve", "--counters-every", "0"])
@@ -98,27 +98,27 @@
         let child = self
             .child
             .as_ref()
-            .ok_or(format!("{} does not run", self.name()))?;
-        // The number is the child's as long as nobody has waited for it.
-        let pid = Pid::from_raw(child.id() as i32).ok_or("a process without a number")?;
+            .ok_or(format!("{} is not running", self.name()))?;
+        // The process id stays the child's until its exit status is collected.
+        let pid = Pid::from_raw(child.id() as i32).ok_or("the process has no valid id")?;
         kill_process(pid, signal).map_err(|e| format!("{}: {e}", self.name()).into())
     }
 
-    /// Stops the process where it stands; connections to it hang.
+    /// Suspends the process; connections to it hang.
     pub fn freeze(&mut self) -> Result<(), ScenarioError> {
         self.signal(Signal::STOP)?;
         self.state = State::Frozen;
         Ok(())
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a frozen process.
     pub fn thaw(&mut self) -> Result<(), ScenarioError> {
         self.signal(Signal::CONT)?;
         self.state = State::Up;
         Ok(())
     }
 
-    /// Ends the process at once; its disk stays.
+    /// Kills the process; its disk stays.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -127,18 +127,19 @@
         self.state = State::Down;
     }
 
-    /// Asks the process to end in order.
+    /// Asks the process to shut down with SIGTERM.
     pub fn terminate(&mut self) -> Result<(), ScenarioError> {
         self.signal(Signal::TERM)
     }
 
-    /// Tells the process that its settings file has changed.
-    pub fn hang_up(&mut self) -> Result<(), ScenarioError> {
+    /// Tells the process with SIGHUP that its settings file has changed.
+    pub fn request_settings_reload(&mut self) -> Result<(), ScenarioError> {
         self.signal(Signal::HUP)
     }
 
-    /// Whether the process has ended; `None` as long as it runs.
-    pub fn ended(&mut self) -> Option<String> {
+    /// Returns the exit status of a process that has just ended, or `None` if there is no process or
+    /// it still runs.
+    pub fn exit_status(&mut self) -> Option<String> {
         let child = self.child.as_mut()?;
         let status = child.try_wait().ok()??;
         self.child = None;
@@ -146,10 +147,10 @@
         Some(status.to_string())
     }
 
-    /// Empties the disk of a process that is down.
+    /// Empties the disk of a node whose process is down.
     pub fn wipe(&mut self) -> Result<(), ScenarioError> {
         if self.child.is_some() {
-            return Err(format!("{} runs: its disk cannot be lost", self.name()).into());
+            return Err(format!("{} is running: its disk cannot be wiped", self.name()).into());
         }
         let Some(disk) = self.disk() else { return Ok(()) };
         std::fs::remove_dir_all(&disk)
@@ -157,12 +158,12 @@
             .map_err(|e| format!("{}: {e}", disk.display()).into())
     }
 
-    /// The term in which this process leads, by its log.
-    pub fn leads_in(&self) -> Option<u64> {
+    /// Returns the term in which this process leads, according to its log.
+    pub fn leading_term(&self) -> Option<u64> {
         if self.state == State::Down {
             return None;
         }
-        leads_in(&self.log())
+        leading_term(&self.log())
     }
 }
 
@@ -172,19 +173,19 @@
     }
 }
 
-/// The term in which the writer of a log leads at its end.
-pub fn leads_in(log: &str) -> Option<u64> {
-    let mut leads = None;
+/// Returns the term in which the node that wrote this log leads at its end.
+pub fn leading_term(log: &str) -> Option<u64> {
+    let mut leading_term = None;
     for line in log.lines() {
         let mut words = line.split(' ');
         let Some(event) = words.find_map(|w| w.strip_prefix("event=")) else {
             continue;
         };
         match event {
-            "leads" => leads = words.find_map(|w| w.strip_prefix("term=")?.parse().ok()),
-            "leads_no_more" => leads = None,
+            "leads" => leading_term = words.find_map(|w| w.strip_prefix("term=")?.parse().ok()),
+            "leads_no_more" => leading_term = None,
             _ => {}
         }
     }
-    leads
+    leading_term
 }
--- a/crates/fleet-test/src/operator.rs
+++ b/crates/fleet-test/src/operator.rs
@@ -1,73 +1,73 @@
-//! Callers of control: they send an order, and send it again as it was, to any
-//! node, until it has a clear answer. All that they see goes into one history.
+//! Clients of `control`. They send a command, and send it again unchanged to any node, until the
+//! answer is definite. All calls are recorded in one history.
 
 use crate::call::{call, client, Request};
-use crate::checker::{Answer, Asked, Call, History, Order};
+use crate::checker::{Answer, Call, Command, History, Operation};
 use rand::seq::SliceRandom;
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// First pause before an order is sent again, ms; it doubles up to the longest.
-const PAUSE_MS: u64 = 50;
-const LONGEST_PAUSE_MS: u64 = 800;
-/// Tries after which a 4xx other than those that end a call at once ends it.
-const OTHER_4XX_TRIES: u32 = 3;
+/// First delay before a command is sent again, in milliseconds. It doubles up to the longest delay.
+const FIRST_RETRY_DELAY_MS: u64 = 50;
+const MAX_RETRY_DELAY_MS: u64 = 800;
+/// Number of 4xx answers, other than those that end a call at once, after which a call ends.
+const MAX_OTHER_4XX: u32 = 3;
 
-/// The history that all operators of a scenario write.
+/// The history that all operators of a scenario write to.
 #[derive(Clone)]
 pub struct Record {
     history: Rc<RefCell<History>>,
-    began: Instant,
+    started_at: Instant,
 }
 
 impl Default for Record {
     fn default() -> Self {
         Record {
             history: Rc::default(),
-            began: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 }
 
 impl Record {
-    /// What was recorded so far.
+    /// Returns a copy of the history recorded so far.
     pub fn history(&self) -> History {
         self.history.borrow().clone()
     }
 
-    /// Microseconds since the start of the history.
+    /// Returns the microseconds since the start of the history.
     pub fn now(&self) -> u64 {
-        self.began.elapsed().as_micros() as u64
+        self.started_at.elapsed().as_micros() as u64
     }
 
-    /// Enters an order that is to be sent.
-    pub fn order(&self, base: u64, version: u64, body: Vec<u8>) -> usize {
+    /// Records a command that is to be sent, and returns its index.
+    pub fn command(&self, base: u64, version: u64, body: Vec<u8>) -> usize {
         let mut history = self.history.borrow_mut();
-        history.orders.push(Order { base, version, body });
-        history.orders.len() - 1
+        history.commands.push(Command { base, version, body });
+        history.commands.len() - 1
     }
 
-    fn request(&self, asked: &Asked, body: &[u8]) -> Request {
-        match asked {
-            Asked::Replace(n) => {
+    fn request(&self, operation: &Operation, body: &[u8]) -> Request {
+        match operation {
+            Operation::Replace(n) => {
                 let history = self.history.borrow();
-                let order = &history.orders[*n];
+                let command = &history.commands[*n];
                 Request::Post {
                     path: "/configuration/replace".into(),
-                    base: Some(order.base),
-                    body: order.body.clone(),
+                    base: Some(command.base),
+                    body: command.body.clone(),
                 }
             }
-            Asked::Invalid(_) => Request::Post {
+            Operation::Invalid(_) => Request::Post {
                 path: "/configuration/replace".into(),
                 base: Some(0),
                 body: body.to_vec(),
             },
-            Asked::Read => Request::Get("/configuration/read".into()),
-            Asked::Status => Request::Get("/status".into()),
-            Asked::Evacuate { zone, begin } => Request::Post {
+            Operation::Read => Request::Get("/configuration/read".into()),
+            Operation::Status => Request::Get("/status".into()),
+            Operation::Evacuate { zone, begin } => Request::Post {
                 path: format!("/evacuation/{zone}/{}", if *begin { "begin" } else { "finish" }),
                 base: None,
                 body: Vec::new(),
@@ -76,10 +76,10 @@
     }
 }
 
-/// A control address and the number of its node.
+/// The number of a node and its control address.
 pub type ControlAddress = (u8, SocketAddrV4);
 
-/// One caller, with connections of its own.
+/// A client of `control` with connections of its own.
 #[derive(Clone)]
 pub struct Operator {
     client: awc::Client,
@@ -87,7 +87,7 @@
 }
 
 impl Operator {
-    /// An operator whose calls are recorded.
+    /// Creates an operator whose calls are recorded.
     pub fn new(record: &Record) -> Operator {
         Operator {
             client: client(),
@@ -95,64 +95,70 @@
         }
     }
 
-    /// One call at one node, and what came of it.
-    pub async fn ask(&self, asked: Asked, control_address: ControlAddress) -> Answer {
-        self.ask_with(asked, Vec::new(), control_address).await
+    /// Sends one call to one node, and returns the answer.
+    pub async fn send_once(&self, operation: Operation, control_address: ControlAddress) -> Answer {
+        self.send_once_with_body(operation, Vec::new(), control_address)
+            .await
     }
 
-    /// One call that brings a body of its own.
-    pub async fn ask_with(&self, asked: Asked, body: Vec<u8>, (node, address): ControlAddress) -> Answer {
-        let request = self.record.request(&asked, &body);
-        let sent = self.record.now();
+    /// Sends one call with the given body to one node, and returns the answer.
+    pub async fn send_once_with_body(
+        &self,
+        operation: Operation,
+        body: Vec<u8>,
+        (node, address): ControlAddress,
+    ) -> Answer {
+        let request = self.record.request(&operation, &body);
+        let sent_at_us = self.record.now();
         let answer = call(&self.client, address, &request).await;
         self.record.history.borrow_mut().calls.push(Call {
-            asked,
+            operation,
             node,
-            sent,
-            ended: self.record.now(),
+            sent_at_us,
+            ended_at_us: self.record.now(),
             answer: answer.clone(),
         });
         answer
     }
 
-    /// Sends a call, first to the places as they stand, then to any of them,
-    /// until it has a clear answer or the time is over, in which case the last
-    /// unclear one is handed back.
-    pub async fn settle(
+    /// Sends a call, first to each address in the given order and then to random ones, until the
+    /// answer is definite or the time is over. In the latter case the last indeterminate answer is
+    /// returned.
+    pub async fn retry_until_definite(
         &self,
-        asked: Asked,
+        operation: Operation,
         control_addresses: &[ControlAddress],
-        within: Duration,
+        timeout: Duration,
     ) -> Answer {
-        let until = Instant::now() + within;
-        let mut pause = PAUSE_MS;
-        let mut tries = 0;
-        let mut others = 0;
+        let deadline = Instant::now() + timeout;
+        let mut pause = FIRST_RETRY_DELAY_MS;
+        let mut attempts = 0;
+        let mut other_refusals = 0;
         loop {
-            let control_address = match control_addresses.get(tries) {
+            let control_address = match control_addresses.get(attempts) {
                 Some(control_address) => Some(*control_address),
                 None => control_addresses.choose(&mut rand::thread_rng()).copied(),
             };
             let Some(control_address) = control_address else {
-                return Answer::Unclear("no node to ask".into());
+                return Answer::Indeterminate("no node to call".into());
             };
-            let answer = self.ask(asked.clone(), control_address).await;
-            tries += 1;
+            let answer = self.send_once(operation.clone(), control_address).await;
+            attempts += 1;
             match &answer {
-                Answer::Good(_) | Answer::Refused(400 | 409 | 412 | 413 | 422, _) => return answer,
+                Answer::Success(_) | Answer::Refused(400 | 409 | 412 | 413 | 422, _) => return answer,
                 Answer::Refused(..) => {
-                    others += 1;
-                    if others == OTHER_4XX_TRIES {
+                    other_refusals += 1;
+                    if other_refusals == MAX_OTHER_4XX {
                         return answer;
                     }
                 }
-                Answer::Unclear(_) => {}
+                Answer::Indeterminate(_) => {}
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return answer;
             }
             actix_rt::time::sleep(Duration::from_millis(pause)).await;
-            pause = (pause * 2).min(LONGEST_PAUSE_MS);
+            pause = (pause * 2).min(MAX_RETRY_DELAY_MS);
         }
     }
 }
--- a/crates/fleet-test/src/orders.rs
+++ b/crates/fleet-test/src/orders.rs
@@ -1,39 +1,39 @@
-//! Configurations that tell whose they are.
+//! Configurations that identify their maker.
 
 use serde_json::{json, Value};
 
-/// The host of all routes.
+/// Host of all routes.
 pub const HOST: &str = "play.example";
-/// The service of all routes; it has no workers.
+/// Service of all routes. It has no workers.
 const SERVICE: &str = "svc";
 
-/// A configuration: its number, who made it, and how many routes it has. Two of
-/// the same number by different makers differ.
+/// Returns a configuration with this version, maker and number of routes. Two configurations with
+/// the same version but different makers differ.
 pub fn configuration(version: u64, maker: &str, routes: usize) -> Vec<u8> {
     let mut rules = vec![rule(&format!("v-{version}-{maker}"), "idempotent")];
     rules.extend((1..routes).map(|n| rule(&format!("r{n}"), "idempotent")));
-    whole(version, rules)
+    document(version, rules)
 }
 
-/// A configuration that is invalid; a refusal names the mark.
+/// Returns an invalid configuration. A refusal must name the mark.
 pub fn invalid(version: u64, mark: &str) -> Vec<u8> {
-    whole(version, vec![rule(mark, "no-such-type")])
+    document(version, vec![rule(mark, "no-such-type")])
 }
 
-/// The path on which a configuration alone has a route.
+/// Returns the path that only this configuration has a route for.
 pub fn path_of(version: u64, maker: &str) -> String {
     format!("/v-{version}-{maker}/")
 }
 
-fn rule(name: &str, kind: &str) -> Value {
+fn rule(name: &str, route_type: &str) -> Value {
     json!({
-        "Name": name, "RouteType": kind, "Target": "800ms", "Priority": 1,
+        "Name": name, "RouteType": route_type, "Target": "800ms", "Priority": 1,
         "Condition": { "PathPrefix": format!("/{name}/") },
         "Treatment": { "Service": SERVICE, "Timeout": "2000ms", "AttemptLimit": 2, "HomeRegions": [] }
     })
 }
 
-fn whole(version: u64, rules: Vec<Value>) -> Vec<u8> {
+fn document(version: u64, rules: Vec<Value>) -> Vec<u8> {
     json!({
         "Version": version,
         "Limits": { "HeaderMaxBytes": 16384, "BodyMaxBytes": 1_000_000,
--- a/crates/fleet-test/src/platform.rs
+++ b/crates/fleet-test/src/platform.rs
@@ -1,5 +1,4 @@
-//! The platform's simulator: the list of workers. There are none by default, and the list has one
-//! page.
+//! Simulates the platform's list of workers. By default the list is empty and has one page.
 
 use crate::ScenarioError;
 use actix_web::dev::ServerHandle;
@@ -9,18 +8,18 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Workers by `Identifier`, each as the list shows it.
+/// Workers by `Identifier`, each with its entry in the list.
 pub type Instances = Arc<Mutex<BTreeMap<String, serde_json::Value>>>;
 
-/// How the list is read: entries on a page, and how long the platform takes for one. The token of
-/// a page says how many entries stand before it, as in the protocol's example.
+/// Paging of the list: entries per page, and the platform's delay for each page. A page token holds
+/// the number of entries on earlier pages, as in the protocol's example.
 #[derive(Clone, Copy)]
 struct Pages {
-    entries: usize,
-    pause: Duration,
+    entries_per_page: usize,
+    page_delay: Duration,
 }
 
-/// What the platform answers by.
+/// State shared by the platform's request handlers.
 struct Shared {
     instances: Instances,
     pages: Mutex<Pages>,
@@ -34,12 +33,12 @@
 }
 
 impl Platform {
-    /// Listens at an address.
+    /// Starts listening at an address.
     pub fn start(address: SocketAddrV4) -> Result<Platform, ScenarioError> {
         let instances = Instances::default();
         let one_page = Pages {
-            entries: usize::MAX,
-            pause: Duration::ZERO,
+            entries_per_page: usize::MAX,
+            page_delay: Duration::ZERO,
         };
         let shared = web::Data::new(Shared {
             instances: instances.clone(),
@@ -54,7 +53,7 @@
         .workers(1)
         .disable_signals()
         .bind(address)
-        .map_err(|e| format!("the platform at {address}: {e}"))?
+        .map_err(|e| format!("cannot listen at {address} for the simulated platform: {e}"))?
         .run();
         let handle = server.handle();
         actix_rt::spawn(server);
@@ -65,10 +64,13 @@
         })
     }
 
-    /// Lists so many entries on a page from now on, and takes a time for each page.
-    pub fn set_pages(&self, entries: usize, pause: Duration) {
+    /// Sets the number of entries per page and the delay for each page.
+    pub fn set_pages(&self, entries_per_page: usize, page_delay: Duration) {
         if let Ok(mut pages) = self.shared.pages.lock() {
-            *pages = Pages { entries, pause };
+            *pages = Pages {
+                entries_per_page,
+                page_delay,
+            };
         }
     }
 
@@ -78,22 +80,23 @@
     }
 }
 
-/// A page of the whole list, or of that of one zone, as the list is at this moment.
-async fn list(shared: web::Data<Shared>, asked: web::Query<BTreeMap<String, String>>) -> HttpResponse {
+/// Returns a page of the whole list or of one zone's list, as the list is at this moment.
+async fn list(shared: web::Data<Shared>, query: web::Query<BTreeMap<String, String>>) -> HttpResponse {
     let Some(pages) = shared.pages.lock().ok().map(|pages| *pages) else {
         return HttpResponse::InternalServerError().finish();
     };
-    if !pages.pause.is_zero() {
-        actix_web::rt::time::sleep(pages.pause).await;
+    if !pages.page_delay.is_zero() {
+        actix_web::rt::time::sleep(pages.page_delay).await;
     }
     let Ok(all) = shared.instances.lock() else {
         return HttpResponse::InternalServerError().finish();
     };
-    let token = asked.get("PageToken").and_then(|token| token.strip_prefix("p-"));
+    let token = query.get("PageToken").and_then(|token| token.strip_prefix("p-"));
     let first: usize = token.and_then(|number| number.parse().ok()).unwrap_or(0);
-    let wanted = |entry: &serde_json::Value| asked.get("Zone").is_none_or(|z| entry["Zone"] == z.as_str());
-    let mut listed = all.iter().filter(|(_, entry)| wanted(entry)).skip(first);
-    let page: BTreeMap<_, _> = listed.by_ref().take(pages.entries).collect();
+    let is_in_zone =
+        |entry: &serde_json::Value| query.get("Zone").is_none_or(|z| entry["Zone"] == z.as_str());
+    let mut listed = all.iter().filter(|(_, entry)| is_in_zone(entry)).skip(first);
+    let page: BTreeMap<_, _> = listed.by_ref().take(pages.entries_per_page).collect();
     let next = listed.next().map(|_| format!("p-{}", first + page.len()));
     HttpResponse::Ok().json(serde_json::json!({ "Instances": page, "NextToken": next }))
 }
--- a/crates/fleet-test/src/program.rs
+++ b/crates/fleet-test/src/program.rs
@@ -1,13 +1,13 @@
-//! Where the program under test is.
+//! Locates the program under test.
 
 use crate::ScenarioError;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// The `pebblepond` beside this program, brought up to date by cargo in the same
-/// profile if cargo started this program.
+/// Returns the path of the `pebblepond` program next to this one. If cargo started this program,
+/// `pebblepond` is built first, in the same profile.
 pub fn find() -> Result<PathBuf, ScenarioError> {
-    let own = std::env::current_exe().map_err(|e| format!("own path: {e}"))?;
+    let own = std::env::current_exe().map_err(|e| format!("path of this program: {e}"))?;
     let folder = own.parent().unwrap_or(Path::new("."));
     if let Some(cargo) = std::env::var_os("CARGO") {
         build(&cargo, folder)?;
@@ -17,7 +17,7 @@
         return Ok(path);
     }
     Err(format!(
-        "{} is missing; build it, or name another with --program",
+        "{} is missing; build it, or give another program with --program",
         path.display()
     )
     .into())
@@ -31,7 +31,7 @@
     }
     match command.current_dir(env!("CARGO_MANIFEST_DIR")).status() {
         Ok(status) if status.success() => Ok(()),
-        Ok(status) => Err(format!("building pebblepond ended with {status}").into()),
-        Err(e) => Err(format!("building pebblepond: {e}").into()),
+        Ok(status) => Err(format!("building pebblepond failed with {status}").into()),
+        Err(e) => Err(format!("building pebblepond failed: {e}").into()),
     }
 }
--- a/crates/fleet-test/src/scenarios/cut_off.rs
+++ b/crates/fleet-test/src/scenarios/cut_off.rs
@@ -1,45 +1,45 @@
-//! A leader that hears nothing for long, and is asked as soon as it is back: it
-//! refuses, confirms and shows nothing by old state.
+//! Freezes a leader and calls it as soon as it resumes. It must not refuse,
+//! acknowledge or return anything based on stale state.
 
-use super::{pause, Pace, Run, CLEAR_S};
-use crate::checker::{Answer, Asked};
+use super::{pause, Pace, Run, COMMAND_TIMEOUT_S};
+use crate::checker::{Answer, Operation};
 use crate::operator::Operator;
 use crate::settings::zone;
 use crate::ScenarioError;
 use futures_util::future::join_all;
 use std::time::{Duration, Instant};
 
-/// Length of the long freeze, s.
+/// Length of the long freeze, in seconds.
 const FREEZE_S: u64 = 20;
 const SHORT_FREEZE_S: u64 = 6;
-/// How long before the thaw calls are sent, ms: they wait in the kernel, and
-/// are the first that the process sees. Callers bear a second of silence.
+/// How long before the thaw the calls are sent, in milliseconds. They wait in the kernel and are
+/// the first that the process sees. Callers time out after 1 s.
 const BEFORE_THAW_MS: u64 = 300;
-/// Callers that ask a node as it thaws.
+/// Number of callers that call a node as it thaws.
 const CALLERS: usize = 8;
-/// Short freezes, in which the others have just elected another leader.
+/// Number of short freezes, which end when the other nodes have just elected another leader.
 const SHORT_FREEZES: usize = 2;
-/// Time for which a leader has led before an evacuation is ordered, ms.
+/// How long a leader has led before an evacuation is commanded, in milliseconds.
 const LED_MS: u64 = 3200;
 /// A zone that no machine of the fleet is in.
 const ZONE: u8 = 12;
 
 /// Runs the scenario.
 pub async fn execute(run: &mut Run) -> Result<(), ScenarioError> {
-    run.open().await?;
+    run.start_system().await?;
     for _ in 0..2 {
         run.change(3).await?;
     }
-    let long = match run.options.pace {
+    let long_freeze_s = match run.options.pace {
         Pace::Short => SHORT_FREEZE_S,
         Pace::Full => FREEZE_S,
     };
-    freeze(run, Duration::from_secs(long)).await?;
-    let again = match run.options.pace {
+    freeze(run, Duration::from_secs(long_freeze_s)).await?;
+    let short_freezes = match run.options.pace {
         Pace::Short => 1,
         Pace::Full => SHORT_FREEZES,
     };
-    for _ in 0..again {
+    for _ in 0..short_freezes {
         freeze(run, Duration::ZERO).await?;
     }
     evacuation(run).await?;
@@ -47,174 +47,196 @@
     Ok(())
 }
 
-/// Freezes the leader for a time, at least until another leads, makes changes
-/// meanwhile, and asks it as it thaws.
+/// Freezes the leader for the given time, and at least until another node leads. Makes changes
+/// meanwhile, and calls the frozen node as it thaws.
 async fn freeze(run: &mut Run, length: Duration) -> Result<(), ScenarioError> {
-    let leader = run.fleet.wait_for_leader(Duration::from_secs(CLEAR_S)).await?;
+    let leader = run
+        .fleet
+        .wait_for_leader(Duration::from_secs(COMMAND_TIMEOUT_S))
+        .await?;
     let old_base = run.current;
-    let old_order = run
+    let old_command = run
         .record
         .history()
-        .orders
+        .commands
         .iter()
-        .rposition(|o| o.version == old_base);
+        .rposition(|c| c.version == old_base);
     let control_address = run.fleet.control_address(leader);
     let callers: Vec<Operator> = (0..CALLERS).map(|_| run.caller()).collect();
     if length.is_zero() {
-        // Connections that stand already are served first after a thaw; after a
-        // long one they are closed as idle instead.
-        join_all(callers.iter().map(|c| c.ask(Asked::Read, control_address))).await;
+        // Open connections are served first after a short freeze. After a long one they are closed
+        // as idle instead.
+        join_all(
+            callers
+                .iter()
+                .map(|c| c.send_once(Operation::Read, control_address)),
+        )
+        .await;
     }
     run.fleet.node(leader)?.freeze()?;
-    let frozen = Instant::now();
-    run.say(format!(
+    let frozen_at = Instant::now();
+    run.log_progress(format!(
         "node {leader}, the leader, is frozen at version {old_base}"
     ));
     let first = run.change(3).await?;
-    let next = run.fleet.wait_for_leader(Duration::from_secs(CLEAR_S)).await?;
-    run.say(format!(
+    let next = run
+        .fleet
+        .wait_for_leader(Duration::from_secs(COMMAND_TIMEOUT_S))
+        .await?;
+    run.log_progress(format!(
         "first change after the freeze acknowledged after {first} ms, node {next} leads"
     ));
     let mut changes = 1;
-    while frozen.elapsed() + Duration::from_millis(BEFORE_THAW_MS) < length {
+    while frozen_at.elapsed() + Duration::from_millis(BEFORE_THAW_MS) < length {
         run.change(3).await?;
         changes += 1;
         pause(400).await;
     }
-    run.say(format!(
-        "{changes} changes past it, version {} in force",
+    run.log_progress(format!(
+        "{changes} changes without it, version {} in force",
         run.current
     ));
-    thaw(run, leader, callers, (old_base, old_order)).await
+    thaw(run, leader, callers, (old_base, old_command)).await
 }
 
-/// Thaws a node that took this version for current, by this order, with calls
-/// of these callers waiting.
+/// Thaws a node that still considers `old_base`, set by command `old`, to be current, while calls
+/// of these callers are waiting.
 async fn thaw(
     run: &mut Run,
     leader: u8,
     callers: Vec<Operator>,
     (old_base, old): (u64, Option<usize>),
 ) -> Result<(), ScenarioError> {
-    // A proper order, one that rests on what the frozen node takes for current,
-    // one that was taken long ago, and reads.
-    let proper = run.next_order("a", 3);
+    // The calls are a valid command, one based on the version that the frozen node considers
+    // current, one that was accepted long ago, and reads.
+    let valid = run.next_command("a", 3);
     let stale = {
-        let version = run.version_of(proper) + 1;
+        let version = run.version_of(valid) + 1;
         run.next = version + 1;
         let body = crate::orders::configuration(version, "late", 3);
-        run.record.order(old_base, version, body)
+        run.record.command(old_base, version, body)
     };
     let control_address = run.fleet.control_address(leader);
-    let mut asked = vec![Asked::Read, Asked::Replace(proper), Asked::Replace(stale)];
-    asked.extend(old.map(Asked::Replace));
-    asked.extend([
-        Asked::Replace(proper),
-        Asked::Read,
-        Asked::Replace(proper),
-        Asked::Read,
+    let mut operations = vec![
+        Operation::Read,
+        Operation::Replace(valid),
+        Operation::Replace(stale),
+    ];
+    operations.extend(old.map(Operation::Replace));
+    operations.extend([
+        Operation::Replace(valid),
+        Operation::Read,
+        Operation::Replace(valid),
+        Operation::Read,
     ]);
-    let calls = callers.into_iter().zip(asked).map(|(caller, asked)| {
+    let calls = callers.into_iter().zip(operations).map(|(caller, operation)| {
         actix_rt::spawn(async move {
-            let answer = caller.ask(asked.clone(), control_address).await;
-            (asked, answer)
+            let answer = caller.send_once(operation.clone(), control_address).await;
+            (operation, answer)
         })
     });
     let calls: Vec<_> = calls.collect();
     pause(BEFORE_THAW_MS).await;
     run.fleet.node(leader)?.thaw()?;
-    run.say(format!(
+    run.log_progress(format!(
         "node {leader} is thawed with {} calls waiting",
         calls.len()
     ));
     for done in join_all(calls).await.into_iter().flatten() {
-        let (asked, answer) = done;
-        run.say(format!("  {}: {}", name(run, &asked), short(&answer)));
+        let (operation, answer) = done;
+        run.log_progress(format!("  {}: {}", describe(run, &operation), summarize(&answer)));
     }
-    // And at once after it.
-    let until = Instant::now() + Duration::from_millis(800);
-    while Instant::now() < until {
-        run.operator.ask(Asked::Read, control_address).await;
+    // Keeps reading right after the thaw.
+    let deadline = Instant::now() + Duration::from_millis(800);
+    while Instant::now() < deadline {
+        run.operator.send_once(Operation::Read, control_address).await;
         pause(20).await;
     }
-    let answer = run.send(proper, Duration::from_secs(CLEAR_S)).await;
-    if !matches!(answer, Answer::Good(_)) {
-        run.broken(format!(
-            "the proper order was not taken after the thaw: {answer:?}"
+    let answer = run.send(valid, Duration::from_secs(COMMAND_TIMEOUT_S)).await;
+    if !matches!(answer, Answer::Success(_)) {
+        run.report_violation(format!(
+            "the valid command was not accepted after the thaw: {answer:?}"
         ));
-        return Err("a proper order was not taken".into());
+        return Err("a valid command was not accepted".into());
     }
     Ok(())
 }
 
-/// An evacuation that a node took, that was taken back while it was frozen, and
-/// that it is asked for again: its confirmation must mean that it is in force.
+/// Begins an evacuation at a leader, finishes it through another node while that leader is frozen,
+/// and begins it again at the thawed leader. An acknowledgement must mean that the evacuation is in
+/// force.
 async fn evacuation(run: &mut Run) -> Result<(), ScenarioError> {
     let zone = zone(ZONE);
-    let order = |begin| Asked::Evacuate {
+    let command = |begin| Operation::Evacuate {
         zone: zone.clone(),
         begin,
     };
-    let within = Duration::from_secs(CLEAR_S);
+    let timeout = Duration::from_secs(COMMAND_TIMEOUT_S);
     if run.options.pace == Pace::Full {
-        // A leader of some age may know an order for one sent again.
+        // A leader that has led for some time may recognise a command as one sent again.
         pause(LED_MS).await;
     }
-    let leader = run.fleet.wait_for_leader(within).await?;
+    let leader = run.fleet.wait_for_leader(timeout).await?;
     let control_address = run.fleet.control_address(leader);
-    let begun = run.operator.settle(order(true), &[control_address], within).await;
+    let begun = run
+        .operator
+        .retry_until_definite(command(true), &[control_address], timeout)
+        .await;
     let caller = run.caller();
-    caller.ask(Asked::Read, control_address).await;
+    caller.send_once(Operation::Read, control_address).await;
     run.fleet.node(leader)?.freeze()?;
-    let frozen = Instant::now();
-    let next = run.fleet.wait_for_leader(within).await?;
-    let others = [run.fleet.control_address(next)];
-    let finished = run.operator.settle(order(false), &others, within).await;
-    run.say(format!(
-        "evacuation begun: {}; leader {leader} frozen; taken back: {} after {} ms",
-        short(&begun),
-        short(&finished),
-        frozen.elapsed().as_millis()
+    let frozen_at = Instant::now();
+    let next = run.fleet.wait_for_leader(timeout).await?;
+    let other_addresses = [run.fleet.control_address(next)];
+    let finished = run
+        .operator
+        .retry_until_definite(command(false), &other_addresses, timeout)
+        .await;
+    run.log_progress(format!(
+        "evacuation begun: {}; leader {leader} frozen; finished: {} after {} ms",
+        summarize(&begun),
+        summarize(&finished),
+        frozen_at.elapsed().as_millis()
     ));
-    let again = order(true);
-    let waiting = actix_rt::spawn(async move { caller.ask(again, control_address).await });
+    let begin_again = command(true);
+    let waiting = actix_rt::spawn(async move { caller.send_once(begin_again, control_address).await });
     pause(BEFORE_THAW_MS).await;
     run.fleet.node(leader)?.thaw()?;
     let answer = waiting.await.map_err(|e| e.to_string())?;
     let in_force = run.is_evacuated(&zone).await;
-    run.say(format!(
+    run.log_progress(format!(
         "begun again at the thawed node: {}; in force: {in_force:?}",
-        short(&answer)
+        summarize(&answer)
     ));
-    if matches!(answer, Answer::Good(_)) && in_force == Some(false) {
-        run.broken("an evacuation was confirmed by a leader that had been frozen, and is not in force");
+    if matches!(answer, Answer::Success(_)) && in_force == Some(false) {
+        run.report_violation(
+            "an evacuation was acknowledged by a leader that had been frozen, and is not in force",
+        );
     }
     let last = run
         .operator
-        .settle(order(false), &run.fleet.running(), within)
+        .retry_until_definite(command(false), &run.fleet.running_control_addresses(), timeout)
         .await;
-    if !matches!(last, Answer::Good(_)) {
-        run.broken(format!(
-            "taking an evacuation back has no acknowledgement: {last:?}"
-        ));
+    if !matches!(last, Answer::Success(_)) {
+        run.report_violation(format!("finishing an evacuation was not acknowledged: {last:?}"));
     }
     Ok(())
 }
 
-fn name(run: &Run, asked: &Asked) -> String {
-    match asked {
-        Asked::Replace(n) => {
-            let order = &run.record.history().orders[*n];
-            format!("order of {} on {}", order.version, order.base)
+fn describe(run: &Run, operation: &Operation) -> String {
+    match operation {
+        Operation::Replace(n) => {
+            let command = &run.record.history().commands[*n];
+            format!("command of version {} on {}", command.version, command.base)
         }
         other => format!("{other:?}").to_lowercase(),
     }
 }
 
-fn short(answer: &Answer) -> String {
+fn summarize(answer: &Answer) -> String {
     match answer {
-        Answer::Good(body) => format!("200, {} bytes", body.len()),
+        Answer::Success(body) => format!("200, {} bytes", body.len()),
         Answer::Refused(status, text) => format!("{status} {text}"),
-        Answer::Unclear(text) => format!("unclear, {text}"),
+        Answer::Indeterminate(text) => format!("indeterminate, {text}"),
     }
 }
--- a/crates/fleet-test/src/scenarios/mod.rs
+++ b/crates/fleet-test/src/scenarios/mod.rs
@@ -1,4 +1,4 @@
-//! What is run with a fleet, each for one promise of the control side.
+//! Scenarios that run on a fleet. Each one tests a guarantee of the control side.
 
 mod cut_off;
 mod many_changes;
@@ -9,7 +9,7 @@
 mod second_loss;
 mod storm;
 
-use crate::checker::{faults, Answer, History};
+use crate::checker::{violations, Answer, History};
 use crate::fleet::{Fleet, Plan};
 use crate::operator::{ControlAddress, Operator, Record};
 use crate::ScenarioError;
@@ -20,45 +20,46 @@
 
 pub use run::Run;
 
-/// Longest time for one scenario, s.
-pub const LONGEST_S: u64 = 115;
-/// Time in which the first configuration must be taken, s: seven debug builds
-/// start at once on a busy machine.
-const FIRST_S: u64 = 20;
-/// Time in which an order must have a clear answer when nobody has touched the
-/// core for a while, s: `Acknowledge` and `Contact` of the settings.
-const CLEAR_S: u64 = 10;
-/// What the settings grant a machine that is back, ms.
+/// Time limit of a scenario, in seconds.
+pub const MAX_SCENARIO_S: u64 = 115;
+/// Time within which the first configuration must be accepted, in seconds: seven debug builds start
+/// at once on a busy machine.
+const FIRST_COMMAND_TIMEOUT_S: u64 = 20;
+/// Time within which a command must have a definite answer while no fault affects the core, in
+/// seconds: `Acknowledge` plus `Contact` of the settings.
+const COMMAND_TIMEOUT_S: u64 = 10;
+/// Time granted by the settings (`CatchUp`) to a machine that is back, in milliseconds.
 const CATCH_UP_MS: u64 = 4000;
 
-/// What the settings grant a process that ends in order, ms.
-const GRACE_MS: u64 = 6000;
-/// A member that the leader has heard within this time is there, ms.
-const SILENT_MS: u64 = 1000;
+/// Time granted by the settings (`GracePeriod`) to a process that shuts down, in milliseconds.
+const GRACE_PERIOD_MS: u64 = 6000;
+/// Time within which the leader must have heard from a member for it to count as present, in
+/// milliseconds.
+const HEARD_WITHIN_MS: u64 = 1000;
 
-/// How long a scenario may take.
+/// How long the scenarios take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pace {
-    /// For checks at every change.
+    /// Short runs for checks at every change.
     Short,
     Full,
 }
 
-/// How scenarios are run.
+/// Options for running scenarios.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// A program to upgrade to; the same one if left out.
+    /// The program to upgrade to; by default the program under test.
     pub other_program: Option<std::path::PathBuf>,
     pub pace: Pace,
-    /// Leave the folder with the logs where it is.
+    /// Whether to keep the folder with the logs.
     pub keep: bool,
-    /// Length of a storm, s, and what its faults are drawn by.
+    /// Duration of a storm in seconds, and the seed of its faults.
     pub seconds: u64,
     pub seed: u64,
 }
 
 impl Options {
-    /// The usual options of a pace.
+    /// Returns the default options for a pace.
     pub fn of(pace: Pace) -> Options {
         Options {
             other_program: None,
@@ -70,71 +71,71 @@
     }
 }
 
-/// How a scenario came out.
+/// The outcome of a scenario.
 #[derive(Debug)]
 pub enum Verdict {
     Held,
-    /// Each rule that was broken, in one line.
+    /// The rules that were broken, one line each.
     Broken(Vec<String>),
-    /// It came to no end that says anything about the system.
+    /// The scenario did not run to an end that says anything about the system.
     ScenarioError(ScenarioError),
 }
 
-/// A scenario for a fleet.
+/// A scenario that runs on a fleet.
 pub struct Scenario {
     pub name: &'static str,
     pub about: &'static str,
     execute: for<'a> fn(&'a mut Run) -> LocalBoxFuture<'a, Result<(), ScenarioError>>,
 }
 
-/// All scenarios but the storm.
+/// All scenarios except the storm.
 pub const ALL: [Scenario; 6] = [
     Scenario {
         name: "cut-off",
-        about: "a leader is frozen while orders go on, thawed and asked at once",
+        about: "a leader is frozen while commands go on, then thawed and called at once",
         execute: |run| Box::pin(cut_off::execute(run)),
     },
     Scenario {
         name: "resend",
-        about: "orders that were taken are sent again to every node, two operators race",
+        about: "accepted commands are sent again to every node, two operators race",
         execute: |run| Box::pin(resend::execute(run)),
     },
     Scenario {
         name: "second-loss",
-        about: "a disk is lost right after a repair, a member leaves, another comes",
+        about: "a disk is lost right after a repair, a member leaves, another joins",
         execute: |run| Box::pin(second_loss::execute(run)),
     },
     Scenario {
         name: "many-changes",
-        about: "hundreds of changes past a member that is down, then all restart",
+        about: "hundreds of changes while a member is down, then all nodes restart",
         execute: |run| Box::pin(many_changes::execute(run)),
     },
     Scenario {
         name: "rolling-upgrade",
-        about: "each node restarts with another program under changes, then back again",
+        about: "each node restarts with another program during changes, and then with the first one",
         execute: |run| Box::pin(rolling_upgrade::execute(run)),
     },
     Scenario {
         name: "right-caller",
-        about: "many calls through nodes that end and return: each gets its own answer",
+        about: "many calls through nodes that restart: each gets its own answer",
         execute: |run| Box::pin(right_caller::execute(run)),
     },
 ];
 
-/// Run by itself only, for as long as the options say.
+/// A scenario that runs only by itself, for as long as the options say.
 pub const STORM: Scenario = Scenario {
     name: "storm",
-    about: "faults drawn by lot while operators race, resend and read",
+    about: "random faults while operators race, resend and read",
     execute: |run| Box::pin(storm::execute(run)),
 };
 
-/// The scenario of a name.
+/// Returns the scenario with this name.
 pub fn by_name(name: &str) -> Option<&'static Scenario> {
     ALL.iter().find(|s| s.name == name)
 }
 
 impl Scenario {
-    /// Runs the scenario with a fresh fleet; leaves nothing running.
+    /// Runs the scenario with a new fleet, and leaves nothing running.
     pub async fn execute(&self, program: &Path, options: Options) -> Verdict {
         let plan = Plan {
             with_disk: 5,
@@ -150,61 +151,61 @@
             options: options.clone(),
             operator: Operator::new(&record),
             record,
-            began: Instant::now(),
-            broken: Vec::new(),
+            started_at: Instant::now(),
+            found_violations: Vec::new(),
             current: 0,
             next: 1,
         };
-        let longest = if self.name == STORM.name {
-            options.seconds + LONGEST_S
+        let limit_s = if self.name == STORM.name {
+            options.seconds + MAX_SCENARIO_S
         } else {
-            LONGEST_S
+            MAX_SCENARIO_S
         };
-        let limit = Duration::from_secs(longest);
+        let limit = Duration::from_secs(limit_s);
         let outcome = match tokio::time::timeout(limit, (self.execute)(&mut run)).await {
             Ok(outcome) => outcome,
-            Err(_) => Err(format!("not over after {longest} s").into()),
+            Err(_) => Err(format!("not finished after {limit_s} s").into()),
         };
         let Run {
             mut fleet,
             record,
-            mut broken,
+            mut found_violations,
             ..
         } = run;
         let history = record.history();
         println!(
-            "  {} calls; without a clear answer: {}",
+            "  {} calls; without a definite answer: {}",
             history.calls.len(),
-            unclear(&history)
+            indeterminate_summary(&history)
         );
-        broken.extend(faults(&history));
-        broken.extend(fleet.ended_by_themselves());
+        found_violations.extend(violations(&history));
+        found_violations.extend(fleet.unexpected_exits());
         if options.keep {
             fleet.keep();
             println!("  folder kept: {}", fleet.folder().display());
         }
         fleet.stop().await;
-        match (broken.is_empty(), outcome) {
-            (false, _) => Verdict::Broken(broken),
+        match (found_violations.is_empty(), outcome) {
+            (false, _) => Verdict::Broken(found_violations),
             (true, Err(e)) => Verdict::ScenarioError(e),
             (true, Ok(())) => Verdict::Held,
         }
     }
 }
 
-/// How many calls had no clear answer, by what came instead.
-fn unclear(history: &History) -> String {
+/// Describes how many calls had no definite answer, grouped by what came instead.
+fn indeterminate_summary(history: &History) -> String {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for call in &history.calls {
-        if let Answer::Unclear(text) = &call.answer {
+        if let Answer::Indeterminate(text) = &call.answer {
             *counts.entry(text.as_str()).or_default() += 1;
         }
     }
     if counts.is_empty() {
         return "none".into();
     }
-    let each = counts.into_iter().map(|(text, n)| format!("{n} ({text})"));
-    each.collect::<Vec<_>>().join(", ")
+    let descriptions = counts.into_iter().map(|(text, n)| format!("{n} ({text})"));
+    descriptions.collect::<Vec<_>>().join(", ")
 }
 
 fn shuffled(control_addresses: &[ControlAddress]) -> Vec<ControlAddress> {
--- a/crates/fleet-test/src/scenarios/run.rs
+++ b/crates/fleet-test/src/scenarios/run.rs
@@ -1,69 +1,71 @@
-//! What a scenario works with: a fleet, an operator, and what has been found so far.
+//! State of a running scenario: the fleet, an operator, and the violations found so far.
 
-use super::{shuffled, Options, CLEAR_S, FIRST_S, GRACE_MS, SILENT_MS};
-use crate::checker::{Answer, Asked};
+use super::{
+    shuffled, Options, COMMAND_TIMEOUT_S, FIRST_COMMAND_TIMEOUT_S, GRACE_PERIOD_MS, HEARD_WITHIN_MS,
+};
+use crate::checker::{Answer, Operation};
 use crate::fleet::Fleet;
 use crate::operator::{Operator, Record};
 use crate::{orders, settings, ScenarioError};
 use serde_json::Value;
 use std::time::{Duration, Instant};
 
-/// What a scenario works with.
+/// State of a running scenario.
 pub struct Run {
     pub fleet: Fleet,
     pub(super) options: Options,
     pub(super) record: Record,
     pub(super) operator: Operator,
-    pub(super) began: Instant,
-    pub(super) broken: Vec<String>,
-    /// The newest version that was acknowledged, and the next number to use.
+    pub(super) started_at: Instant,
+    pub(super) found_violations: Vec<String>,
+    /// The newest acknowledged version, and the next version number to use.
     pub(super) current: u64,
     pub(super) next: u64,
 }
 
 impl Run {
-    /// Tells what is done, with the seconds since the start.
-    pub(super) fn say(&self, text: impl AsRef<str>) {
+    /// Prints a progress message with the seconds since the start.
+    pub(super) fn log_progress(&self, text: impl AsRef<str>) {
         println!(
             "  {:6.2} s  {}",
-            self.began.elapsed().as_secs_f32(),
+            self.started_at.elapsed().as_secs_f32(),
             text.as_ref()
         );
     }
 
-    /// A rule that was broken.
-    pub(super) fn broken(&mut self, text: impl std::fmt::Display) {
-        self.say(format!("BROKEN: {text}"));
-        self.broken.push(text.to_string());
+    /// Records and prints a violation.
+    pub(super) fn report_violation(&mut self, text: impl std::fmt::Display) {
+        self.log_progress(format!("BROKEN: {text}"));
+        self.found_violations.push(text.to_string());
     }
 
-    /// A caller with connections of its own.
+    /// Returns a new operator with connections of its own.
     pub(super) fn caller(&self) -> Operator {
         Operator::new(&self.record)
     }
 
-    /// Enters the next configuration on top of the current one.
-    pub(super) fn next_order(&mut self, maker: &str, routes: usize) -> usize {
+    /// Records the next configuration, based on the current one, and returns its index.
+    pub(super) fn next_command(&mut self, maker: &str, routes: usize) -> usize {
         let version = self.next;
         self.next += 1;
         let body = orders::configuration(version, maker, routes);
-        self.record.order(self.current, version, body)
+        self.record.command(self.current, version, body)
     }
 
-    pub(super) fn version_of(&self, order: usize) -> u64 {
-        self.record.history().orders[order].version
+    pub(super) fn version_of(&self, command: usize) -> u64 {
+        self.record.history().commands[command].version
     }
 
-    /// Brings the system up with a first configuration.
-    pub(super) async fn open(&mut self) -> Result<(), ScenarioError> {
-        let order = self.next_order("a", 2);
-        let within = Duration::from_secs(FIRST_S);
-        match self.send(order, within).await {
-            Answer::Good(_) => {}
-            other => return Err(format!("the first configuration was not taken: {other:?}").into()),
+    /// Starts the system with a first configuration.
+    pub(super) async fn start_system(&mut self) -> Result<(), ScenarioError> {
+        let command = self.next_command("a", 2);
+        let timeout = Duration::from_secs(FIRST_COMMAND_TIMEOUT_S);
+        match self.send(command, timeout).await {
+            Answer::Success(_) => {}
+            other => return Err(format!("the first configuration was not accepted: {other:?}").into()),
         }
-        let leader = self.fleet.wait_for_leader(within).await?;
-        self.say(format!(
+        let leader = self.fleet.wait_for_leader(timeout).await?;
+        self.log_progress(format!(
             "{} nodes on {} to {}, node {leader} leads, version {} in force",
             self.fleet.nodes.len(),
             self.fleet.net().control(1),
@@ -73,185 +75,201 @@
         Ok(())
     }
 
-    /// Sends an order until it has a clear answer.
-    pub(super) async fn send(&mut self, order: usize, within: Duration) -> Answer {
-        let control_addresses = self.fleet.running();
+    /// Sends a command until the answer is definite.
+    pub(super) async fn send(&mut self, command: usize, timeout: Duration) -> Answer {
+        let control_addresses = self.fleet.running_control_addresses();
         let answer = self
             .operator
-            .settle(Asked::Replace(order), &shuffled(&control_addresses), within)
+            .retry_until_definite(
+                Operation::Replace(command),
+                &shuffled(&control_addresses),
+                timeout,
+            )
             .await;
-        self.taken(order, &answer);
+        self.record_acceptance(command, &answer);
         answer
     }
 
-    /// Notes that an order was taken.
-    pub(super) fn taken(&mut self, order: usize, answer: &Answer) {
-        if matches!(answer, Answer::Good(_)) {
-            self.current = self.current.max(self.version_of(order));
+    /// Updates the newest acknowledged version if the answer acknowledges the command.
+    pub(super) fn record_acceptance(&mut self, command: usize, answer: &Answer) {
+        if matches!(answer, Answer::Success(_)) {
+            self.current = self.current.max(self.version_of(command));
         }
     }
 
-    /// Makes a change; milliseconds until its acknowledgement. A proper change
-    /// that gets none while nobody touches the core is a rule broken.
+    /// Makes a change, and returns the milliseconds until its acknowledgement. If a valid change is
+    /// not acknowledged while no fault affects the core, that is a violation.
     pub(super) async fn change(&mut self, routes: usize) -> Result<u64, ScenarioError> {
-        let order = self.next_order("a", routes);
-        let begun = Instant::now();
-        let answer = self.send(order, Duration::from_secs(CLEAR_S)).await;
-        let took = begun.elapsed().as_millis() as u64;
-        if !matches!(answer, Answer::Good(_)) {
-            let version = self.version_of(order);
-            self.broken(format!(
-                "the order of {version} on {} has no acknowledgement after {took} ms: {answer:?}",
+        let command = self.next_command("a", routes);
+        let started = Instant::now();
+        let answer = self.send(command, Duration::from_secs(COMMAND_TIMEOUT_S)).await;
+        let elapsed_ms = started.elapsed().as_millis() as u64;
+        if !matches!(answer, Answer::Success(_)) {
+            let version = self.version_of(command);
+            self.report_violation(format!(
+                "the command of version {version} on {} was not acknowledged after {elapsed_ms} ms: {answer:?}",
                 self.current
             ));
-            return Err("a proper order was not taken".into());
+            return Err("a valid command was not accepted".into());
         }
-        Ok(took)
+        Ok(elapsed_ms)
     }
 
-    /// Makes so many changes; how long the longest took, ms.
+    /// Makes this many changes, and returns how long the longest one took, in milliseconds.
     pub(super) async fn changes(&mut self, count: usize) -> Result<u64, ScenarioError> {
-        let mut longest = 0;
+        let mut longest_ms = 0;
         for _ in 0..count {
-            longest = longest.max(self.change(3).await?);
+            longest_ms = longest_ms.max(self.change(3).await?);
         }
-        self.say(format!("{count} changes, the longest took {longest} ms"));
-        Ok(longest)
+        self.log_progress(format!("{count} changes, the longest took {longest_ms} ms"));
+        Ok(longest_ms)
     }
 
-    /// Ends a node with SIGTERM, with so many changes going on; it must end within its grace
-    /// period.
-    pub(super) async fn end_in_order(&mut self, number: u8, changes: usize) -> Result<(), ScenarioError> {
+    /// Shuts a node down with SIGTERM while this many changes are made. The node must end within
+    /// its grace period.
+    pub(super) async fn terminate_gracefully(
+        &mut self,
+        number: u8,
+        changes: usize,
+    ) -> Result<(), ScenarioError> {
         self.fleet.node(number)?.terminate()?;
-        let told = Instant::now();
+        let terminated_at = Instant::now();
         self.changes(changes).await?;
-        let limit = Duration::from_millis(GRACE_MS).saturating_sub(told.elapsed());
-        match self.fleet.wait_for_end(number, limit).await {
-            Ok(how) => self.say(format!(
-                "node {number} ended {} ms after SIGTERM: {how}",
-                told.elapsed().as_millis()
+        let limit = Duration::from_millis(GRACE_PERIOD_MS).saturating_sub(terminated_at.elapsed());
+        match self.fleet.wait_for_exit(number, limit).await {
+            Ok(status) => self.log_progress(format!(
+                "node {number} ended {} ms after SIGTERM: {status}",
+                terminated_at.elapsed().as_millis()
             )),
             Err(e) => {
-                self.broken(e);
+                self.report_violation(e);
                 self.fleet.node(number)?.kill();
             }
         }
         Ok(())
     }
 
-    /// Reads the configuration back through every running node; each must show
-    /// what was acknowledged last.
+    /// Reads the configuration back through every running node. Each must return the last
+    /// acknowledged version.
     pub(super) async fn read_back(&mut self) {
-        let control_addresses = self.fleet.running();
-        let mut shown = 0;
+        let control_addresses = self.fleet.running_control_addresses();
+        let mut read_count = 0;
         for control_address in &control_addresses {
-            let within = Duration::from_secs(CLEAR_S);
+            let timeout = Duration::from_secs(COMMAND_TIMEOUT_S);
             match self
                 .operator
-                .settle(Asked::Read, &[*control_address], within)
+                .retry_until_definite(Operation::Read, &[*control_address], timeout)
                 .await
             {
-                Answer::Good(_) => shown += 1,
-                other => self.broken(format!(
-                    "node {} reads nothing back: {other:?}",
+                Answer::Success(_) => read_count += 1,
+                other => self.report_violation(format!(
+                    "node {} did not read the configuration back: {other:?}",
                     control_address.0
                 )),
             }
         }
-        self.say(format!(
-            "read back through {shown} of {} nodes; the newest acknowledged is version {}",
+        self.log_progress(format!(
+            "read back through {read_count} of {} nodes; the newest acknowledged is version {}",
             control_addresses.len(),
             self.record.history().newest_acknowledged()
         ));
     }
 
-    /// What the leader says of the system, as a running node passes it on.
+    /// Returns the leader's status, as a running node forwards it.
     pub(super) async fn status(&self) -> Option<Value> {
-        let control_addresses = shuffled(&self.fleet.running());
+        let control_addresses = shuffled(&self.fleet.running_control_addresses());
         let answer = self
             .operator
-            .settle(Asked::Status, &control_addresses, Duration::from_secs(3))
+            .retry_until_definite(Operation::Status, &control_addresses, Duration::from_secs(3))
             .await;
         match answer {
-            Answer::Good(body) => serde_json::from_slice(&body).ok(),
+            Answer::Success(body) => serde_json::from_slice(&body).ok(),
             _ => None,
         }
     }
 
-    /// Evacuates a zone that no machine is in; its acknowledgement must come.
+    /// Begins the evacuation of a zone that no machine is in. The command must be acknowledged.
     pub(super) async fn evacuate(&mut self, zone: &str) -> Result<(), ScenarioError> {
-        let asked = Asked::Evacuate {
+        let operation = Operation::Evacuate {
             zone: zone.into(),
             begin: true,
         };
-        let within = Duration::from_secs(CLEAR_S);
+        let timeout = Duration::from_secs(COMMAND_TIMEOUT_S);
         match self
             .operator
-            .settle(asked, &shuffled(&self.fleet.running()), within)
+            .retry_until_definite(
+                operation,
+                &shuffled(&self.fleet.running_control_addresses()),
+                timeout,
+            )
             .await
         {
-            Answer::Good(_) => Ok(()),
+            Answer::Success(_) => Ok(()),
             other => {
-                self.broken(format!(
-                    "the evacuation of {zone} has no acknowledgement: {other:?}"
+                self.report_violation(format!(
+                    "the evacuation of {zone} was not acknowledged: {other:?}"
                 ));
-                Err("a proper order was not taken".into())
+                Err("a valid command was not accepted".into())
             }
         }
     }
 
-    /// An evacuation that was acknowledged must be in force still.
-    pub(super) async fn must_be_evacuated(&mut self, zone: &str) {
+    /// Checks that an acknowledged evacuation is still in force.
+    pub(super) async fn check_evacuated(&mut self, zone: &str) {
         match self.is_evacuated(zone).await {
-            Some(true) => self.say(format!("the evacuation of {zone} is in force")),
-            Some(false) => self.broken(format!("the evacuation of {zone} was acknowledged and is lost")),
-            None => self.broken("the state cannot be read: no status"),
+            Some(true) => self.log_progress(format!("the evacuation of {zone} is in force")),
+            Some(false) => self.report_violation(format!(
+                "the evacuation of {zone} was acknowledged but is not in force"
+            )),
+            None => self.report_violation("the evacuation cannot be checked: no status was returned"),
         }
     }
 
-    /// Whether a zone is evacuated, as far as the leader says.
+    /// Returns whether a zone is evacuated, according to the leader.
     pub(super) async fn is_evacuated(&self, zone: &str) -> Option<bool> {
         let status = self.status().await?;
         Some(status["evacuated"][zone].as_u64().is_some_and(|count| count > 0))
     }
 
-    /// Waits until a node votes and holds what the leader holds; ms that it took.
-    pub(super) async fn wait_for_vote(&self, number: u8, within: Duration) -> Result<u64, ScenarioError> {
-        let begun = Instant::now();
+    /// Waits until the leader reports a node as an alive voter that it has heard recently. Returns
+    /// how long this took, in milliseconds.
+    pub(super) async fn wait_for_vote(&self, number: u8, timeout: Duration) -> Result<u64, ScenarioError> {
+        let started = Instant::now();
         let name = settings::name(number);
-        while begun.elapsed() < within {
+        while started.elapsed() < timeout {
             if let Some(status) = self.status().await {
                 let members = status["members"].as_array().cloned().unwrap_or_default();
                 let leads = self.fleet.leader() == Some(number);
                 let votes = members.iter().any(|m| {
-                    // Its old self at the same address has long been silent.
-                    let heard = m["silent_ms"].as_u64().map_or(leads, |ms| ms < SILENT_MS);
+                    // The previous member at the same address has been unresponsive for a long time.
+                    let heard = m["silent_ms"].as_u64().map_or(leads, |ms| ms < HEARD_WITHIN_MS);
                     m["name"] == name.as_str() && m["alive"] == true && m["votes"] == true && heard
                 });
                 if votes {
-                    return Ok(begun.elapsed().as_millis() as u64);
+                    return Ok(started.elapsed().as_millis() as u64);
                 }
             }
             actix_rt::time::sleep(Duration::from_millis(50)).await;
         }
-        Err(format!("node {number} does not vote after {} s", within.as_secs()).into())
+        Err(format!("node {number} does not vote after {} s", timeout.as_secs()).into())
     }
 
-    /// Waits until a node that takes clients has a configuration in force; ms.
+    /// Waits until a node that serves clients applies a configuration. Returns how long this took,
+    /// in milliseconds.
     pub(super) async fn wait_for_route(
         &self,
         number: u8,
         path: &str,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<u64, ScenarioError> {
-        let begun = Instant::now();
+        let started = Instant::now();
         let client = crate::call::client();
         let ready = format!("http://{}/readiness", self.fleet.net().readiness(number));
         let route = format!("http://{}{path}x", self.fleet.net().front(number));
-        while begun.elapsed() < within {
+        while started.elapsed() < timeout {
             let is_ready = matches!(client.get(&ready).send().await, Ok(a) if a.status() == 200);
             if is_ready {
-                // There are no workers: a route that is in force leads to a 503.
+                // There are no workers, so a route that is in force leads to a 503.
                 let sent = client
                     .get(&route)
                     .insert_header(("Host", orders::HOST))
@@ -259,11 +277,15 @@
                     .send()
                     .await;
                 if matches!(sent, Ok(a) if a.status() != 404) {
-                    return Ok(begun.elapsed().as_millis() as u64);
+                    return Ok(started.elapsed().as_millis() as u64);
                 }
             }
             actix_rt::time::sleep(Duration::from_millis(20)).await;
         }
-        Err(format!("node {number} does not serve {path} after {} s", within.as_secs()).into())
+        Err(format!(
+            "node {number} does not serve {path} after {} s",
+            timeout.as_secs()
+        )
+        .into())
     }
 }
--- a/crates/fleet-test/src/scenarios/storm.rs
+++ b/crates/fleet-test/src/scenarios/storm.rs
@@ -1,8 +1,8 @@
-//! Faults drawn by lot while operators race, resend and read. Not one of the five:
-//! it is for searches as long as one likes, and shows nothing twice alike.
+//! Random faults while operators race, resend and read. This scenario is not part of `ALL`: it is
+//! meant for searches of any length, and no run can be repeated exactly.
 
-use super::{pause, Run, CATCH_UP_MS, CLEAR_S};
-use crate::checker::{Answer, Asked};
+use super::{pause, Run, CATCH_UP_MS, COMMAND_TIMEOUT_S};
+use crate::checker::{Answer, Operation};
 use crate::operator::{ControlAddress, Operator, Record};
 use crate::{orders, ScenarioError};
 use futures_util::future::join_all;
@@ -13,18 +13,18 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Time in which an operator wants a clear answer before it looks again, s.
-const ORDER_S: u64 = 4;
-/// Routes of a configuration: some kilobytes.
+/// Time after which an operator stops waiting for a definite answer and reads again, in seconds.
+const DEFINITE_ANSWER_S: u64 = 4;
+/// Number of routes in a configuration, which makes it a few kilobytes.
 const ROUTES: usize = 12;
-/// Newest orders of which one is sent again, orders: fewer than the system remembers.
-const SENT_AGAIN: usize = 100;
-/// Pause of an operator between two calls, ms.
-const EVERY_MS: u64 = 25;
+/// Number of newest commands from which one is sent again: fewer than the system remembers.
+const RESEND_WINDOW: usize = 100;
+/// Pause of an operator between two calls, in milliseconds.
+const CALL_INTERVAL_MS: u64 = 25;
 
-/// What all operators know.
+/// State shared by all operators.
 #[derive(Clone)]
-struct Known {
+struct SharedState {
     record: Record,
     control_addresses: Rc<Vec<ControlAddress>>,
     /// The newest version that one of them has seen in force.
@@ -58,91 +58,101 @@
 
 /// Runs the scenario.
 pub async fn execute(run: &mut Run) -> Result<(), ScenarioError> {
-    run.open().await?;
-    let until = Instant::now() + Duration::from_secs(run.options.seconds);
+    run.start_system().await?;
+    let deadline = Instant::now() + Duration::from_secs(run.options.seconds);
     let mut rng = StdRng::seed_from_u64(run.options.seed);
-    let known = Known {
+    let shared = SharedState {
         record: run.record.clone(),
         control_addresses: Rc::new(run.fleet.control_addresses()),
         current: Rc::new(Cell::new(run.current)),
         next: Rc::new(Cell::new(run.next)),
         stop: Rc::default(),
     };
-    let mut work: Vec<actix_rt::task::JoinHandle<()>> = Vec::new();
+    let mut tasks: Vec<actix_rt::task::JoinHandle<()>> = Vec::new();
     for maker in ["a", "b"] {
-        work.push(actix_rt::spawn(write(run.caller(), known.clone(), maker)));
+        tasks.push(actix_rt::spawn(send_configurations(
+            run.caller(),
+            shared.clone(),
+            maker,
+        )));
     }
-    work.push(actix_rt::spawn(send_again(run.caller(), known.clone())));
+    tasks.push(actix_rt::spawn(resend_commands(run.caller(), shared.clone())));
     for n in 0..2 {
-        work.push(actix_rt::spawn(read(run.caller(), known.clone(), n)));
+        tasks.push(actix_rt::spawn(read_configurations(
+            run.caller(),
+            shared.clone(),
+            n,
+        )));
     }
     let mut counts = std::collections::BTreeMap::new();
-    while Instant::now() < until {
+    while Instant::now() < deadline {
         let fault = *FAULTS.choose(&mut rng).ok_or("no faults")?;
         *counts.entry(format!("{fault:?}")).or_insert(0) += 1;
-        befall(run, fault, &mut rng).await?;
-        let within = Duration::from_secs(CLEAR_S);
+        inject_fault(run, fault, &mut rng).await?;
+        let timeout = Duration::from_secs(COMMAND_TIMEOUT_S);
         let answer = run
             .operator
-            .settle(Asked::Read, &run.fleet.running(), within)
+            .retry_until_definite(Operation::Read, &run.fleet.running_control_addresses(), timeout)
             .await;
-        if !matches!(answer, Answer::Good(_)) {
-            run.broken(format!("after {fault:?}: no read within {CLEAR_S} s: {answer:?}"));
+        if !matches!(answer, Answer::Success(_)) {
+            run.report_violation(format!(
+                "after {fault:?}: no read within {COMMAND_TIMEOUT_S} s: {answer:?}"
+            ));
             break;
         }
     }
-    known.stop.set(true);
-    join_all(work).await;
-    run.say(format!(
+    shared.stop.set(true);
+    join_all(tasks).await;
+    run.log_progress(format!(
         "seed {}; {counts:?}; version {}",
         run.options.seed,
-        known.current.get()
+        shared.current.get()
     ));
     run.read_back().await;
     Ok(())
 }
 
-/// One fault, and the time that it takes to be over.
-async fn befall(run: &mut Run, fault: Fault, rng: &mut StdRng) -> Result<(), ScenarioError> {
+/// Injects a fault, and waits until it is over.
+async fn inject_fault(run: &mut Run, fault: Fault, rng: &mut StdRng) -> Result<(), ScenarioError> {
     let leader = run
         .fleet
-        .wait_for_leader(Duration::from_secs(2 * CLEAR_S))
+        .wait_for_leader(Duration::from_secs(2 * COMMAND_TIMEOUT_S))
         .await?;
-    let anyone = rng.gen_range(1..=5);
+    let random_number = rng.gen_range(1..=5);
     let number = match fault {
         Fault::KillLeader | Fault::FreezeLeader | Fault::WipeLeader => leader,
-        _ => anyone,
+        _ => random_number,
     };
-    let length = rng.gen_range(0..2500);
-    run.say(format!(
-        "{fault:?} of node {number} for {length} ms; node {leader} leads"
+    let duration_ms = rng.gen_range(0..2500);
+    run.log_progress(format!(
+        "{fault:?} of node {number} for {duration_ms} ms; node {leader} leads"
     ));
     match fault {
         Fault::Kill | Fault::KillLeader => {
             run.fleet.node(number)?.kill();
-            pause(length).await;
+            pause(duration_ms).await;
             run.fleet.restart(number)?;
         }
         Fault::Freeze | Fault::FreezeLeader => {
             run.fleet.node(number)?.freeze()?;
-            pause(length).await;
+            pause(duration_ms).await;
             run.fleet.node(number)?.thaw()?;
         }
         Fault::Terminate => {
             run.fleet.node(number)?.terminate()?;
-            if let Err(e) = run.fleet.wait_for_end(number, Duration::from_secs(6)).await {
-                run.broken(e);
+            if let Err(e) = run.fleet.wait_for_exit(number, Duration::from_secs(6)).await {
+                run.report_violation(e);
                 run.fleet.node(number)?.kill();
             }
             run.fleet.restart(number)?;
         }
         Fault::Wipe | Fault::WipeLeader => {
-            // No more than one loss at a time, each until `CatchUp` is over.
+            // Only one disk is lost at a time, each loss lasting until `CatchUp` is over.
             pause(CATCH_UP_MS).await;
             let node = run.fleet.node(number)?;
             node.kill();
             node.wipe()?;
-            pause(length).await;
+            pause(duration_ms).await;
             run.fleet.restart(number)?;
             pause(CATCH_UP_MS).await;
         }
@@ -151,7 +161,7 @@
             for number in &all {
                 run.fleet.node(*number)?.kill();
             }
-            pause(length / 4).await;
+            pause(duration_ms / 4).await;
             for number in &all {
                 run.fleet.restart(*number)?;
             }
@@ -161,76 +171,83 @@
     Ok(())
 }
 
-impl Known {
-    fn any(&self) -> Option<ControlAddress> {
+impl SharedState {
+    fn random_control_address(&self) -> Option<ControlAddress> {
         self.control_addresses.choose(&mut rand::thread_rng()).copied()
     }
 
-    fn saw(&self, version: u64) {
+    fn observe_version(&self, version: u64) {
         self.current.set(self.current.get().max(version));
     }
 
-    /// Learns the version of a configuration that was read.
-    fn saw_body(&self, body: &[u8]) {
+    /// Updates the newest seen version from a configuration that was read.
+    fn observe_configuration(&self, body: &[u8]) {
         let history = self.record.history();
-        let order = history.orders.iter().find(|o| o.body == body);
-        self.saw(order.map_or(0, |o| o.version));
+        let command = history.commands.iter().find(|c| c.body == body);
+        self.observe_version(command.map_or(0, |c| c.version));
     }
 }
 
-/// Commands one configuration after the other on what is known to be current.
-async fn write(caller: Operator, known: Known, maker: &'static str) {
-    while !known.stop.get() {
-        let base = known.current.get();
-        let version = known.next.get();
-        known.next.set(version + 1);
-        let order = known
+/// Sends one configuration after the other, each based on the newest version seen.
+async fn send_configurations(caller: Operator, shared: SharedState, maker: &'static str) {
+    while !shared.stop.get() {
+        let base = shared.current.get();
+        let version = shared.next.get();
+        shared.next.set(version + 1);
+        let command = shared
             .record
-            .order(base, version, orders::configuration(version, maker, ROUTES));
-        let mut control_addresses = known.control_addresses.to_vec();
+            .command(base, version, orders::configuration(version, maker, ROUTES));
+        let mut control_addresses = shared.control_addresses.to_vec();
         control_addresses.shuffle(&mut rand::thread_rng());
-        let within = Duration::from_secs(ORDER_S);
+        let timeout = Duration::from_secs(DEFINITE_ANSWER_S);
         match caller
-            .settle(Asked::Replace(order), &control_addresses, within)
+            .retry_until_definite(Operation::Replace(command), &control_addresses, timeout)
             .await
         {
-            Answer::Good(_) => known.saw(version),
+            Answer::Success(_) => shared.observe_version(version),
             _ => {
-                if let Answer::Good(body) = caller.settle(Asked::Read, &control_addresses, within).await {
-                    known.saw_body(&body);
+                if let Answer::Success(body) = caller
+                    .retry_until_definite(Operation::Read, &control_addresses, timeout)
+                    .await
+                {
+                    shared.observe_configuration(&body);
                 }
             }
         }
-        pause(EVERY_MS).await;
+        pause(CALL_INTERVAL_MS).await;
     }
 }
 
-/// Sends orders that were sent before again, as they were.
-async fn send_again(caller: Operator, known: Known) {
-    while !known.stop.get() {
-        let orders = known.record.history().orders.len();
-        let order = rand::thread_rng().gen_range(orders.saturating_sub(SENT_AGAIN)..orders.max(1));
-        if let Some(control_address) = known.any() {
-            caller.ask(Asked::Replace(order), control_address).await;
+/// Sends earlier commands again, unchanged.
+async fn resend_commands(caller: Operator, shared: SharedState) {
+    while !shared.stop.get() {
+        let commands = shared.record.history().commands.len();
+        let command = rand::thread_rng().gen_range(commands.saturating_sub(RESEND_WINDOW)..commands.max(1));
+        if let Some(control_address) = shared.random_control_address() {
+            caller
+                .send_once(Operation::Replace(command), control_address)
+                .await;
         }
-        pause(EVERY_MS).await;
+        pause(CALL_INTERVAL_MS).await;
     }
 }
 
-async fn read(caller: Operator, known: Known, number: usize) {
+async fn read_configurations(caller: Operator, shared: SharedState, number: usize) {
     let mut turn = 0;
-    while !known.stop.get() {
+    while !shared.stop.get() {
         turn += 1;
-        let Some(control_address) = known.any() else {
+        let Some(control_address) = shared.random_control_address() else {
             return;
         };
         if turn % 4 == 0 {
             let mark = format!("bad-{number}-{turn}");
             let body = orders::invalid(1_000_000, &mark);
-            caller.ask_with(Asked::Invalid(mark), body, control_address).await;
+            caller
+                .send_once_with_body(Operation::Invalid(mark), body, control_address)
+                .await;
         } else {
-            caller.ask(Asked::Read, control_address).await;
+            caller.send_once(Operation::Read, control_address).await;
         }
-        pause(EVERY_MS).await;
+        pause(CALL_INTERVAL_MS).await;
     }
 }
--- a/crates/fleet-test/src/settings.rs
+++ b/crates/fleet-test/src/settings.rs
@@ -5,41 +5,41 @@
 use std::net::SocketAddrV4;
 use std::path::Path;
 
-/// Regions of the fleet; each machine stands in a zone of its own, and the zones
-/// are dealt out to them.
+/// Regions of the fleet. Each machine is in a zone of its own, and the zones are spread over the
+/// regions.
 const REGIONS: [&str; 3] = ["north", "south", "east"];
-/// Machines that a fleet may come to have.
-pub const MACHINES: u8 = 100;
-/// Zones in the settings; those beyond the machines are for orders only.
+/// Largest number of machines in a fleet.
+pub const MAX_MACHINES: u8 = 100;
+/// Zones in the settings. Zones without a machine are used only in commands.
 pub const ZONES: u8 = 100;
 
-/// What is special to one machine.
+/// The settings that differ between machines.
 pub struct Machine<'a> {
-    /// Its number, from 1; it names the machine and gives its address.
+    /// The machine's number, from 1. It determines the machine's name and address.
     pub number: u8,
-    /// The whole system starts for the first time.
-    pub initial: bool,
-    /// The folder of its disk, if it has one.
+    /// Whether the whole system starts for the first time.
+    pub is_initial_start: bool,
+    /// The folder of the machine's disk, if it has one.
     pub disk: Option<&'a Path>,
 }
 
-/// Name of a machine.
+/// Returns the name of a machine.
 pub fn name(number: u8) -> String {
     format!("edge-{}-1", zone(number))
 }
 
-/// Zone of a machine.
+/// Returns the zone of a machine.
 pub fn zone(number: u8) -> String {
     format!("{}-{}", region(number), number)
 }
 
-/// Region of a machine.
+/// Returns the region of a machine.
 pub fn region(number: u8) -> &'static str {
     REGIONS[usize::from(number) % REGIONS.len()]
 }
 
-/// The settings file (TOML) of a machine.
-pub fn write(net: &Net, seeds: &[SocketAddrV4], machine: &Machine<'_>) -> String {
+/// Renders the settings file (TOML) of a machine.
+pub fn render(net: &Net, seeds: &[SocketAddrV4], machine: &Machine<'_>) -> String {
     let n = machine.number;
     let [first, last] = net.internal_ports();
     let seeds: Vec<String> = seeds.iter().map(|s| format!("\"{s}\"")).collect();
@@ -54,17 +54,17 @@
 Zone = "{zone}"
 Region = "{region}"
 LossCounted = {counted}
-InitialStart = {initial}
+InitialStart = {is_initial_start}
 "#,
         name = name(n),
         ip = net.ip(n),
         zone = zone(n),
         region = region(n),
         counted = machine.disk.is_some(),
-        initial = machine.initial,
+        is_initial_start = machine.is_initial_start,
     );
     if let Some(folder) = machine.disk {
-        // Writing to a text cannot fail.
+        // Writing to a string cannot fail.
         let _ = writeln!(text, "DataDirectory = {:?}", folder.display().to_string());
     }
     let _ = write!(
@@ -95,11 +95,11 @@
     for number in 1..=ZONES {
         let _ = writeln!(text, "{} = \"{}\"", zone(number), region(number));
     }
-    text + &platform_and_terms(net)
+    text + &shared_settings(net)
 }
 
-/// The part that is alike on every machine of a fleet.
-fn platform_and_terms(net: &Net) -> String {
+/// Renders the settings that are the same on every machine of a fleet.
+fn shared_settings(net: &Net) -> String {
     format!(
         r#"[Platform]
 Discovery = "platform"
--- a/crates/fleet-test/src/soak/checker.rs
+++ b/crates/fleet-test/src/soak/checker.rs
@@ -1,49 +1,52 @@
-//! Whether a system that keeps the rules can have shown what was seen. The rules bind nodes in
-//! touch: whose own process ran undisturbed for a while, while the core was settled.
+//! Checks whether what a soak observed is consistent with the rules of the system. The rules bind a
+//! node while it is in contact: its own process has run undisturbed for some time, and the core was
+//! stable.
 
-use super::observations::{Ending, Hold, Observations, Order, OrderKind, Request, Run, Trouble, TroubleKind};
+use super::observations::{
+    Command, CommandKind, Ending, KeyLease, NodeFault, NodeFaultKind, Observations, Request, Run,
+};
 use std::collections::{BTreeMap, HashMap};
 
-/// Bounds of the settings that a soak runs with, ms.
+/// Bounds from the settings that a soak runs with, in milliseconds.
 mod bounds {
-    /// A node is in touch if nothing has befallen it for so long (`Contact`).
-    pub const CONTACT: u64 = 4000;
-    /// A worker that drains may get requests for so long (`Drain`).
-    pub const DRAIN: u64 = 2500;
-    /// An evacuated zone may get requests for so long (`Evacuation`).
-    pub const EVACUATION: u64 = 5000;
-    /// A node may go by the configuration before for so long (`ConfigApply`).
-    pub const CONFIG_APPLY: u64 = 2000;
-    /// From SIGTERM until a process is killed (`GracePeriod`).
-    pub const GRACE_PERIOD: u64 = 6000;
-    /// A connection that ends so soon may not have been read (`LossSlack`).
-    pub const LOSS_SLACK: u64 = 200;
-    /// The list's delay, and that of the parties' own clocks.
-    pub const LAG: u64 = 200;
-    /// Two workers may hold the same keys for so long.
-    pub const SHARED_KEYS: u64 = 500;
-    /// What is sent no later than this after SIGTERM may be cut in the last sixth of the
-    /// grace period.
-    pub const EARLY_AFTER_TERM: u64 = 3000;
+    /// Time without faults after which a node counts as in contact (`Contact`).
+    pub const CONTACT_MS: u64 = 4000;
+    /// How long a draining worker may still get requests (`Drain`).
+    pub const DRAIN_MS: u64 = 2500;
+    /// How long an evacuated zone may still get requests (`Evacuation`).
+    pub const EVACUATION_MS: u64 = 5000;
+    /// How long a node may still apply the previous configuration (`ConfigApply`).
+    pub const CONFIG_APPLY_MS: u64 = 2000;
+    /// Time from SIGTERM until a process is killed (`GracePeriod`).
+    pub const GRACE_PERIOD_MS: u64 = 6000;
+    /// A request may be unread if its connection ends within this time (`LossSlack`).
+    pub const LOSS_SLACK_MS: u64 = 200;
+    /// Allowance for the delay of the platform's list and of the observers' own clocks.
+    pub const LAG_MS: u64 = 200;
+    /// How long two workers may hold the same keys.
+    pub const MAX_SHARED_KEYS_MS: u64 = 500;
+    /// A request sent no later than this after SIGTERM may be cut in the last sixth of the grace
+    /// period.
+    pub const EARLY_AFTER_TERM_MS: u64 = 3000;
 }
 
-/// Requests that a node may cut at other times than around planned work, requests.
-const CUT_WITHOUT_CAUSE: usize = 3;
+/// Requests that a node may cut without a kill, freeze or shutdown that explains it.
+const MAX_UNEXPLAINED_CUTS: usize = 3;
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The name of the rule.
+    /// Name of the rule.
     pub rule: &'static str,
-    /// When, ms.
+    /// Time of the violation, in milliseconds.
     pub at: u64,
-    /// What was seen.
-    pub what: String,
-    /// Words by which log lines about it are found.
-    pub words: Vec<String>,
+    /// What was observed.
+    pub description: String,
+    /// Substrings that identify the log lines about the violation.
+    pub log_terms: Vec<String>,
 }
 
-/// Every breach of a rule that was seen, in the order of time.
+/// Returns all violations in order of time.
 pub fn violations(seen: &Observations) -> Vec<Violation> {
     let checker = Checker::new(seen);
     let mut found = Vec::new();
@@ -53,8 +56,8 @@
     checker.check_evacuations(&mut found);
     checker.check_draining(&mut found);
     checker.check_routes(&mut found);
-    checker.check_orders(&mut found);
-    checker.check_holders(&mut found);
+    checker.check_commands(&mut found);
+    checker.check_key_leases(&mut found);
     found.sort_by_key(|violation| violation.at);
     found
 }
@@ -82,31 +85,34 @@
         self.runs.get(id).map_or(&[], Vec::as_slice)
     }
 
-    /// Whether a node's own process ran undisturbed over a span.
-    fn is_undisturbed(&self, node: u8, from: u64, to: u64) -> bool {
-        let of_node = self.seen.troubles.iter().filter(|t| t.node == node);
-        let disturbs = |t: &Trouble| t.kind != TroubleKind::HungUp && t.at <= to && t.until >= from;
+    /// Returns whether no fault other than a settings reload affected a node during a period.
+    fn is_node_undisturbed(&self, node: u8, from: u64, to: u64) -> bool {
+        let of_node = self.seen.node_faults.iter().filter(|f| f.node == node);
+        let disturbs =
+            |f: &NodeFault| f.kind != NodeFaultKind::SettingsReload && f.at <= to && f.until >= from;
         !of_node.into_iter().any(disturbs)
     }
 
-    /// Whether nothing has begun or ended at a voter over a span.
-    fn is_settled(&self, from: u64, to: u64) -> bool {
+    /// Returns whether no fault other than a settings reload began or ended at a voter during a
+    /// period.
+    fn is_core_stable(&self, from: u64, to: u64) -> bool {
         let within = |at: u64| from <= at && at <= to;
-        let voters = self.seen.troubles.iter().filter(|t| t.is_voter);
+        let voters = self.seen.node_faults.iter().filter(|f| f.is_voter);
         !voters
-            .filter(|t| t.kind != TroubleKind::HungUp)
-            .any(|t| within(t.at) || within(t.until))
+            .filter(|f| f.kind != NodeFaultKind::SettingsReload)
+            .any(|f| within(f.at) || within(f.until))
     }
 
-    fn in_touch(&self, node: u8, at: u64) -> bool {
-        let from = at.saturating_sub(bounds::CONTACT);
-        self.is_undisturbed(node, from, at) && self.is_settled(from, at)
+    fn is_in_contact(&self, node: u8, at: u64) -> bool {
+        let from = at.saturating_sub(bounds::CONTACT_MS);
+        self.is_node_undisturbed(node, from, at) && self.is_core_stable(from, at)
     }
 
-    /// TWICE, REFUSED.
+    /// Rules TWICE and REFUSED: a non-idempotent request runs at most once, and not at all if it
+    /// was refused.
     fn check_runs(&self, found: &mut Vec<Violation>) {
         for (id, runs) in &self.runs {
-            let Some(request) = self.requests.get(id).filter(|r| !r.is_repeatable) else {
+            let Some(request) = self.requests.get(id).filter(|r| !r.is_idempotent) else {
                 continue;
             };
             if runs.len() > 1 {
@@ -114,77 +120,89 @@
             }
             if let Ending::Answered { status, .. } = request.ending {
                 if [408, 421, 429, 503].contains(&status) {
-                    let what = format!("ran, and was answered with {status}");
-                    found.push(violation("REFUSED", request, runs, &what));
+                    let description = format!("ran, and was answered with {status}");
+                    found.push(violation("REFUSED", request, runs, &description));
                 }
             }
         }
     }
 
-    /// MIXED.
+    /// Rule MIXED: an answer belongs to its request.
     fn check_answers(&self, found: &mut Vec<Violation>) {
         for request in &self.seen.requests {
-            if matches!(request.ending, Ending::Answered { is_own: false, .. }) {
+            if matches!(
+                request.ending,
+                Ending::Answered {
+                    matches_request: false,
+                    ..
+                }
+            ) {
                 let runs = self.runs_of(&request.id);
-                found.push(violation("MIXED", request, runs, "got another's answer"));
+                found.push(violation(
+                    "MIXED",
+                    request,
+                    runs,
+                    "got the answer to another request",
+                ));
             }
         }
     }
 
-    /// LOST: around the end of a node in order, and on the whole.
+    /// Rule LOST: a terminating node cuts no accepted request, and a node without faults cuts few.
     fn check_losses(&self, found: &mut Vec<Violation>) {
-        let mut without_cause: BTreeMap<u8, Vec<&Request>> = BTreeMap::new();
+        let mut unexplained: BTreeMap<u8, Vec<&Request>> = BTreeMap::new();
         let cut = self.seen.requests.iter().filter(|r| r.ending == Ending::Closed);
         for request in cut.filter(|r| r.ended_at < r.sent_at + r.deadline_ms) {
             let runs = self.runs_of(&request.id);
-            let was_read = !runs.is_empty() || request.ended_at > request.sent_at + bounds::LOSS_SLACK;
-            if !was_read || runs.iter().any(|run| self.has_broken_off(run, request)) {
+            let was_read = !runs.is_empty() || request.ended_at > request.sent_at + bounds::LOSS_SLACK_MS;
+            if !was_read || runs.iter().any(|run| self.worker_ended_during(run, request)) {
                 continue;
             }
-            let own = self.seen.troubles.iter().filter(|t| t.node == request.node);
-            let mut around = own.filter(|t| {
-                let until = t.until.saturating_add(bounds::CONTACT);
-                t.at <= request.ended_at && request.sent_at.saturating_sub(bounds::CONTACT) <= until
+            let of_node = self.seen.node_faults.iter().filter(|f| f.node == request.node);
+            let mut overlapping = of_node.filter(|f| {
+                let until = f.until.saturating_add(bounds::CONTACT_MS);
+                f.at <= request.ended_at && request.sent_at.saturating_sub(bounds::CONTACT_MS) <= until
             });
-            let term = around.clone().find(|t| {
-                t.kind == TroubleKind::Terminated
-                    && t.at <= request.ended_at
-                    && request.ended_at <= t.at + bounds::GRACE_PERIOD + 1000
+            let termination = overlapping.clone().find(|f| {
+                f.kind == NodeFaultKind::Terminated
+                    && f.at <= request.ended_at
+                    && request.ended_at <= f.at + bounds::GRACE_PERIOD_MS + 1000
             });
-            let is_unplanned = around.any(|t| matches!(t.kind, TroubleKind::Killed | TroubleKind::Frozen));
-            match term {
+            let is_unplanned =
+                overlapping.any(|f| matches!(f.kind, NodeFaultKind::Killed | NodeFaultKind::Frozen));
+            match termination {
                 _ if is_unplanned => {}
-                Some(term) if is_excused(term, request, runs) => {}
-                Some(term) => {
-                    let after_ms = request.ended_at - term.at;
-                    let what = format!("was cut off {after_ms} ms after SIGTERM");
-                    found.push(violation("LOST", request, runs, &what));
+                Some(termination) if is_cut_allowed(termination, request, runs) => {}
+                Some(termination) => {
+                    let after_ms = request.ended_at - termination.at;
+                    let description = format!("was cut off {after_ms} ms after SIGTERM");
+                    found.push(violation("LOST", request, runs, &description));
                 }
-                None if !runs.is_empty() => without_cause.entry(request.node).or_default().push(request),
+                None if !runs.is_empty() => unexplained.entry(request.node).or_default().push(request),
                 None => {}
             }
         }
-        for (node, requests) in without_cause {
-            if let Some(last) = requests.get(CUT_WITHOUT_CAUSE) {
-                let what = format!(
-                    "is one of {} that node {node} cut without a cause",
+        for (node, requests) in unexplained {
+            if let Some(last) = requests.get(MAX_UNEXPLAINED_CUTS) {
+                let description = format!(
+                    "is one of {} requests that node {node} cut without a cause",
                     requests.len()
                 );
-                found.push(violation("LOST", last, self.runs_of(&last.id), &what));
+                found.push(violation("LOST", last, self.runs_of(&last.id), &description));
             }
         }
     }
 
-    /// Whether the worker of a run ended within it.
-    fn has_broken_off(&self, run: &Run, request: &Request) -> bool {
+    /// Returns whether the worker of a run ended after the run began and no later than the request.
+    fn worker_ended_during(&self, run: &Run, request: &Request) -> bool {
         let ended_at = self.seen.workers.get(&run.worker).and_then(|w| w.ended_at);
         ended_at.is_some_and(|at| at >= run.began_at && at <= request.ended_at)
     }
 
-    /// EVAC.
+    /// Rule EVAC: an evacuated zone receives no requests.
     fn check_evacuations(&self, found: &mut Vec<Violation>) {
-        for evacuation in evacuations(&self.seen.orders) {
-            let from = evacuation.acknowledged_at + bounds::EVACUATION;
+        for evacuation in evacuations(&self.seen.commands) {
+            let from = evacuation.acknowledged_at + bounds::EVACUATION_MS;
             let within = |run: &&Run| run.began_at > from && run.began_at < evacuation.until;
             let in_zone = |run: &&Run| {
                 let facts = self.seen.workers.get(&run.worker);
@@ -194,41 +212,41 @@
                 let Some(request) = self.requests.get(run.id.as_str()) else {
                     continue;
                 };
-                if self.in_touch(request.node, run.began_at) {
+                if self.is_in_contact(request.node, run.began_at) {
                     let after_ms = run.began_at - evacuation.acknowledged_at;
-                    let what = format!(
+                    let description = format!(
                         "reached {} of zone {} {after_ms} ms after its evacuation was acknowledged",
                         run.worker, evacuation.zone
                     );
-                    let mut breach = violation("EVAC", request, &[run], &what);
-                    breach.words = vec![format!("zone={} ", evacuation.zone)];
-                    found.push(breach);
+                    let mut violation = violation("EVAC", request, &[run], &description);
+                    violation.log_terms = vec![format!("zone={} ", evacuation.zone)];
+                    found.push(violation);
                 }
             }
         }
     }
 
-    /// DRAIN.
+    /// Rule DRAIN: a draining worker receives no requests.
     fn check_draining(&self, found: &mut Vec<Violation>) {
         for run in &self.seen.runs {
             let facts = self.seen.workers.get(&run.worker);
             let draining_at = facts.and_then(|w| w.draining_at);
-            let is_late = draining_at.is_some_and(|at| run.began_at > at + bounds::DRAIN + bounds::LAG);
+            let is_late = draining_at.is_some_and(|at| run.began_at > at + bounds::DRAIN_MS + bounds::LAG_MS);
             let Some(request) = self.requests.get(run.id.as_str()).filter(|_| is_late) else {
                 continue;
             };
-            if self.in_touch(request.node, run.began_at) {
-                let what = format!("reached {}, which drains", run.worker);
-                found.push(violation("DRAIN", request, &[run], &what));
+            if self.is_in_contact(request.node, run.began_at) {
+                let description = format!("reached {}, which is draining", run.worker);
+                found.push(violation("DRAIN", request, &[run], &description));
             }
         }
     }
 
-    /// CONFIG: the route that comes and goes.
+    /// Rule CONFIG: requests follow the route that configurations add and drop.
     fn check_routes(&self, found: &mut Vec<Violation>) {
         let is_on_route = |r: &&Request| r.path.starts_with(super::Routes::EXTRA);
         for request in self.seen.requests.iter().filter(is_on_route) {
-            if !self.in_touch(request.node, request.sent_at) {
+            if !self.is_in_contact(request.node, request.sent_at) {
                 continue;
             }
             let allowed = self.routes_allowed(request);
@@ -239,7 +257,7 @@
                     "CONFIG",
                     request,
                     runs,
-                    "got 404, though its route is there",
+                    "got 404, although its route is present",
                 ));
             }
             if !runs.is_empty() && allowed == [false] {
@@ -247,85 +265,94 @@
                     "CONFIG",
                     request,
                     runs,
-                    "ran, though its route is dropped",
+                    "ran, although its route was dropped",
                 ));
             }
         }
     }
 
-    /// Whether the route is there, by each configuration that may be in force for a request.
+    /// Returns the possible states of the added and dropped route (present or not), by all
+    /// configurations that may be in force for a request.
     fn routes_allowed(&self, request: &Request) -> Vec<bool> {
         let mut allowed = Vec::new();
-        let configurations: Vec<(&Order, bool)> = self.configurations().collect();
-        for (place, (order, has_route)) in configurations.iter().enumerate() {
-            let is_over = configurations[place + 1..].iter().any(|(later, _)| {
+        let configurations: Vec<(&Command, bool)> = self.configurations().collect();
+        for (index, (command, has_route)) in configurations.iter().enumerate() {
+            let is_superseded = configurations[index + 1..].iter().any(|(later, _)| {
                 let acknowledged_at = later.acknowledged_at;
-                acknowledged_at.is_some_and(|at| at + bounds::CONFIG_APPLY < request.sent_at)
+                acknowledged_at.is_some_and(|at| at + bounds::CONFIG_APPLY_MS < request.sent_at)
             });
-            if order.sent_at <= request.ended_at && !is_over && !allowed.contains(has_route) {
+            if command.sent_at <= request.ended_at && !is_superseded && !allowed.contains(has_route) {
                 allowed.push(*has_route);
             }
         }
         allowed
     }
 
-    fn configurations(&self) -> impl Iterator<Item = (&'a Order, bool)> {
-        self.seen.orders.iter().filter_map(|order| match order.kind {
-            OrderKind::Configuration { has_extra_route, .. } => Some((order, has_extra_route)),
-            OrderKind::Evacuation { .. } => None,
-        })
+    fn configurations(&self) -> impl Iterator<Item = (&'a Command, bool)> {
+        self.seen
+            .commands
+            .iter()
+            .filter_map(|command| match command.kind {
+                CommandKind::Configuration { has_extra_route, .. } => Some((command, has_extra_route)),
+                CommandKind::Evacuation { .. } => None,
+            })
     }
 
-    /// CONFIG: an order that was refused, and what was read back.
-    fn check_orders(&self, found: &mut Vec<Violation>) {
-        for order in self.seen.orders.iter().filter(|o| o.is_refused) {
+    /// Rule CONFIG: no valid command is refused, and the acknowledged version can be read back.
+    fn check_commands(&self, found: &mut Vec<Violation>) {
+        for command in self.seen.commands.iter().filter(|c| c.is_refused) {
             found.push(Violation {
                 rule: "CONFIG",
-                at: order.sent_at,
-                what: format!("{:?} was refused, though it was proper", order.kind),
-                words: Vec::new(),
+                at: command.sent_at,
+                description: format!("{:?} was refused, although it is valid", command.kind),
+                log_terms: Vec::new(),
             });
         }
-        let acknowledged = self.seen.orders.iter().filter(|o| o.acknowledged_at.is_some());
-        let versions = acknowledged.filter_map(|order| match order.kind {
-            OrderKind::Configuration { version, .. } => Some(version),
-            OrderKind::Evacuation { .. } => None,
+        let acknowledged = self.seen.commands.iter().filter(|c| c.acknowledged_at.is_some());
+        let versions = acknowledged.filter_map(|command| match command.kind {
+            CommandKind::Configuration { version, .. } => Some(version),
+            CommandKind::Evacuation { .. } => None,
         });
         let newest = versions.max().unwrap_or(0);
         if let Some((read, at)) = self.seen.read_back.filter(|(read, _)| *read < newest) {
             found.push(Violation {
                 rule: "CONFIG",
                 at,
-                what: format!("version {read} is read back, {newest} was acknowledged"),
-                words: vec!["event=configuration".into()],
+                description: format!("version {read} was read back, but {newest} was acknowledged"),
+                log_terms: vec!["event=configuration".into()],
             });
         }
     }
 
-    /// OWNER.
-    fn check_holders(&self, found: &mut Vec<Violation>) {
-        let mut holds: Vec<&Hold> = self.seen.holds.iter().filter(|h| h.since < h.until).collect();
-        holds.sort_by_key(|h| h.since);
-        for (place, later) in holds.iter().enumerate() {
-            let earlier = holds[..place].iter();
-            for earlier in earlier.filter(|h| h.worker != later.worker && h.until > later.since) {
+    /// Rule OWNER: a key has one owner.
+    fn check_key_leases(&self, found: &mut Vec<Violation>) {
+        let mut key_leases: Vec<&KeyLease> = self
+            .seen
+            .key_leases
+            .iter()
+            .filter(|l| l.since < l.until)
+            .collect();
+        key_leases.sort_by_key(|l| l.since);
+        for (index, later) in key_leases.iter().enumerate() {
+            let earlier = key_leases[..index].iter();
+            for earlier in earlier.filter(|l| l.worker != later.worker && l.until > later.since) {
                 let keys = (earlier.from.max(later.from), earlier.to.min(later.to));
                 let span = (later.since, earlier.until.min(later.until));
                 if keys.0 > keys.1 {
                     continue;
                 }
                 let shared_ms = span.1 - span.0;
-                let both_run =
-                    self.has_run(&earlier.worker, keys, span) && self.has_run(&later.worker, keys, span);
-                if shared_ms > bounds::SHARED_KEYS || both_run {
+                let both_run = self.ran_requests(&earlier.worker, keys, span)
+                    && self.ran_requests(&later.worker, keys, span);
+                if shared_ms > bounds::MAX_SHARED_KEYS_MS || both_run {
                     found.push(Violation {
                         rule: "OWNER",
                         at: span.0,
-                        what: format!(
+                        description: format!(
                             "{} (token {}) and {} (token {}) both held keys {} to {} for {shared_ms} ms",
                             earlier.worker, earlier.token, later.worker, later.token, keys.0, keys.1
                         ),
-                        words: vec![
+                        log_terms: vec![
                             format!("worker={} ", earlier.worker),
                             format!("worker={} ", later.worker),
                         ],
@@ -335,8 +362,8 @@
         }
     }
 
-    /// Whether a worker began requests on keys in a span.
-    fn has_run(&self, worker: &str, keys: (u32, u32), span: (u64, u64)) -> bool {
+    /// Returns whether a worker began requests on these keys during a period.
+    fn ran_requests(&self, worker: &str, keys: (u32, u32), span: (u64, u64)) -> bool {
         let mut runs = self.seen.runs.iter().filter(|run| run.worker == worker);
         runs.any(|run| {
             let on_keys = run.key.is_some_and(|key| keys.0 <= key && key <= keys.1);
@@ -345,12 +372,12 @@
     }
 }
 
-/// Whether a request may be cut by the end of a node: its worker was at work in the last sixth of
-/// the grace period, and it was sent early.
-fn is_excused(term: &Trouble, request: &Request, runs: &[&Run]) -> bool {
-    let last_sixth = term.at + bounds::GRACE_PERIOD * 5 / 6;
+/// Returns whether the shutdown of a node may cut a request: the request was sent early, and its
+/// worker was at work in the last sixth of the grace period.
+fn is_cut_allowed(termination: &NodeFault, request: &Request, runs: &[&Run]) -> bool {
+    let last_sixth = termination.at + bounds::GRACE_PERIOD_MS * 5 / 6;
     let at_work = |run: &&Run| run.ended_at.is_none_or(|at| at >= last_sixth);
-    let is_early = request.sent_at <= term.at + bounds::EARLY_AFTER_TERM;
+    let is_early = request.sent_at <= termination.at + bounds::EARLY_AFTER_TERM_MS;
     is_early && request.ended_at >= last_sixth && runs.iter().any(at_work)
 }
 
@@ -358,25 +385,27 @@
 struct Evacuation {
     zone: String,
     acknowledged_at: u64,
-    /// When its end was first asked for, ms.
+    /// Time at which its end was first requested, in milliseconds.
     until: u64,
 }
 
-/// The evacuations that operators began, each until the same operator first asked for its end.
-fn evacuations(orders: &[Order]) -> Vec<Evacuation> {
+/// Returns the acknowledged evacuations, each until the same operator first requested its end.
+fn evacuations(commands: &[Command]) -> Vec<Evacuation> {
     let mut found = Vec::new();
-    for (place, order) in orders.iter().enumerate() {
-        let (OrderKind::Evacuation { zone, begin: true }, Some(acknowledged_at)) =
-            (&order.kind, order.acknowledged_at)
+    for (index, command) in commands.iter().enumerate() {
+        let (CommandKind::Evacuation { zone, begin: true }, Some(acknowledged_at)) =
+            (&command.kind, command.acknowledged_at)
         else {
             continue;
         };
-        let ends = OrderKind::Evacuation {
+        let ends = CommandKind::Evacuation {
             zone: zone.clone(),
             begin: false,
         };
-        let mut after = orders[place..].iter().filter(|o| o.operator == order.operator);
-        let until = after.find(|o| o.kind == ends).map_or(u64::MAX, |o| o.sent_at);
+        let mut after = commands[index..]
+            .iter()
+            .filter(|c| c.operator == command.operator);
+        let until = after.find(|c| c.kind == ends).map_or(u64::MAX, |c| c.sent_at);
         found.push(Evacuation {
             zone: zone.clone(),
             acknowledged_at,
@@ -386,19 +415,19 @@
     found
 }
 
-fn violation(rule: &'static str, request: &Request, runs: &[&Run], what: &str) -> Violation {
+fn violation(rule: &'static str, request: &Request, runs: &[&Run], description: &str) -> Violation {
     let at = request.sent_at;
-    let traces: Vec<String> = runs
+    let run_descriptions: Vec<String> = runs
         .iter()
         .map(|run| format!("{} from {} to {:?}", run.worker, run.began_at, run.ended_at))
         .collect();
     Violation {
         rule,
         at,
-        what: format!(
-            "{} {} {what}; sent to node {} at {at}, ended at {}: {:?}; ran at {traces:?}",
+        description: format!(
+            "{} {} {description}; sent to node {} at {at}, ended at {}: {:?}; ran at {run_descriptions:?}",
             request.id, request.path, request.node, request.ended_at, request.ending
         ),
-        words: vec![request.id.clone()],
+        log_terms: vec![request.id.clone()],
     }
 }
--- a/crates/fleet-test/src/soak/client.rs
+++ b/crates/fleet-test/src/soak/client.rs
@@ -1,7 +1,7 @@
-//! Clients: each keeps to one node, and uses its connection until that is closed, and the node
-//! until its process is gone.
+//! Clients of a soak. Each client stays with one node, and uses its connection until the connection
+//! is closed and the node until its process is gone.
 
-use super::http::{Connection, Reading};
+use super::http::{Connection, ReadMode};
 use super::observations::{Ending, Record, Request};
 use super::Routes;
 use crate::net::Net;
@@ -12,63 +12,63 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Longest pause between two requests of a client, ms.
-const PAUSE_MS: u64 = 60;
-/// Pause before a client tries a node again that refused its connection, ms.
+/// Upper limit of the pause between two requests of a client, in milliseconds.
+const MAX_PAUSE_MS: u64 = 60;
+/// Pause before a client tries a node again that refused its connection, in milliseconds.
 const REFUSED_PAUSE_MS: u64 = 150;
-/// Longest wait for a connection, ms.
-const CONNECT_MS: u64 = 1000;
-/// Connections refused in a row after which a client takes another node, connections.
-const REFUSED_BEFORE_MOVE: u32 = 3;
-/// A reader that takes about 1 MB a second.
-const SLOW_READER: Reading = Reading::Slow {
-    part_bytes: 32 * 1024,
+/// Time limit for opening a connection, in milliseconds.
+const CONNECT_TIMEOUT_MS: u64 = 1000;
+/// Connections refused in a row after which a client switches to another node.
+const MAX_REFUSED_CONNECTIONS: u32 = 3;
+/// A reader that takes about 1 MB per second.
+const SLOW_READER: ReadMode = ReadMode::Slow {
+    chunk_bytes: 32 * 1024,
     pause_ms: 30,
 };
 
-/// One client.
+/// A client.
 pub struct Client {
-    /// Its number.
+    /// The client's number.
     pub number: usize,
-    /// The node that it keeps to at first.
+    /// The node that the client uses first.
     pub node: u8,
-    /// All nodes.
+    /// Number of nodes.
     pub nodes: u8,
-    /// Addresses.
+    /// Addresses of the fleet.
     pub net: Net,
-    /// Where it writes what it sees.
+    /// Record of what the client observes.
     pub record: Record,
-    /// Set when it is to end.
+    /// Set when the client is to stop.
     pub stop: Rc<Cell<bool>>,
-    /// What it draws by.
+    /// Generator of the client's random choices.
     pub rng: StdRng,
 }
 
-/// What a client asks for.
-struct Wish {
+/// A request to be sent, and how its answer is read.
+struct RequestSpec {
     method: &'static str,
     path: String,
     headers: String,
-    is_repeatable: bool,
+    is_idempotent: bool,
     deadline_ms: u64,
-    reading: Reading,
+    read_mode: ReadMode,
 }
 
 impl Client {
-    /// Sends requests one after the other until it is told to stop.
+    /// Sends requests one after the other until it is stopped.
     pub async fn run(mut self) {
         let mut connection = None;
-        let mut refused = 0;
-        let mut sent = 0;
+        let mut refused_connections = 0;
+        let mut sent_requests = 0;
         while !self.stop.get() {
-            let mut open = match connection.take() {
-                Some(open) => open,
+            let mut current_connection = match connection.take() {
+                Some(current_connection) => current_connection,
                 None => match self.connect().await {
-                    Some(open) => open,
+                    Some(current_connection) => current_connection,
                     None => {
-                        refused += 1;
-                        if refused >= REFUSED_BEFORE_MOVE {
-                            refused = 0;
+                        refused_connections += 1;
+                        if refused_connections >= MAX_REFUSED_CONNECTIONS {
+                            refused_connections = 0;
                             self.node = self.rng.gen_range(1..=self.nodes);
                         }
                         pause(REFUSED_PAUSE_MS).await;
@@ -76,83 +76,83 @@
                     }
                 },
             };
-            refused = 0;
-            sent += 1;
-            let id = format!("a-{}-{sent}", self.number);
-            if self.ask(&mut open, id).await {
-                connection = Some(open);
+            refused_connections = 0;
+            sent_requests += 1;
+            let id = format!("a-{}-{sent_requests}", self.number);
+            if self.exchange(&mut current_connection, id).await {
+                connection = Some(current_connection);
             }
-            pause(self.rng.gen_range(0..PAUSE_MS)).await;
+            pause(self.rng.gen_range(0..MAX_PAUSE_MS)).await;
         }
     }
 
     async fn connect(&self) -> Option<Connection> {
         let connecting = TcpStream::connect(self.net.front(self.node));
-        let connected = tokio::time::timeout(Duration::from_millis(CONNECT_MS), connecting).await;
+        let connected = tokio::time::timeout(Duration::from_millis(CONNECT_TIMEOUT_MS), connecting).await;
         let stream = connected.ok()?.ok()?;
         let _ = stream.set_nodelay(true);
         Some(Connection::new(stream))
     }
 
-    fn wish(&mut self) -> Wish {
-        let mut wish = Wish {
+    fn spec(&mut self) -> RequestSpec {
+        let mut spec = RequestSpec {
             method: "GET",
             path: String::new(),
             headers: String::new(),
-            is_repeatable: true,
+            is_idempotent: true,
             deadline_ms: Routes::TIMEOUT_MS,
-            reading: Reading::AtOnce,
+            read_mode: ReadMode::Immediate,
         };
         match self.rng.gen_range(0..100) {
-            0..40 => wish.path = format!("{}{}/40", Routes::REPEATABLE, self.rng.gen_range(5..150)),
+            0..40 => spec.path = format!("{}{}/40", Routes::IDEMPOTENT, self.rng.gen_range(5..150)),
             40..60 => {
-                wish.headers = format!("Shard-Key: {}\r\n", self.rng.gen_range(0..65_536));
-                wish.path = format!("{}{}/40", Routes::KEYED, self.rng.gen_range(5..60));
+                spec.headers = format!("Shard-Key: {}\r\n", self.rng.gen_range(0..65_536));
+                spec.path = format!("{}{}/40", Routes::KEYED, self.rng.gen_range(5..60));
             }
-            60..72 => wish.path = format!("{}5/40", Routes::EXTRA),
+            60..72 => spec.path = format!("{}5/40", Routes::EXTRA),
             72..95 => {
-                (wish.method, wish.is_repeatable) = ("POST", false);
+                (spec.method, spec.is_idempotent) = ("POST", false);
                 let is_long = self.rng.gen_bool(0.3);
                 let work_ms = self.rng.gen_range(if is_long { 1000..2200 } else { 5..300 });
-                wish.path = format!("{}{work_ms}/40", Routes::ONCE);
+                spec.path = format!("{}{work_ms}/40", Routes::NON_IDEMPOTENT);
             }
             _ => {
-                (wish.method, wish.is_repeatable) = ("POST", false);
-                wish.deadline_ms = Routes::LONG_TIMEOUT_MS;
-                wish.reading = SLOW_READER;
+                (spec.method, spec.is_idempotent) = ("POST", false);
+                spec.deadline_ms = Routes::LONG_TIMEOUT_MS;
+                spec.read_mode = SLOW_READER;
                 let bytes = self.rng.gen_range(100_000..2_500_000);
-                wish.path = format!("{}20/{bytes}", Routes::LONG);
+                spec.path = format!("{}20/{bytes}", Routes::LONG);
             }
         }
-        wish
+        spec
     }
 
-    /// Sends one request; whether the connection goes on.
-    async fn ask(&mut self, connection: &mut Connection, id: String) -> bool {
-        let wish = self.wish();
+    /// Sends one request, and returns whether the connection can be reused.
+    async fn exchange(&mut self, connection: &mut Connection, id: String) -> bool {
+        let spec = self.spec();
         let text = format!(
             "{} {} HTTP/1.1\r\nHost: {}\r\nAttempt-Id: {id}\r\nDeadline-Ms: {}\r\n{}Content-Length: 0\r\n\r\n",
-            wish.method,
-            wish.path,
+            spec.method,
+            spec.path,
             crate::orders::HOST,
-            wish.deadline_ms,
-            wish.headers
+            spec.deadline_ms,
+            spec.headers
         );
         let is_sent = connection.send(text.as_bytes()).await.is_ok();
         let sent_at = self.record.now();
-        let mut goes_on = false;
+        let mut is_reusable = false;
         let ending = if is_sent {
-            let wait = Duration::from_millis(wish.deadline_ms);
-            match tokio::time::timeout(wait, connection.read(wish.reading)).await {
+            let deadline = Duration::from_millis(spec.deadline_ms);
+            match tokio::time::timeout(deadline, connection.read(spec.read_mode)).await {
                 Err(_) => Ending::DeadlinePassed,
                 Ok(Ok(Some(answer))) => {
-                    goes_on = !answer.closes();
+                    is_reusable = !answer.closes();
                     let is_success = (200..300).contains(&answer.status());
-                    let own = answer.header("attempt-id").is_some_and(|a| a == id)
+                    let is_own_answer = answer.header("attempt-id").is_some_and(|a| a == id)
                         && answer.body.starts_with(id.as_bytes());
                     Ending::Answered {
                         status: answer.status(),
-                        is_own: own || !is_success,
+                        matches_request: is_own_answer || !is_success,
                     }
                 }
                 Ok(Ok(None) | Err(_)) => Ending::Closed,
@@ -162,16 +162,16 @@
         };
         let request = Request {
             id,
-            path: wish.path,
-            is_repeatable: wish.is_repeatable,
+            path: spec.path,
+            is_idempotent: spec.is_idempotent,
             node: self.node,
             sent_at,
             ended_at: self.record.now(),
-            deadline_ms: wish.deadline_ms,
+            deadline_ms: spec.deadline_ms,
             ending,
         };
-        self.record.note(|seen| seen.requests.push(request));
-        goes_on
+        self.record.update(|seen| seen.requests.push(request));
+        is_reusable
     }
 }
 
--- a/crates/fleet-test/src/soak/faults.rs
+++ b/crates/fleet-test/src/soak/faults.rs
@@ -1,7 +1,8 @@
-//! What befalls nodes and workers, drawn by a seed: signals, freezes, kills and restarts come in
-//! series and overlap. No more voters are in trouble at a time than the settings tolerate.
+//! Faults at nodes and replacements of workers, chosen by a seed. Signals, freezes, kills and
+//! restarts come in series and overlap. No more voters are affected at a time than the settings
+//! tolerate.
 
-use super::observations::{Record, Trouble, TroubleKind};
+use super::observations::{NodeFault, NodeFaultKind, Record};
 use super::worker_pool::WorkerPool;
 use crate::fleet::Fleet;
 use crate::ScenarioError;
@@ -11,59 +12,59 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A voter that is back counts as lost for so long (`CatchUp`), ms.
+/// How long a voter that is back still counts as lost (`CatchUp`), in milliseconds.
 const CATCH_UP_MS: u64 = 4000;
-/// From SIGTERM until the platform kills a process (`GracePeriod`), ms.
-const GRACE_MS: u64 = 6000;
-/// Pause between two steps, ms.
-const STEP_MS: u64 = 20;
-/// Calm and busy times take turns: lengths of both, ms.
-const CALM_MS: std::ops::Range<u64> = 5000..9000;
-const BUSY_MS: std::ops::Range<u64> = 4000..12_000;
-/// While the trouble of a node lasts.
-const LASTS: u64 = u64::MAX;
+/// Time from SIGTERM until the platform kills a process (`GracePeriod`), in milliseconds.
+const GRACE_PERIOD_MS: u64 = 6000;
+/// Interval between two steps, in milliseconds.
+const STEP_INTERVAL_MS: u64 = 20;
+/// Durations of the calm and busy phases, which alternate, in milliseconds.
+const CALM_PHASE_MS: std::ops::Range<u64> = 5000..9000;
+const BUSY_PHASE_MS: std::ops::Range<u64> = 4000..12_000;
+/// End time of a fault that still lasts.
+const ONGOING: u64 = u64::MAX;
 
-/// What happens next to a node in trouble.
+/// The next step for a node with a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Next {
+enum NextStep {
     Thaw,
     Restart,
-    /// Killed when its grace period is over; restarted so long after its end, ms.
+    /// The process is killed when its grace period is over, and restarted `pause_ms` after its end.
     EndAndRestart {
         kill_at: u64,
         pause_ms: u64,
     },
 }
 
-/// A node in trouble.
+/// A node with a fault.
 #[derive(Clone, Copy, Debug)]
-struct Pending {
+struct PendingFault {
     at: u64,
-    next: Next,
-    /// Its place among the observations.
-    place: usize,
+    next: NextStep,
+    /// Index of the fault in the observations.
+    index: usize,
 }
 
-/// What injects faults.
-pub struct Faults<'a> {
+/// Injects the faults of a soak.
+pub struct FaultInjector<'a> {
     fleet: &'a mut Fleet,
     worker_pool: &'a WorkerPool,
     record: Record,
     rng: StdRng,
-    pending: BTreeMap<u8, Pending>,
-    /// Until when a voter counts as lost, ms.
+    pending: BTreeMap<u8, PendingFault>,
+    /// Time until which a voter counts as lost, in milliseconds.
     voter_lost_until: u64,
 }
 
-impl<'a> Faults<'a> {
-    /// Nothing has happened yet.
+impl<'a> FaultInjector<'a> {
+    /// Creates an injector without any faults so far.
     pub fn new(
         fleet: &'a mut Fleet,
         worker_pool: &'a WorkerPool,
         record: &Record,
         rng: StdRng,
-    ) -> Faults<'a> {
-        Faults {
+    ) -> FaultInjector<'a> {
+        FaultInjector {
             fleet,
             worker_pool,
             record: record.clone(),
@@ -73,75 +74,78 @@
         }
     }
 
-    /// Injects faults until a time, and ends all troubles.
+    /// Injects faults until the given time, and ends all of them.
     pub async fn run(mut self, until: u64) -> Result<(), ScenarioError> {
         let mut is_busy = false;
-        let mut turns_at = 0;
+        let mut phase_ends_at = 0;
         let mut next_at = self.record.now();
         while self.record.now() < until || !self.pending.is_empty() {
             let now = self.record.now();
-            self.continue_troubles(now)?;
-            if now >= turns_at {
+            self.advance_faults(now)?;
+            if now >= phase_ends_at {
                 is_busy = !is_busy;
-                turns_at = now + self.rng.gen_range(if is_busy { BUSY_MS } else { CALM_MS });
+                phase_ends_at = now
+                    + self
+                        .rng
+                        .gen_range(if is_busy { BUSY_PHASE_MS } else { CALM_PHASE_MS });
             }
             if now >= next_at && now < until {
                 let pause_ms = if is_busy { 50..1200 } else { 600..1800 };
                 next_at = now + self.rng.gen_range(pause_ms);
                 if is_busy && self.rng.gen_bool(0.6) {
-                    self.trouble_a_node(now)?;
+                    self.inject_node_fault(now)?;
                 } else {
-                    self.worker_pool.replace_one(&mut self.rng).await?;
+                    self.worker_pool.replace_random_worker(&mut self.rng).await?;
                 }
             }
-            actix_rt::time::sleep(Duration::from_millis(STEP_MS)).await;
+            actix_rt::time::sleep(Duration::from_millis(STEP_INTERVAL_MS)).await;
         }
         Ok(())
     }
 
-    fn continue_troubles(&mut self, now: u64) -> Result<(), ScenarioError> {
-        let due: Vec<u8> = self.pending.keys().copied().collect();
-        for number in due {
+    fn advance_faults(&mut self, now: u64) -> Result<(), ScenarioError> {
+        let numbers: Vec<u8> = self.pending.keys().copied().collect();
+        for number in numbers {
             let pending = self.pending[&number];
             match pending.next {
-                Next::EndAndRestart { kill_at, pause_ms } => {
+                NextStep::EndAndRestart { kill_at, pause_ms } => {
                     let node = self.fleet.node(number)?;
-                    if node.ended().is_none() {
+                    if node.exit_status().is_none() {
                         if now < kill_at {
                             continue;
                         }
                         node.kill();
                     }
                     let at = now + pause_ms;
-                    let next = Next::Restart;
-                    self.pending.insert(number, Pending { at, next, ..pending });
+                    let next = NextStep::Restart;
+                    self.pending.insert(number, PendingFault { at, next, ..pending });
                 }
                 _ if now < pending.at => {}
-                Next::Thaw => {
+                NextStep::Thaw => {
                     self.fleet.node(number)?.thaw()?;
-                    self.is_back(now, number, pending.place);
+                    self.end_fault(now, number, pending.index);
                 }
-                Next::Restart => {
+                NextStep::Restart => {
                     self.fleet.restart(number)?;
-                    self.is_back(now, number, pending.place);
+                    self.end_fault(now, number, pending.index);
                 }
             }
         }
         Ok(())
     }
 
-    fn is_back(&mut self, now: u64, number: u8, place: usize) {
+    fn end_fault(&mut self, now: u64, number: u8, index: usize) {
         self.pending.remove(&number);
-        let is_voter = self.record.note(|seen| {
-            seen.troubles[place].until = now;
-            seen.troubles[place].is_voter
+        let is_voter = self.record.update(|seen| {
+            seen.node_faults[index].until = now;
+            seen.node_faults[index].is_voter
         });
         if is_voter {
             self.voter_lost_until = now + CATCH_UP_MS;
         }
     }
 
-    fn trouble_a_node(&mut self, now: u64) -> Result<(), ScenarioError> {
+    fn inject_node_fault(&mut self, now: u64) -> Result<(), ScenarioError> {
         let may_lose_voter = now >= self.voter_lost_until;
         let nodes = self.fleet.nodes.iter().map(|n| (n.number, n.has_disk));
         let eligible: Vec<(u8, bool)> = nodes
@@ -151,71 +155,79 @@
             return Ok(());
         };
         if let Some(pending) = self.pending.get(&number) {
-            // Signals come again while the first is being dealt with.
-            if let Next::EndAndRestart { .. } = pending.next {
+            // Further signals arrive while the node handles the first one.
+            if let NextStep::EndAndRestart { .. } = pending.next {
                 let node = self.fleet.node(number)?;
-                let again = self.rng.gen_bool(0.5);
-                let _ = if again { node.terminate() } else { node.hang_up() };
+                let is_sigterm = self.rng.gen_bool(0.5);
+                let _ = if is_sigterm {
+                    node.terminate()
+                } else {
+                    node.request_settings_reload()
+                };
             }
             return Ok(());
         }
         let kind = *[
-            TroubleKind::Frozen,
-            TroubleKind::Frozen,
-            TroubleKind::Killed,
-            TroubleKind::Terminated,
-            TroubleKind::Terminated,
-            TroubleKind::HungUp,
+            NodeFaultKind::Frozen,
+            NodeFaultKind::Frozen,
+            NodeFaultKind::Killed,
+            NodeFaultKind::Terminated,
+            NodeFaultKind::Terminated,
+            NodeFaultKind::SettingsReload,
         ]
         .choose(&mut self.rng)
-        .unwrap_or(&TroubleKind::HungUp);
-        self.begin(now, kind, number, is_voter)
+        .unwrap_or(&NodeFaultKind::SettingsReload);
+        self.begin_fault(now, kind, number, is_voter)
     }
 
-    fn begin(
+    fn begin_fault(
         &mut self,
         now: u64,
-        kind: TroubleKind,
+        kind: NodeFaultKind,
         number: u8,
         is_voter: bool,
     ) -> Result<(), ScenarioError> {
-        let trouble = Trouble {
+        let node_fault = NodeFault {
             kind,
             node: number,
             is_voter,
             at: now,
-            until: if kind == TroubleKind::HungUp { now } else { LASTS },
+            until: if kind == NodeFaultKind::SettingsReload {
+                now
+            } else {
+                ONGOING
+            },
         };
-        let place = self.record.note(|seen| {
-            seen.troubles.push(trouble);
-            seen.troubles.len() - 1
+        let index = self.record.update(|seen| {
+            seen.node_faults.push(node_fault);
+            seen.node_faults.len() - 1
         });
         let node = self.fleet.node(number)?;
         let pending = match kind {
-            TroubleKind::HungUp => return node.hang_up(),
-            TroubleKind::Frozen => {
+            NodeFaultKind::SettingsReload => return node.request_settings_reload(),
+            NodeFaultKind::Frozen => {
                 node.freeze()?;
                 let at = now + self.rng.gen_range(400..5500);
-                let next = Next::Thaw;
-                Pending { at, next, place }
+                let next = NextStep::Thaw;
+                PendingFault { at, next, index }
             }
-            TroubleKind::Killed => {
+            NodeFaultKind::Killed => {
                 node.kill();
                 let at = now + self.rng.gen_range(100..3000);
-                let next = Next::Restart;
-                Pending { at, next, place }
+                let next = NextStep::Restart;
+                PendingFault { at, next, index }
             }
-            TroubleKind::Terminated => {
+            NodeFaultKind::Terminated => {
                 node.terminate()?;
                 let pause_ms = self.rng.gen_range(50..1500);
-                let kill_at = now + GRACE_MS;
-                let next = Next::EndAndRestart { kill_at, pause_ms };
-                Pending { at: now, next, place }
+                let kill_at = now + GRACE_PERIOD_MS;
+                let next = NextStep::EndAndRestart { kill_at, pause_ms };
+                PendingFault { at: now, next, index }
             }
         };
         self.pending.insert(number, pending);
         if is_voter {
-            self.voter_lost_until = LASTS;
+            self.voter_lost_until = ONGOING;
         }
         Ok(())
     }
