--- a/crates/fleet-test/src/soak/mod.rs
+++ b/crates/fleet-test/src/soak/mod.rs
@@ -1,7 +1,8 @@
-//! A soak: clients, workers, a platform and operators of the project's own round a fleet of real
-//! processes, while signals, freezes, kills, restarts, replacements of workers, evacuations and
-//! configurations come in series and overlap. What the parties saw on their sockets is judged by
-//! the rules; everything is drawn by a seed, but for the times that things take.
+//! Soak tests: the project's own clients, workers, platform and operators surround a fleet of real
+//! processes, while signals, freezes, kills, restarts, worker replacements, evacuations and
+//! configuration changes come in series and overlap. A checker applies the rules to what the
+//! parties observed on their sockets. The parties' random choices come from a seed; only timing
+//! varies between runs with the same seed.
 
 pub mod checker;
 mod client;
@@ -16,7 +17,7 @@
 use crate::{settings, ScenarioError};
 use checker::{violations, Violation};
 use client::Client;
-use faults::Faults;
+use faults::FaultInjector;
 use observations::{Ending, Observations, Record, Request};
 use operator::Operator;
 use rand::rngs::StdRng;
@@ -27,40 +28,40 @@
 use std::time::Duration;
 use worker_pool::WorkerPool;
 
-/// Entries on a page of the platform's list, entries: the list has several pages.
+/// Entries on a page of the platform's list, so that the list has several pages.
 const PAGE_ENTRIES: usize = 10;
-/// How long the platform takes for a page, ms.
-const PAGE_MS: u64 = 15;
-/// Machines with a disk.
+/// Delay of the platform for each page, in milliseconds.
+const PAGE_DELAY_MS: u64 = 15;
+/// Number of machines with a disk.
 const WITH_DISK: u8 = 5;
-/// Time for the first configuration to be in force everywhere, ms.
-const START_MS: u64 = 7000;
-/// Time without faults at the end, ms: `CatchUp` and `Contact` of the settings.
-const CALM_END_MS: u64 = 9000;
-/// Part of the last requests that must be served.
-const SERVED_PART: f64 = 0.9;
-/// The last requests are those of this time, ms.
-const LAST_MS: u64 = 3000;
+/// Time for the first configuration to be in force everywhere, in milliseconds.
+const STARTUP_MS: u64 = 7000;
+/// Time without faults at the end, in milliseconds; covers `CatchUp` and `Contact` of the settings.
+const RECOVERY_MS: u64 = 9000;
+/// Fraction of the final requests that must be served.
+const MIN_SERVED_FRACTION: f64 = 0.9;
+/// Length of the period whose requests count as the final ones, in milliseconds.
+const FINAL_WINDOW_MS: u64 = 3000;
 /// Zones that are evacuated, each by an operator of its own.
 const EVACUATED_ZONES: [u8; 2] = [1, 2];
 
-/// The routes and services of a soak.
+/// Routes and services of a soak.
 pub struct Routes;
 
 impl Routes {
-    /// Requests that may run more than once.
-    pub const REPEATABLE: &'static str = "/get/";
-    /// Requests that may run once.
-    pub const ONCE: &'static str = "/once/";
-    /// The same with long answers, to slow readers.
+    /// Path prefix of requests that may run more than once.
+    pub const IDEMPOTENT: &'static str = "/get/";
+    /// Path prefix of requests that may run only once.
+    pub const NON_IDEMPOTENT: &'static str = "/once/";
+    /// Path prefix of non-idempotent requests with long answers, for slow readers.
     pub const LONG: &'static str = "/long/";
-    /// Requests of the partitioned service.
+    /// Path prefix of requests to the partitioned service.
     pub const KEYED: &'static str = "/keyed/";
-    /// The route that comes and goes.
+    /// Path prefix of the route that configurations add and drop.
     pub const EXTRA: &'static str = "/extra/";
-    /// Timeout of all routes but that of long answers, ms.
+    /// Timeout of all routes except that of long answers, in milliseconds.
     pub const TIMEOUT_MS: u64 = 2500;
-    /// Timeout of the route of long answers, ms.
+    /// Timeout of the route of long answers, in milliseconds.
     pub const LONG_TIMEOUT_MS: u64 = 10_000;
     /// The service that is not partitioned.
     pub const PLAIN_SERVICE: &'static str = "plain";
@@ -68,32 +69,32 @@
     pub const KEYED_SERVICE: &'static str = "keyed";
 }
 
-/// How a soak is run.
+/// Options of a soak.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// What everything is drawn by.
+    /// Seed of the random choices.
     pub seed: u64,
-    /// Time with faults, s.
+    /// Time during which faults are injected, in seconds.
     pub seconds: u64,
-    /// Machines, those with a disk among them.
+    /// Number of machines, including those with a disk.
     pub machines: u8,
-    /// Clients.
+    /// Number of clients.
     pub clients: usize,
-    /// Two operators evacuate one zone, in place of a zone each.
+    /// Whether both operators evacuate the same zone instead of one zone each.
     pub is_zone_shared: bool,
-    /// Leave the folder with the logs where it is.
+    /// Whether to keep the folder with the logs.
     pub keep: bool,
 }
 
-/// What a soak came to.
+/// The result of a soak.
 pub struct Report {
-    /// Rules that were broken, each with the log lines about it.
+    /// The violations, each with the log lines about it.
     pub violations: Vec<(Violation, Vec<String>)>,
-    /// What was seen, in numbers.
+    /// Counts of what was observed.
     pub summary: String,
 }
 
-/// Runs a soak with a program, and judges what was seen.
+/// Runs a soak with a program, and checks what was observed.
 pub async fn run(program: &Path, options: Options) -> Result<Report, ScenarioError> {
     let record = Record::default();
     let plan = Plan {
@@ -106,7 +107,7 @@
     }
     fleet
         .platform
-        .set_pages(PAGE_ENTRIES, Duration::from_millis(PAGE_MS));
+        .set_pages(PAGE_ENTRIES, Duration::from_millis(PAGE_DELAY_MS));
     let worker_pool = WorkerPool::new(&record, *fleet.net(), fleet.platform.instances.clone());
     worker_pool.start_all().await?;
     let soak = Soak {
@@ -118,7 +119,7 @@
     soak.run().await
 }
 
-/// A soak under way.
+/// A running soak.
 struct Soak {
     options: Options,
     record: Record,
@@ -127,7 +128,7 @@
 }
 
 impl Soak {
-    /// The generator of one party.
+    /// Returns the random generator of one party.
     fn rng(&self, party: u64) -> StdRng {
         StdRng::seed_from_u64(self.options.seed.wrapping_mul(1_000_003).wrapping_add(party))
     }
@@ -144,17 +145,17 @@
     }
 
     async fn run(mut self) -> Result<Report, ScenarioError> {
-        let stop_orders = Rc::new(Cell::new(false));
+        let stop_operators = Rc::new(Cell::new(false));
         let stop_clients = Rc::new(Cell::new(false));
-        let mut operators = vec![actix_rt::spawn(self.operator(0, &stop_orders).configure())];
-        pause(START_MS).await;
-        for (place, zone) in EVACUATED_ZONES.into_iter().enumerate() {
+        let mut operators = vec![actix_rt::spawn(self.operator(0, &stop_operators).configure())];
+        pause(STARTUP_MS).await;
+        for (index, zone) in EVACUATED_ZONES.into_iter().enumerate() {
             let zone = if self.options.is_zone_shared {
                 EVACUATED_ZONES[0]
             } else {
                 zone
             };
-            let operator = self.operator(place + 1, &stop_orders);
+            let operator = self.operator(index + 1, &stop_operators);
             operators.push(actix_rt::spawn(operator.evacuate(settings::zone(zone))));
         }
         let clients: Vec<_> = (0..self.options.clients)
@@ -173,19 +174,19 @@
             .collect();
         let until = self.record.now() + self.options.seconds * 1000;
         let rng = self.rng(1);
-        let faults = Faults::new(&mut self.fleet, &self.worker_pool, &self.record, rng);
-        faults.run(until).await?;
-        stop_orders.set(true);
-        pause(CALM_END_MS).await;
+        let injector = FaultInjector::new(&mut self.fleet, &self.worker_pool, &self.record, rng);
+        injector.run(until).await?;
+        stop_operators.set(true);
+        pause(RECOVERY_MS).await;
         for operator in operators {
             let _ = operator.await;
         }
-        let calm_until = self.record.now() + LAST_MS;
-        let read = self.operator(9, &stop_orders).read_back(CALM_END_MS).await;
+        let final_window_until = self.record.now() + FINAL_WINDOW_MS;
+        let read_version = self.operator(9, &stop_operators).read_back(RECOVERY_MS).await;
         let read_at = self.record.now();
         self.record
-            .note(|seen| seen.read_back = read.map(|version| (version, read_at)));
-        pause(calm_until.saturating_sub(read_at)).await;
+            .update(|seen| seen.read_back = read_version.map(|version| (version, read_at)));
+        pause(final_window_until.saturating_sub(read_at)).await;
         stop_clients.set(true);
         for client in clients {
             let _ = client.await;
@@ -198,20 +199,20 @@
     fn report(&mut self) -> Report {
         let seen = self.record.observations();
         let mut found = violations(&seen);
-        found.extend(self.judge_service(&seen));
+        found.extend(self.check_recovery(&seen));
         found.extend(
             self.fleet
-                .ended_by_themselves()
+                .unexpected_exits()
                 .into_iter()
-                .map(|what| Violation {
+                .map(|description| Violation {
                     rule: "FAULT",
                     at: self.record.now(),
-                    what,
-                    words: Vec::new(),
+                    description,
+                    log_terms: Vec::new(),
                 }),
         );
         let violations = found.into_iter().map(|violation| {
-            let lines = self.log_lines(&violation.words);
+            let lines = self.log_lines(&violation.log_terms);
             (violation, lines)
         });
         Report {
@@ -220,34 +221,39 @@
         }
     }
 
-    /// RECOVER: once all is calm, requests are served and orders acknowledged.
-    fn judge_service(&self, seen: &Observations) -> Vec<Violation> {
+    /// Rule RECOVER: once the faults are over, requests are served and the configuration can be
+    /// read.
+    fn check_recovery(&self, seen: &Observations) -> Vec<Violation> {
         let end = seen.requests.iter().map(|r| r.ended_at).max().unwrap_or(0);
-        let is_steady = |r: &&Request| r.path.starts_with(Routes::REPEATABLE);
-        let last = seen.requests.iter().filter(|r| r.sent_at + LAST_MS > end);
-        let last: Vec<&Request> = last.filter(is_steady).collect();
+        let is_idempotent = |r: &&Request| r.path.starts_with(Routes::IDEMPOTENT);
+        let final_requests = seen.requests.iter().filter(|r| r.sent_at + FINAL_WINDOW_MS > end);
+        let final_requests: Vec<&Request> = final_requests.filter(is_idempotent).collect();
         let is_served = |r: &&&Request| matches!(r.ending, Ending::Answered { status: 200, .. });
-        let served = last.iter().filter(is_served).count();
+        let served = final_requests.iter().filter(is_served).count();
         let mut found = Vec::new();
-        let mut note = |what: String| {
+        let mut report = |description: String| {
             found.push(Violation {
                 rule: "RECOVER",
                 at: end,
-                what,
-                words: Vec::new(),
+                description,
+                log_terms: Vec::new(),
             });
         };
-        if (served as f64) < SERVED_PART * last.len() as f64 || last.is_empty() {
-            note(format!("{served} of the last {} requests are served", last.len()));
+        if (served as f64) < MIN_SERVED_FRACTION * final_requests.len() as f64 || final_requests.is_empty() {
+            report(format!(
+                "{served} of the last {} requests are served",
+                final_requests.len()
+            ));
         }
         if seen.read_back.is_none() {
-            note("no configuration can be read back".into());
+            report("no configuration can be read back".into());
         }
         found
     }
 
-    /// Log lines of all nodes that hold one of these words, and those of changes and warnings.
-    fn log_lines(&self, words: &[String]) -> Vec<String> {
+    /// Returns the log lines of all nodes that contain one of these terms or one of the listed
+    /// events.
+    fn log_lines(&self, log_terms: &[String]) -> Vec<String> {
         const EVENTS: [&str; 4] = [
             "event=out_of_contact",
             "event=shutdown",
@@ -258,7 +264,7 @@
         for node in &self.fleet.nodes {
             let log = node.log();
             let is_about = |line: &&str| {
-                words.iter().any(|w| line.contains(w.as_str())) || EVENTS.iter().any(|e| line.contains(e))
+                log_terms.iter().any(|w| line.contains(w.as_str())) || EVENTS.iter().any(|e| line.contains(e))
             };
             lines.extend(
                 log.lines()
@@ -270,13 +276,18 @@
     }
 }
 
-/// What was seen, in numbers.
+/// Returns the counts of what was observed.
 fn summary(seen: &Observations) -> String {
-    let count = |wanted: &dyn Fn(&Ending) -> bool| seen.requests.iter().filter(|r| wanted(&r.ending)).count();
-    let acknowledged = seen.orders.iter().filter(|o| o.acknowledged_at.is_some()).count();
+    let count =
+        |matches: &dyn Fn(&Ending) -> bool| seen.requests.iter().filter(|r| matches(&r.ending)).count();
+    let acknowledged = seen
+        .commands
+        .iter()
+        .filter(|c| c.acknowledged_at.is_some())
+        .count();
     format!(
-        "{} requests ({} served, {} refused, {} closed, {} out of time), {} runs, {} of {} orders acknowledged, \
-         {} troubles, {} workers, {} holds",
+        "{} requests ({} served, {} refused, {} closed, {} timed out), {} runs, {} of {} commands acknowledged, \
+         {} node faults, {} workers, {} key leases",
         seen.requests.len(),
         count(&|e| matches!(e, Ending::Answered { status: 200, .. })),
         count(&|e| matches!(e, Ending::Answered { status: 503, .. })),
@@ -284,10 +295,10 @@
         count(&|e| matches!(e, Ending::DeadlinePassed | Ending::Answered { status: 504, .. })),
         seen.runs.len(),
         acknowledged,
-        seen.orders.len(),
-        seen.troubles.len(),
+        seen.commands.len(),
+        seen.node_faults.len(),
         seen.workers.len(),
-        seen.holds.len()
+        seen.key_leases.len()
     )
 }
 
--- a/crates/fleet-test/src/soak/observations.rs
+++ b/crates/fleet-test/src/soak/observations.rs
@@ -1,4 +1,4 @@
-//! What the parties of a soak saw, each on its own sockets: the only thing that is judged.
+//! What the parties of a soak observed on their own sockets. The checker uses nothing else.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,179 +8,183 @@
 /// How a client's request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// With a whole answer of this status; whether it was that to this request.
-    Answered { status: u16, is_own: bool },
-    /// The connection ended without a whole answer.
+    /// A complete answer with this status arrived; `matches_request` tells whether it belongs to
+    /// this request.
+    Answered { status: u16, matches_request: bool },
+    /// The connection ended without a complete answer.
     Closed,
     /// The client's deadline passed.
     DeadlinePassed,
-    /// It was not sent whole.
+    /// The request was not sent completely.
     NotSent,
 }
 
 /// A request of a client.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its `Attempt-Id`.
+    /// The request's `Attempt-Id`.
     pub id: String,
-    /// Its path.
+    /// The request's path.
     pub path: String,
-    /// Whether it may run more than once.
-    pub is_repeatable: bool,
-    /// The node that it was sent to.
+    /// Whether the request may run more than once.
+    pub is_idempotent: bool,
+    /// The node that the request was sent to.
     pub node: u8,
-    /// When its last byte was sent, ms.
+    /// Time at which the last byte was sent, in milliseconds.
     pub sent_at: u64,
-    /// When it ended, ms.
+    /// Time at which the request ended, in milliseconds.
     pub ended_at: u64,
-    /// What the client waits, and the timeout of its route if that is shorter, ms.
+    /// Shorter of the client's deadline and its route's timeout, in milliseconds.
     pub deadline_ms: u64,
-    /// How it ended.
+    /// How the request ended.
     pub ending: Ending,
 }
 
-/// A request that a worker began to work on.
+/// A request that a worker began to process.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The `Attempt-Id`.
+    /// The request's `Attempt-Id`.
     pub id: String,
-    /// The worker.
+    /// The worker's identifier.
     pub worker: String,
-    /// The key, at a partitioned service.
+    /// The request's key, for a partitioned service.
     pub key: Option<u32>,
-    /// When it began, ms.
+    /// Time at which the run began, in milliseconds.
     pub began_at: u64,
-    /// When the work was done and the answer handed over, ms; `None` if it never was.
+    /// Time at which the work was done and the answer was sent, in milliseconds; `None` if that did
+    /// not happen.
     pub ended_at: Option<u64>,
 }
 
-/// Keys that a worker held.
+/// A range of keys that a worker held.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Hold {
-    /// The worker.
+pub struct KeyLease {
+    /// The worker's identifier.
     pub worker: String,
-    /// First key.
+    /// First key of the range.
     pub from: u32,
-    /// Last key.
+    /// Last key of the range.
     pub to: u32,
     /// Fencing token.
     pub token: u64,
-    /// From when on, ms.
+    /// Time from which the worker held the keys, in milliseconds.
     pub since: u64,
-    /// Until when, ms: the end of its time, its release or its worker's end.
+    /// Time until which the worker held the keys, in milliseconds: the lease's expiry, its release
+    /// or the worker's end.
     pub until: u64,
 }
 
-/// A worker.
+/// What is known about a worker.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerFacts {
-    /// Its zone.
+    /// The worker's zone.
     pub zone: String,
-    /// When the list showed it as draining, ms.
+    /// Time from which the platform's list showed the worker as draining, in milliseconds.
     pub draining_at: Option<u64>,
-    /// When its process ended, ms.
+    /// Time at which the worker's process ended, in milliseconds.
     pub ended_at: Option<u64>,
 }
 
-/// What an order of the operator asks for.
+/// What an operator's command requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OrderKind {
-    /// To begin an evacuation, or to end the one that this operator began.
+pub enum CommandKind {
+    /// Begins an evacuation, or finishes the one that this operator began.
     Evacuation { zone: String, begin: bool },
-    /// A configuration: its version, and whether it has the route that comes and goes.
+    /// Replaces the configuration, with this version and with or without the extra route.
     Configuration { version: u64, has_extra_route: bool },
 }
 
-/// An order of an operator.
+/// A command of an operator.
 #[derive(Clone, Debug)]
-pub struct Order {
-    /// Who gave it; an operator gives one order after the other.
+pub struct Command {
+    /// Number of the operator, which sends one command after the other.
     pub operator: usize,
-    /// What it asks for.
-    pub kind: OrderKind,
-    /// When its first attempt was sent, ms.
+    /// What the command requests.
+    pub kind: CommandKind,
+    /// Time at which the first attempt was sent, in milliseconds.
     pub sent_at: u64,
-    /// When an attempt was answered well, ms; answers that were lost count as none.
+    /// Time at which an attempt was acknowledged, in milliseconds. Lost answers do not count.
     pub acknowledged_at: Option<u64>,
-    /// It was refused for good.
+    /// Whether the command was refused permanently.
     pub is_refused: bool,
 }
 
-/// What befell a node.
+/// The kind of a fault at a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TroubleKind {
-    /// Its process was killed, and is down until the end of the trouble.
+pub enum NodeFaultKind {
+    /// The process was killed, and is down until the end of the fault.
     Killed,
-    /// Its process stood still.
+    /// The process was suspended.
     Frozen,
-    /// It was told to end, has ended and is down until the end of the trouble.
+    /// The process was asked to shut down, and is down until the end of the fault once it has
+    /// ended.
     Terminated,
-    /// It was told to read its settings.
-    HungUp,
+    /// The process was asked to reload its settings.
+    SettingsReload,
 }
 
-/// Something that befell a node.
+/// A fault that was injected at a node.
 #[derive(Clone, Debug)]
-pub struct Trouble {
-    /// What.
-    pub kind: TroubleKind,
-    /// Which node.
+pub struct NodeFault {
+    /// The kind of the fault.
+    pub kind: NodeFaultKind,
+    /// The node's number.
     pub node: u8,
-    /// Whether the node votes.
+    /// Whether the node is a voter.
     pub is_voter: bool,
-    /// When it began, ms.
+    /// Time at which the fault began, in milliseconds.
     pub at: u64,
-    /// When its process ran again, ms; far away while it lasts.
+    /// Time at which the process ran again, in milliseconds; `u64::MAX` while the fault lasts.
     pub until: u64,
 }
 
-/// Everything that was seen.
+/// Everything that was observed.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
-    /// Requests, as they ended.
+    /// Requests in the order in which they ended.
     pub requests: Vec<Request>,
-    /// Runs, as they began.
+    /// Runs in the order in which they began.
     pub runs: Vec<Run>,
-    /// Holds, as they were granted.
-    pub holds: Vec<Hold>,
+    /// Key leases in the order in which they were granted.
+    pub key_leases: Vec<KeyLease>,
     /// Workers by identifier.
     pub workers: BTreeMap<String, WorkerFacts>,
-    /// Orders, as they were first sent.
-    pub orders: Vec<Order>,
-    /// Troubles, as they began.
-    pub troubles: Vec<Trouble>,
-    /// The version that was read at the end, and when that was, ms.
+    /// Commands in the order in which they were first sent.
+    pub commands: Vec<Command>,
+    /// Faults in the order in which they began.
+    pub node_faults: Vec<NodeFault>,
+    /// The version read at the end and the time of that read in milliseconds.
     pub read_back: Option<(u64, u64)>,
 }
 
-/// The record that all parties write.
+/// The record that all parties write to.
 #[derive(Clone)]
 pub struct Record {
     seen: Rc<RefCell<Observations>>,
-    began: Instant,
+    started_at: Instant,
 }
 
 impl Default for Record {
     fn default() -> Self {
         Record {
             seen: Rc::default(),
-            began: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 }
 
 impl Record {
-    /// Milliseconds since the soak began.
+    /// Returns the milliseconds since the soak began.
     pub fn now(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
-    /// Enters something.
-    pub fn note<T>(&self, enter: impl FnOnce(&mut Observations) -> T) -> T {
-        enter(&mut self.seen.borrow_mut())
+    /// Applies a change to the observations.
+    pub fn update<T>(&self, change: impl FnOnce(&mut Observations) -> T) -> T {
+        change(&mut self.seen.borrow_mut())
     }
 
-    /// What was seen so far.
+    /// Returns a copy of the observations so far.
     pub fn observations(&self) -> Observations {
         self.seen.borrow().clone()
     }
--- a/crates/fleet-test/src/soak/operator.rs
+++ b/crates/fleet-test/src/soak/operator.rs
@@ -1,8 +1,8 @@
-//! Operators: each gives one order after the other, and sends an order again, to another node,
-//! when it has no clear answer. Answers get lost on their way to them.
+//! Operators of a soak. Each sends one command after the other, and sends a command again to
+//! another node if the answer is not definite. Some answers are lost on their way to the operator.
 
-use super::http::{Connection, Message, Reading};
-use super::observations::{Order, OrderKind, Record, Trouble, TroubleKind};
+use super::http::{Connection, Message, ReadMode};
+use super::observations::{Command, CommandKind, NodeFault, NodeFaultKind, Record};
 use super::Routes;
 use crate::net::Net;
 use rand::rngs::StdRng;
@@ -13,45 +13,45 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Silence after which an operator moves on (protocol), ms.
-const SILENCE_MS: u64 = 1000;
-/// How long an order without a base may be sent again (`Acknowledge`), ms.
-const ACKNOWLEDGE_MS: u64 = 6000;
-/// How long a configuration is sent again, ms.
-const CONFIGURATION_MS: u64 = 20_000;
-/// Part of the answers that are lost.
-const LOST_PART: f64 = 0.4;
-/// Part of the attempts that go to a node that stands still, if there is one.
-const FROZEN_PART: f64 = 0.4;
-/// First pause before an order is sent again, ms; it doubles up to the longest.
-const PAUSE_MS: u64 = 50;
-const LONGEST_PAUSE_MS: u64 = 800;
+/// Time after which an operator gives up on an answer (protocol), in milliseconds.
+const RESPONSE_TIMEOUT_MS: u64 = 1000;
+/// How long a command without a base version may be sent again (`Acknowledge`), in milliseconds.
+const COMMAND_RETRY_MS: u64 = 6000;
+/// How long a configuration is sent again, in milliseconds.
+const CONFIGURATION_RETRY_MS: u64 = 20_000;
+/// Fraction of the answers that are lost.
+const LOST_ANSWER_FRACTION: f64 = 0.4;
+/// Fraction of the attempts that go to a frozen node, if there is one.
+const FROZEN_NODE_FRACTION: f64 = 0.4;
+/// First delay before a command is sent again, in milliseconds. It doubles up to the longest delay.
+const FIRST_RETRY_DELAY_MS: u64 = 50;
+const MAX_RETRY_DELAY_MS: u64 = 800;
 
-/// One operator.
+/// An operator.
 pub struct Operator {
-    /// Its number.
+    /// The operator's number.
     pub number: usize,
-    /// All nodes.
+    /// Number of nodes.
     pub nodes: u8,
-    /// Addresses.
+    /// Addresses of the fleet.
     pub net: Net,
-    /// Where it writes what it sees.
+    /// Record of what the operator observes.
     pub record: Record,
-    /// Set when it is to end, after the order that it is at.
+    /// Set when the operator is to stop after its current command.
     pub stop: Rc<Cell<bool>>,
-    /// What it draws by.
+    /// Generator of the operator's random choices.
     pub rng: StdRng,
 }
 
-/// What an order came to.
+/// The outcome of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reply {
+enum CommandOutcome {
     Acknowledged,
     Refused,
-    Unclear,
+    Indeterminate,
 }
 
-/// A call as it is sent.
+/// The HTTP request of a call.
 struct Call {
     path: String,
     headers: String,
@@ -59,11 +59,11 @@
 }
 
 impl Operator {
-    /// Begins and finishes evacuations of a zone, in series and with short pauses between.
+    /// Begins and finishes evacuations of a zone repeatedly, with short pauses in between.
     pub async fn evacuate(mut self, zone: String) {
         while !self.stop.get() {
             for begin in [true, false] {
-                let kind = OrderKind::Evacuation {
+                let kind = CommandKind::Evacuation {
                     zone: zone.clone(),
                     begin,
                 };
@@ -73,9 +73,10 @@
                     headers: String::new(),
                     body: Vec::new(),
                 };
-                let reply = self.settle(kind, &call, ACKNOWLEDGE_MS).await;
-                if begin && reply != Reply::Acknowledged {
-                    // It may be in force all the same: it is ended before another begins.
+                let outcome = self.retry_until_definite(kind, &call, COMMAND_RETRY_MS).await;
+                if begin && outcome != CommandOutcome::Acknowledged {
+                    // The evacuation may be in force even so, so it is finished before another one
+                    // begins.
                     continue;
                 }
                 let (shortest, longest) = if begin { (3000, 12_000) } else { (300, 3000) };
@@ -84,41 +85,45 @@
         }
     }
 
-    /// Sends configurations that add and drop a route, and drop the partitioned service and bring
-    /// it back.
+    /// Sends configurations that add and drop a route, and that drop the partitioned service and
+    /// restore it.
     pub async fn configure(mut self) {
         let mut version = 0;
         let mut has_extra_route = true;
-        let mut has_keyed = true;
-        while !self.stop.get() || !has_keyed {
+        let mut has_keyed_service = true;
+        while !self.stop.get() || !has_keyed_service {
             let base = version;
             version = base + self.rng.gen_range(1..4);
-            let kind = OrderKind::Configuration {
+            let kind = CommandKind::Configuration {
                 version,
                 has_extra_route,
             };
             let call = Call {
                 path: "/configuration/replace".into(),
                 headers: format!("Base-Version: {base}\r\nContent-Type: application/json\r\n"),
-                body: configuration(version, has_extra_route, has_keyed),
+                body: configuration(version, has_extra_route, has_keyed_service),
             };
-            if self.settle(kind, &call, CONFIGURATION_MS).await != Reply::Acknowledged {
+            if self
+                .retry_until_definite(kind, &call, CONFIGURATION_RETRY_MS)
+                .await
+                != CommandOutcome::Acknowledged
+            {
                 return;
             }
             has_extra_route = self.rng.gen_bool(0.5);
-            has_keyed = !has_keyed || self.rng.gen_bool(0.7);
-            let pause_ms = if has_keyed { 4000 } else { 1000 };
+            has_keyed_service = !has_keyed_service || self.rng.gen_bool(0.7);
+            let pause_ms = if has_keyed_service { 4000 } else { 1000 };
             self.pause(200, pause_ms).await;
         }
     }
 
-    /// The version that any node reads back; tried until one answers.
-    pub async fn read_back(&mut self, within_ms: u64) -> Option<u64> {
-        let until = self.record.now() + within_ms;
+    /// Returns the version that a node reads back. Tries random nodes until one answers.
+    pub async fn read_back(&mut self, timeout_ms: u64) -> Option<u64> {
+        let until = self.record.now() + timeout_ms;
         while self.record.now() < until {
             let node = self.rng.gen_range(1..=self.nodes);
-            let get = "GET /configuration/read HTTP/1.1\r\nHost: c\r\nConnection: close\r\n\r\n";
-            if let Some(answer) = self.call(node, get.as_bytes()).await {
+            let request = "GET /configuration/read HTTP/1.1\r\nHost: c\r\nConnection: close\r\n\r\n";
+            if let Some(answer) = self.call(node, request.as_bytes()).await {
                 let body: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
                 if let (200, Some(version)) = (answer.status(), body["Version"].as_u64()) {
                     return Some(version);
@@ -129,76 +134,83 @@
         None
     }
 
-    /// Sends an order until it has a clear answer or its time is over.
-    async fn settle(&mut self, kind: OrderKind, call: &Call, within_ms: u64) -> Reply {
+    /// Sends a command until the answer is definite or the time is over.
+    async fn retry_until_definite(
+        &mut self,
+        kind: CommandKind,
+        call: &Call,
+        timeout_ms: u64,
+    ) -> CommandOutcome {
         let sent_at = self.record.now();
-        let order = Order {
+        let command = Command {
             operator: self.number,
             kind,
             sent_at,
             acknowledged_at: None,
             is_refused: false,
         };
-        let place = self.record.note(|seen| {
-            seen.orders.push(order);
-            seen.orders.len() - 1
+        let index = self.record.update(|seen| {
+            seen.commands.push(command);
+            seen.commands.len() - 1
         });
-        let text = format!(
+        let head = format!(
             "POST {} HTTP/1.1\r\nHost: c\r\nConnection: close\r\n{}Content-Length: {}\r\n\r\n",
             call.path,
             call.headers,
             call.body.len()
         );
-        let bytes = [text.as_bytes(), &call.body].concat();
-        let mut pause_ms = PAUSE_MS;
+        let bytes = [head.as_bytes(), &call.body].concat();
+        let mut pause_ms = FIRST_RETRY_DELAY_MS;
         loop {
             let node = self.choose_node();
             let answer = self.call(node, &bytes).await;
-            let is_lost = self.rng.gen_bool(LOST_PART);
+            let is_lost = self.rng.gen_bool(LOST_ANSWER_FRACTION);
             let status = answer.filter(|_| !is_lost).map_or(0, |answer| answer.status());
             let now = self.record.now();
             match status {
                 200 => {
                     self.record
-                        .note(|seen| seen.orders[place].acknowledged_at = Some(now));
-                    return Reply::Acknowledged;
+                        .update(|seen| seen.commands[index].acknowledged_at = Some(now));
+                    return CommandOutcome::Acknowledged;
                 }
                 400 | 409 | 412 | 413 | 422 => {
-                    self.record.note(|seen| seen.orders[place].is_refused = true);
-                    return Reply::Refused;
+                    self.record.update(|seen| seen.commands[index].is_refused = true);
+                    return CommandOutcome::Refused;
                 }
                 _ => {}
             }
-            if now >= sent_at + within_ms {
-                return Reply::Unclear;
+            if now >= sent_at + timeout_ms {
+                return CommandOutcome::Indeterminate;
             }
             self.pause(pause_ms, pause_ms + 1).await;
-            pause_ms = (pause_ms * 2).min(LONGEST_PAUSE_MS);
+            pause_ms = (pause_ms * 2).min(MAX_RETRY_DELAY_MS);
         }
     }
 
-    /// Any node, and one that stands still more often than by chance: what is left there is read
-    /// late.
+    /// Chooses a random node, but a frozen one more often than by chance, because a frozen node
+    /// reads its calls late.
     fn choose_node(&mut self) -> u8 {
-        let frozen = self.record.note(|seen| {
-            let troubles = seen.troubles.iter().rev();
-            let is_frozen = |t: &&Trouble| t.kind == TroubleKind::Frozen && t.until == u64::MAX;
-            troubles.clone().find(is_frozen).map(|t| t.node)
+        let frozen = self.record.update(|seen| {
+            let node_faults = seen.node_faults.iter().rev();
+            let is_frozen = |f: &&NodeFault| f.kind == NodeFaultKind::Frozen && f.until == u64::MAX;
+            node_faults.clone().find(is_frozen).map(|f| f.node)
         });
-        let any = self.rng.gen_range(1..=self.nodes);
-        frozen.filter(|_| self.rng.gen_bool(FROZEN_PART)).unwrap_or(any)
+        let any_node = self.rng.gen_range(1..=self.nodes);
+        frozen
+            .filter(|_| self.rng.gen_bool(FROZEN_NODE_FRACTION))
+            .unwrap_or(any_node)
     }
 
-    /// One call at a node, up to a second of silence.
+    /// Calls a node, and waits up to 1 s for the answer.
     async fn call(&self, node: u8, bytes: &[u8]) -> Option<Message> {
         let exchange = async {
             let stream = TcpStream::connect(self.net.control(node)).await.ok()?;
             let mut connection = Connection::new(stream);
             connection.send(bytes).await.ok()?;
-            connection.read(Reading::AtOnce).await.ok()?
+            connection.read(ReadMode::Immediate).await.ok()?
         };
-        let silence = Duration::from_millis(SILENCE_MS);
-        tokio::time::timeout(silence, exchange).await.ok()?
+        let response_timeout = Duration::from_millis(RESPONSE_TIMEOUT_MS);
+        tokio::time::timeout(response_timeout, exchange).await.ok()?
     }
 
     async fn pause(&mut self, shortest_ms: u64, longest_ms: u64) {
@@ -207,8 +219,8 @@
     }
 }
 
-/// A configuration with the routes of a soak.
-fn configuration(version: u64, has_extra_route: bool, has_keyed: bool) -> Vec<u8> {
+/// Returns a configuration with the routes of a soak.
+fn configuration(version: u64, has_extra_route: bool, has_keyed_service: bool) -> Vec<u8> {
     let rule = |prefix: &str, kind: &str, service: &str, timeout_ms: u64| {
         json!({
             "Name": prefix.trim_matches('/'), "RouteType": kind, "Target": "800ms", "Priority": 1,
@@ -224,8 +236,13 @@
     };
     let timeout = Routes::TIMEOUT_MS;
     let mut rules = vec![
-        rule(Routes::REPEATABLE, "idempotent", Routes::PLAIN_SERVICE, timeout),
-        rule(Routes::ONCE, "non_idempotent", Routes::PLAIN_SERVICE, timeout),
+        rule(Routes::IDEMPOTENT, "idempotent", Routes::PLAIN_SERVICE, timeout),
+        rule(
+            Routes::NON_IDEMPOTENT,
+            "non_idempotent",
+            Routes::PLAIN_SERVICE,
+            timeout,
+        ),
         rule(
             Routes::LONG,
             "non_idempotent",
@@ -237,7 +254,7 @@
     if has_extra_route {
         rules.push(rule(Routes::EXTRA, "idempotent", Routes::PLAIN_SERVICE, timeout));
     }
-    if has_keyed {
+    if has_keyed_service {
         rules.push(rule(Routes::KEYED, "idempotent", Routes::KEYED_SERVICE, timeout));
         groups.push(group(Routes::KEYED_SERVICE, true));
     }
--- a/crates/fleet-test/src/soak/worker_pool.rs
+++ b/crates/fleet-test/src/soak/worker_pool.rs
@@ -1,4 +1,4 @@
-//! The workers of a soak and the platform's list of them: they are replaced one after the other,
+//! The workers of a soak and the platform's list of them. Workers are replaced one after the other,
 //! and some crash.
 
 use super::observations::{Record, WorkerFacts};
@@ -17,38 +17,38 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Zones that workers are in.
+/// Number of zones with workers.
 pub const ZONES: u8 = 4;
-/// Workers of each service in a zone.
+/// Number of workers of each service in a zone.
 const WORKERS_PER_ZONE: u8 = 3;
 /// First machine number of the workers' addresses, above those of nodes.
 const FIRST_ADDRESS: u8 = 130;
-/// Addresses that workers take turns at.
+/// Number of addresses that workers use in turn.
 const ADDRESSES: u8 = 110;
-/// A worker that drains serves on for so long, ms: `Drain` and a little longer.
+/// How long a draining worker keeps serving, in milliseconds: slightly longer than `Drain`.
 const DRAIN_MS: u64 = 3200;
-/// A crashed worker stays on the list for so long, ms.
+/// How long a crashed worker stays on the list, in milliseconds.
 const CRASHED_LISTED_MS: u64 = 2500;
 
-/// All workers.
+/// All workers of a soak.
 #[derive(Clone)]
 pub struct WorkerPool {
     record: Record,
     net: Net,
     instances: Instances,
     workers: Rc<RefCell<Vec<Rc<Worker>>>>,
-    started: Rc<Cell<u32>>,
+    started_count: Rc<Cell<u32>>,
 }
 
 impl WorkerPool {
-    /// No worker yet; they are to be listed there.
+    /// Creates a pool without workers. Its workers will be listed in `instances`.
     pub fn new(record: &Record, net: Net, instances: Instances) -> WorkerPool {
         WorkerPool {
             record: record.clone(),
             net,
             instances,
             workers: Rc::default(),
-            started: Rc::default(),
+            started_count: Rc::default(),
         }
     }
 
@@ -65,15 +65,15 @@
     }
 
     async fn start(&self, service: &str, zone: &str) -> Result<(), ScenarioError> {
-        let number = self.started.get();
-        self.started.set(number + 1);
-        // Identifiers are drawn: a newcomer stands anywhere in the list.
+        let number = self.started_count.get();
+        self.started_count.set(number + 1);
+        // Identifiers are scattered so that a new worker may appear anywhere in the list.
         let id = format!("i-{:08x}", number.wrapping_mul(2_654_435_761));
         let address = FIRST_ADDRESS + (number % u32::from(ADDRESSES)) as u8;
         let address = SocketAddrV4::new(self.net.ip(address), self.net.front(0).port());
         let is_partitioned = service == Routes::KEYED_SERVICE;
         let worker = Worker::start(&self.record, &id, address, is_partitioned).await?;
-        self.record.note(|seen| {
+        self.record.update(|seen| {
             let facts = WorkerFacts {
                 zone: zone.into(),
                 ..Default::default()
@@ -93,46 +93,50 @@
         Ok(())
     }
 
-    /// Replaces a worker: the new one starts first, the old one drains or crashes.
-    pub async fn replace_one(&self, rng: &mut StdRng) -> Result<(), ScenarioError> {
+    /// Replaces a worker: the new one starts first, and the old one drains or crashes.
+    pub async fn replace_random_worker(&self, rng: &mut StdRng) -> Result<(), ScenarioError> {
         let candidates: Vec<Rc<Worker>> = self.workers.borrow().clone();
-        let Some(old) = candidates.choose(rng).cloned() else {
+        let Some(old_worker) = candidates.choose(rng).cloned() else {
             return Ok(());
         };
-        let entry = self.instances.lock().ok().and_then(|l| l.get(&old.id).cloned());
+        let entry = self
+            .instances
+            .lock()
+            .ok()
+            .and_then(|l| l.get(&old_worker.id).cloned());
         let Some(entry) = entry.filter(|e| e["State"] == "ready") else {
             return Ok(());
         };
-        let text = |name: &str| entry[name].as_str().unwrap_or_default().to_string();
-        self.start(&text("Service"), &text("Zone")).await?;
-        self.workers.borrow_mut().retain(|w| w.id != old.id);
+        let text_field = |name: &str| entry[name].as_str().unwrap_or_default().to_string();
+        self.start(&text_field("Service"), &text_field("Zone")).await?;
+        self.workers.borrow_mut().retain(|w| w.id != old_worker.id);
         let worker_pool = self.clone();
-        let drains = rng.gen_bool(0.8);
-        actix_rt::spawn(async move { worker_pool.let_go(&old, drains).await });
+        let is_graceful = rng.gen_bool(0.8);
+        actix_rt::spawn(async move { worker_pool.retire(&old_worker, is_graceful).await });
         Ok(())
     }
 
-    async fn let_go(&self, old: &Worker, drains: bool) {
-        if drains {
+    async fn retire(&self, old_worker: &Worker, is_graceful: bool) {
+        if is_graceful {
             if let Ok(mut listed) = self.instances.lock() {
-                if let Some(entry) = listed.get_mut(&old.id) {
+                if let Some(entry) = listed.get_mut(&old_worker.id) {
                     entry["State"] = "draining".into();
                 }
             }
             let now = self.record.now();
-            self.record.note(|seen| {
-                if let Some(facts) = seen.workers.get_mut(&old.id) {
+            self.record.update(|seen| {
+                if let Some(facts) = seen.workers.get_mut(&old_worker.id) {
                     facts.draining_at = Some(now);
                 }
             });
             actix_rt::time::sleep(Duration::from_millis(DRAIN_MS)).await;
         }
-        old.end();
-        if !drains {
+        old_worker.end();
+        if !is_graceful {
             actix_rt::time::sleep(Duration::from_millis(CRASHED_LISTED_MS)).await;
         }
         if let Ok(mut listed) = self.instances.lock() {
-            listed.remove(&old.id);
+            listed.remove(&old_worker.id);
         }
     }
 }
