--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,31 +1,31 @@
-//! Reads and runs scenarios: one line, one step. `#` begins a remark.
+//! Reads and runs scenarios. Each line is one step. `#` starts a comment.
 //!
 //! ```text
-//! voters a/r1 b/r1 c/r2      machines with a disk, and their regions
-//! learners x/r1              machines without
-//! workers w1 w2              workers of the divided service
-//! run 2000                   lets time pass, in ms
-//! command one 0 3            sends version 3 on top of 0; must be taken
-//! try-command two 0 4        the same, but nobody may be able to take it
-//! commands 3 40              one version after the other, from 3 to 40
+//! voters a/r1 b/r1 c/r2      machines with a disk, each with its region
+//! learners x/r1              machines without a disk
+//! workers w1 w2              workers of the partitioned service
+//! run 2000                   advances the time, in ms
+//! command one 0 3            sends version 3 based on 0; the leader must accept it
+//! try-command two 0 4        like command, but may be rejected
+//! commands 3 40              sends the versions after 3 up to 40, one by one
 //! kill a | lose-power a | lose-disk a | start a | join g/r2     
-//!                            ("leader" names who leads, "last-leader" who did)
-//! shut-down a                                          told to end, until `kill a`
-//! cut a b | cut-one-way a b | isolate a | heal             (one way: a does not reach b)
+//!                            ("leader" is the current leader, "last-leader" the previous one)
+//! shut-down a                                          requests a shutdown; `kill a` ends it
+//! cut a b | cut-one-way a b | isolate a | heal             (one way: a cannot reach b)
 //! disk-slow a 500 | disk-stuck a | disk-ok a
 //! drain-worker w1 | deregister w1 | crash-worker w1 | mute-worker w1 | worker w9
 //! expect leader | no-leader | answer NAME OUTCOME | version N [NODE...] | current NODE...
 //! many-learners 291          machines without a disk, over regions r1 to r3
-//! region lose-power r2 | region start all | rolling-restart 30   many machines; one after the other
-//! measure                    counts the bytes of Raft from now on
-//! expect all-current | voter-bytes N | node-bytes N        at the most, a second
-//! call-lag 1200              calls to workers take up to so much longer
-//! configuration-routes 300 [all]  configurations have so many routes from now on; each
-//!                            changes one of them, or all
-//! bandwidth a 250000         bytes a second that a's link carries, each way
-//! await 4000 version 8 c     like expect, which must hold before so many ms are over
-//! expect covered             every key is held by a worker that is up and stays
-//! expect can-shut-down a | must-stay a                 a was told to end: whether it may
+//! region lose-power r2 | region start all | rolling-restart 30   many machines; restarts one by one
+//! measure                    restarts the count of Raft bytes
+//! expect all-current | voter-bytes N | node-bytes N        upper bounds per second
+//! call-lag 1200              calls to workers take up to this much longer, ms
+//! configuration-routes 300 [all]  sets the number of routes of later configurations; each
+//!                            changes one route, or all
+//! bandwidth a 250000         bandwidth of a's link in each direction, bytes per second
+//! await 4000 version 8 c     like expect, but must hold within this time, ms
+//! expect covered             every key is held by a running worker that is not draining
+//! expect can-shut-down a | must-stay a                 whether a may end after a shutdown request
 //! expect voters N | not-voter ADDRESS | holds w1 yes|no | another-leader | draining w1
 //! ```
 
@@ -36,29 +36,30 @@
 use crate::worker::SimulatedWorker;
 use protocol::{ConfigurationCommand, Worker};
 
-/// A scenario under way.
+/// A running scenario.
 pub struct ScenarioRunner {
-    /// The system that it runs on.
+    /// The cluster that the scenario runs on.
     pub cluster: Cluster,
-    /// Routes of the configurations that are sent.
+    /// Number of routes of the configurations that are sent.
     routes: u64,
-    /// Whether each changes all of its routes.
-    all: bool,
+    /// Whether each configuration changes all of its routes.
+    changes_all_routes: bool,
     last_leader: String,
 }
 
-/// Runs every scenario of a folder of this crate under a few seeds.
-pub fn run_folder(folder: &str, least: usize, seeds: u64, run_scenario: impl Fn(&str, u64)) {
+/// Runs every scenario in a folder of this crate with the seeds 1 to `seeds`. Panics if the folder
+/// has fewer than `min_scenarios` files.
+pub fn run_folder(folder: &str, min_scenarios: usize, seeds: u64, run_scenario: impl Fn(&str, u64)) {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join(folder);
     let mut files: Vec<_> = std::fs::read_dir(folder)
-        .expect("the folder is there")
+        .expect("the scenario folder exists")
         .flatten()
         .map(|e| e.path())
         .collect();
     files.sort();
-    assert!(files.len() >= least, "scenarios are missing");
+    assert!(files.len() >= min_scenarios, "scenarios are missing");
     for file in files {
-        let text = std::fs::read_to_string(&file).expect("readable");
+        let text = std::fs::read_to_string(&file).expect("the scenario file is readable");
         for seed in 1..=seeds {
             println!("{} seed {seed}", file.display());
             run_scenario(&text, seed);
@@ -66,12 +67,12 @@
     }
 }
 
-/// Runs a scenario; a step that fails ends the test with its line.
+/// Runs a scenario. Panics with the line of the first step that fails.
 pub fn run_scenario(text: &str, seed: u64) {
     let mut runner = ScenarioRunner {
         cluster: Cluster::new(seed),
         routes: 0,
-        all: false,
+        changes_all_routes: false,
         last_leader: String::new(),
     };
     for (number, line) in text.lines().enumerate() {
@@ -80,13 +81,13 @@
             continue;
         }
         let words: Vec<&str> = line.split_whitespace().collect();
-        let done = runner.step(&words);
+        let result = runner.step(&words);
         assert!(
-            done.is_ok(),
+            result.is_ok(),
             "line {} `{line}` at {} ms: {}",
             number + 1,
             runner.cluster.now,
-            done.err().map(|e| e.to_string()).unwrap_or_default()
+            result.err().map(|e| e.to_string()).unwrap_or_default()
         );
     }
 }
@@ -101,7 +102,7 @@
     })
 }
 
-/// Why a step of a scenario fails.
+/// The reason why a step of a scenario failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct StepError(String);
@@ -120,9 +121,9 @@
 
 type Step = Result<(), StepError>;
 
-fn number(word: Option<&&str>) -> Result<u64, StepError> {
+fn parse_number(word: Option<&&str>) -> Result<u64, StepError> {
     word.and_then(|w| w.parse().ok())
-        .ok_or_else(|| "a number is missing".into())
+        .ok_or_else(|| "expected a number".into())
 }
 
 impl ScenarioRunner {
@@ -137,16 +138,18 @@
             }
             "kill" | "lose-power" | "lose-disk" | "start" | "disk-stuck" | "disk-ok" | "disk-slow"
             | "isolate" => {
-                let name = self.named(arguments[0])?;
-                self.machine(words[0], &name, arguments)
+                let name = self.resolve_machine(arguments[0])?;
+                self.change_machine(words[0], &name, arguments)
+            }
+            "region" | "rolling-restart" | "shut-down" => self.change_many_machines(words[0], arguments),
+            "cut" | "cut-one-way" | "heal" | "bandwidth" | "call-lag" => {
+                self.change_links(words[0], arguments)
             }
-            "region" | "rolling-restart" | "shut-down" => self.many_machines(words[0], arguments),
-            "cut" | "cut-one-way" | "heal" | "bandwidth" | "call-lag" => self.links(words[0], arguments),
             "drain-worker" | "deregister" | "crash-worker" | "mute-worker" => {
-                self.worker(words[0], arguments[0])
+                self.change_worker(words[0], arguments[0])
             }
             "run" => {
-                self.cluster.run(number(arguments.first())?);
+                self.cluster.run(parse_number(arguments.first())?);
                 Ok(())
             }
             "measure" => {
@@ -155,15 +158,15 @@
             }
             "await" => self.await_expectation(arguments),
             "expect" => self.expect(arguments),
-            other => Err(format!("no such step: {other}").into()),
+            other => Err(format!("unknown step: {other}").into()),
         }
     }
 
     fn add_members(&mut self, what: &str, arguments: &[&str]) -> Step {
         match what {
             "voters" | "learners" => {
-                for (i, place) in arguments.iter().enumerate() {
-                    let (name, region) = place.split_once('/').ok_or("name/region wanted")?;
+                for (i, location) in arguments.iter().enumerate() {
+                    let (name, region) = location.split_once('/').ok_or("expected name/region")?;
                     self.cluster.add(name, region, what == "voters", true);
                     if i == 0 && what == "voters" {
                         self.cluster.begin(name);
@@ -171,13 +174,13 @@
                 }
             }
             "many-learners" => {
-                for i in 0..number(arguments.first())? {
+                for i in 0..parse_number(arguments.first())? {
                     let region = format!("r{}", i % 3 + 1);
                     self.cluster.add(&format!("o{i}"), &region, false, true);
                 }
             }
             "join" => {
-                let (name, region) = arguments[0].split_once('/').ok_or("name/region wanted")?;
+                let (name, region) = arguments[0].split_once('/').ok_or("expected name/region")?;
                 self.cluster.add(name, region, true, false);
             }
             _ => {
@@ -192,11 +195,11 @@
     fn send_commands(&mut self, what: &str, arguments: &[&str]) -> Step {
         match what {
             "configuration-routes" => {
-                self.routes = number(arguments.first())?;
-                self.all = arguments.get(1) == Some(&"all");
+                self.routes = parse_number(arguments.first())?;
+                self.changes_all_routes = arguments.get(1) == Some(&"all");
             }
             "commands" => {
-                let (first, last) = (number(arguments.first())?, number(arguments.get(1))?);
+                let (first, last) = (parse_number(arguments.first())?, parse_number(arguments.get(1))?);
                 for base in first..last {
                     let next = base + 1;
                     self.send_command(&format!("to-{next}"), base, next)?;
@@ -204,7 +207,7 @@
                 }
             }
             _ => {
-                let (base, version) = (number(arguments.get(1))?, number(arguments.get(2))?);
+                let (base, version) = (parse_number(arguments.get(1))?, parse_number(arguments.get(2))?);
                 let sent = self.send_command(arguments[0], base, version);
                 return if what == "command" { sent } else { Ok(()) };
             }
@@ -212,21 +215,21 @@
         Ok(())
     }
 
-    /// Sends a version on top of another to whoever leads.
+    /// Sends a version based on another one to the leader.
     fn send_command(&mut self, name: &str, base: u64, version: u64) -> Step {
         let command = ConfigurationCommand {
             base,
-            body: large_configuration(version, self.routes, self.all),
+            body: large_configuration(version, self.routes, self.changes_all_routes),
             ..Default::default()
         };
         if self.cluster.command(name, command) {
             Ok(())
         } else {
-            Err("nobody takes it".into())
+            Err("no node accepts the command".into())
         }
     }
 
-    fn many_machines(&mut self, what: &str, arguments: &[&str]) -> Step {
+    fn change_many_machines(&mut self, what: &str, arguments: &[&str]) -> Step {
         match what {
             "region" => {
                 let (step, region) = (arguments[0], arguments[1]);
@@ -234,11 +237,11 @@
                 let chosen = nodes.filter(|n| region == "all" || n.region == region);
                 let names: Vec<String> = chosen.map(|n| n.name.clone()).collect();
                 for name in names {
-                    self.machine(step, &name, arguments)?;
+                    self.change_machine(step, &name, arguments)?;
                 }
             }
             "rolling-restart" => {
-                for i in 0..number(arguments.first())? {
+                for i in 0..parse_number(arguments.first())? {
                     let name = format!("o{i}");
                     self.cluster.end(&name, false);
                     self.cluster.run(100);
@@ -246,37 +249,43 @@
                 }
             }
             _ => {
-                let name = self.named(arguments[0])?;
+                let name = self.resolve_machine(arguments[0])?;
                 let node = self.cluster.nodes.get_mut(&name);
                 let process = node.and_then(|n| n.process.as_mut());
-                process.ok_or("it is down")?.shutting_down = true;
+                process.ok_or("the machine is down")?.shutting_down = true;
             }
         }
         Ok(())
     }
 
-    fn links(&mut self, what: &str, arguments: &[&str]) -> Step {
+    fn change_links(&mut self, what: &str, arguments: &[&str]) -> Step {
         match what {
             "cut" | "cut-one-way" => {
-                let (a, b) = (self.named(arguments[0])?, self.named(arguments[1])?);
+                let (a, b) = (
+                    self.resolve_machine(arguments[0])?,
+                    self.resolve_machine(arguments[1])?,
+                );
                 self.cluster.blocked_links.insert((a.clone(), b.clone()));
                 if what == "cut" {
                     self.cluster.blocked_links.insert((b, a));
                 }
             }
             "heal" => self.cluster.blocked_links.clear(),
-            "call-lag" => self.cluster.lag_ms = number(arguments.first())?,
+            "call-lag" => self.cluster.lag_ms = parse_number(arguments.first())?,
             _ => {
-                let (name, bandwidth) = (self.named(arguments[0])?, number(arguments.get(1))?);
+                let (name, bandwidth) = (
+                    self.resolve_machine(arguments[0])?,
+                    parse_number(arguments.get(1))?,
+                );
                 self.cluster.bandwidth.insert(name, bandwidth);
             }
         }
         Ok(())
     }
 
-    /// Lets time pass until an expectation holds, or too much has.
+    /// Advances the time until an expectation holds. Fails if it does not hold in time.
     fn await_expectation(&mut self, arguments: &[&str]) -> Step {
-        let end = self.cluster.now + number(arguments.first())?;
+        let end = self.cluster.now + parse_number(arguments.first())?;
         while let Err(e) = self.expect(&arguments[1..]) {
             if self.cluster.now >= end {
                 return Err(e);
@@ -286,20 +295,21 @@
         Ok(())
     }
 
-    /// A machine's name; `leader` is whoever leads now, `last-leader` who did last.
-    fn named(&mut self, word: &str) -> Result<String, StepError> {
+    /// Returns the name of a machine. `leader` stands for the current leader, `last-leader` for the
+    /// last one that was named by `leader`.
+    fn resolve_machine(&mut self, word: &str) -> Result<String, StepError> {
         match word {
             "leader" => {
-                self.last_leader = self.cluster.leader_name().ok_or("nobody leads")?;
+                self.last_leader = self.cluster.leader_name().ok_or("there is no leader")?;
                 Ok(self.last_leader.clone())
             }
             "last-leader" => Ok(self.last_leader.clone()),
             name if self.cluster.nodes.contains_key(name) => Ok(name.to_string()),
-            name => Err(format!("no machine {name}").into()),
+            name => Err(format!("unknown machine {name}").into()),
         }
     }
 
-    fn machine(&mut self, what: &str, name: &str, rest: &[&str]) -> Step {
+    fn change_machine(&mut self, what: &str, name: &str, arguments: &[&str]) -> Step {
         match what {
             "kill" => self.cluster.end(name, false),
             "lose-power" => self.cluster.end(name, true),
@@ -313,14 +323,16 @@
                     .filter(|n| *n != name)
                     .cloned()
                     .collect();
-                for o in others {
-                    self.cluster.blocked_links.insert((name.to_string(), o.clone()));
-                    self.cluster.blocked_links.insert((o, name.to_string()));
+                for other in others {
+                    self.cluster
+                        .blocked_links
+                        .insert((name.to_string(), other.clone()));
+                    self.cluster.blocked_links.insert((other, name.to_string()));
                 }
             }
             _ => {
-                let slow = if what == "disk-slow" {
-                    number(rest.get(1))?
+                let slow_ms = if what == "disk-slow" {
+                    parse_number(arguments.get(1))?
                 } else {
                     0
                 };
@@ -329,20 +341,20 @@
                     .nodes
                     .get_mut(name)
                     .and_then(|n| n.disk.as_mut())
-                    .ok_or("it has no disk")?;
+                    .ok_or("the machine has no disk")?;
                 disk.stuck = what == "disk-stuck";
-                disk.slow_ms = slow;
+                disk.slow_ms = slow_ms;
             }
         }
         Ok(())
     }
 
-    fn worker(&mut self, what: &str, id: &str) -> Step {
-        let w = self.cluster.workers.get_mut(id).ok_or("no such worker")?;
+    fn change_worker(&mut self, what: &str, id: &str) -> Step {
+        let worker = self.cluster.workers.get_mut(id).ok_or("unknown worker")?;
         match what {
-            "drain-worker" => w.listed.draining = true,
-            "crash-worker" => w.up = false,
-            "mute-worker" => w.mute = true,
+            "drain-worker" => worker.listed.draining = true,
+            "crash-worker" => worker.up = false,
+            "mute-worker" => worker.drops_answers = true,
             _ => {
                 self.cluster.workers.remove(id);
             }
--- a/crates/simulation/src/scenario/expectations.rs
+++ b/crates/simulation/src/scenario/expectations.rs
@@ -1,10 +1,10 @@
-//! What a scenario expects of the cluster.
+//! The expectations of a scenario about the cluster.
 
-use super::{number, ScenarioRunner, Step, StepError};
+use super::{parse_number, ScenarioRunner, Step, StepError};
 use control_state::Outcome;
 
 impl ScenarioRunner {
-    /// Whether an expectation holds now.
+    /// Checks an expectation now.
     pub(super) fn expect(&mut self, words: &[&str]) -> Step {
         let groups = [
             Self::leadership_holds,
@@ -15,20 +15,22 @@
         for group in groups {
             match group(self, words)? {
                 Some(true) => return Ok(()),
-                Some(false) => return Err("it is not so".into()),
+                Some(false) => return Err("the expectation does not hold".into()),
                 None => {}
             }
         }
-        Err(format!("nothing to expect: {}", words[0]).into())
+        Err(format!("unknown expectation: {}", words[0]).into())
     }
 
-    /// Of who leads and votes; `None` for another expectation.
+    /// Evaluates an expectation about leader and voters; returns `None` for other expectations.
     fn leadership_holds(&self, words: &[&str]) -> Result<Option<bool>, StepError> {
         let cluster = &self.cluster;
         let holds = match words[0] {
             "leader" => cluster.leader().is_some(),
             "no-leader" => cluster.leader().is_none(),
-            "another-leader" => cluster.leader().is_some_and(|l| l.name != self.last_leader),
+            "another-leader" => cluster
+                .leader()
+                .is_some_and(|leader| leader.name != self.last_leader),
             "can-shut-down" | "must-stay" => {
                 let name = if words[1] == "last-leader" {
                     &self.last_leader
@@ -36,21 +38,22 @@
                     words[1]
                 };
                 let process = cluster.nodes.get(name).and_then(|n| n.process.as_ref());
-                process.ok_or("it is down")?.raft.is_shutdown_safe() == (words[0] == "can-shut-down")
+                process.ok_or("the machine is down")?.raft.is_shutdown_safe() == (words[0] == "can-shut-down")
             }
             "voters" => {
                 let leader = cluster
                     .leader()
                     .and_then(|n| n.process.as_ref())
-                    .ok_or("nobody leads")?;
-                leader.raft.membership().voters.len() as u64 == number(words.get(1))?
+                    .ok_or("there is no leader")?;
+                leader.raft.membership().voters.len() as u64 == parse_number(words.get(1))?
             }
             _ => return Ok(None),
         };
         Ok(Some(holds))
     }
 
-    /// Of the control state and its copies; `None` for another expectation.
+    /// Evaluates an expectation about the control state and its replicas; returns `None` for other
+    /// expectations.
     fn state_holds(&self, words: &[&str]) -> Result<Option<bool>, StepError> {
         let cluster = &self.cluster;
         let holds = match words[0] {
@@ -61,31 +64,31 @@
                     "lost" => matches!(got, Some(Outcome::Conflict(_))),
                     "invalid" => matches!(got, Some(Outcome::Invalid(_))),
                     "none" => got.is_none(),
-                    other => return Err(format!("no such outcome: {other}").into()),
+                    other => return Err(format!("unknown outcome: {other}").into()),
                 }
             }
             "acked-stands" => {
                 let leader = cluster
                     .leader()
                     .and_then(|n| n.process.as_ref())
-                    .ok_or("nobody leads")?;
+                    .ok_or("there is no leader")?;
                 leader.state.version() >= cluster.acked_version
             }
             "version" => {
-                let wanted = number(words.get(1))?;
+                let expected = parse_number(words.get(1))?;
                 let named = &words[2..];
                 cluster
                     .nodes
                     .values()
                     .filter(|n| named.is_empty() || named.contains(&n.name.as_str()))
                     .filter_map(|n| n.process.as_ref())
-                    .all(|l| l.state.version() == wanted)
+                    .all(|process| process.state.version() == expected)
             }
-            // All running nodes know that a worker leaves.
+            // Holds if all running nodes know that the worker is draining.
             "draining" => {
-                let knows = |l: &crate::node::Process| {
-                    let w = l.state.workers.get(words[1]);
-                    w.is_some_and(|w| w.draining)
+                let knows = |process: &crate::node::Process| {
+                    let worker = process.state.workers.get(words[1]);
+                    worker.is_some_and(|worker| worker.draining)
                 };
                 cluster
                     .nodes
@@ -96,52 +99,56 @@
             "all-current" => cluster
                 .nodes
                 .values()
-                .all(|n| n.process.as_ref().is_some_and(|l| l.current)),
-            "current" => words[1..]
-                .iter()
-                .all(|n| cluster.nodes[*n].process.as_ref().is_some_and(|l| l.current)),
+                .all(|n| n.process.as_ref().is_some_and(|process| process.current)),
+            "current" => words[1..].iter().all(|n| {
+                cluster.nodes[*n]
+                    .process
+                    .as_ref()
+                    .is_some_and(|process| process.current)
+            }),
             _ => return Ok(None),
         };
         Ok(Some(holds))
     }
 
-    /// Of what the nodes send; `None` for another expectation.
+    /// Evaluates an expectation about the bytes that nodes send; returns `None` for other
+    /// expectations.
     fn bytes_hold(&self, words: &[&str]) -> Result<Option<bool>, StepError> {
         let cluster = &self.cluster;
         let holds = match words[0] {
             "voter-bytes" | "node-bytes" => {
-                let most = cluster.busiest(words[0] == "voter-bytes");
-                let bound = number(words.get(1))?;
-                if most > bound {
-                    return Err(format!("{most} bytes a second").into());
+                let max_rate = cluster.max_send_rate(words[0] == "voter-bytes");
+                let bound = parse_number(words.get(1))?;
+                if max_rate > bound {
+                    return Err(format!("{max_rate} bytes per second").into());
                 }
-                most > 0
+                max_rate > 0
             }
             _ => return Ok(None),
         };
         Ok(Some(holds))
     }
 
-    /// Of who holds keys; `None` for another expectation.
+    /// Evaluates an expectation about the holders of keys; returns `None` for other expectations.
     fn keys_hold(&self, words: &[&str]) -> Result<Option<bool>, StepError> {
         let cluster = &self.cluster;
         let holds = match words[0] {
             "covered" => {
-                let able = cluster.workers.values().filter(|w| w.up && !w.listed.draining);
-                let mut held: Vec<(u32, u32)> = able.flat_map(|w| w.holds(cluster.now)).collect();
+                let available = cluster.workers.values().filter(|w| w.up && !w.listed.draining);
+                let mut held: Vec<(u32, u32)> = available.flat_map(|w| w.holds(cluster.now)).collect();
                 held.sort_unstable();
                 let mut next = 0;
                 for (from, to) in held {
                     if from > next {
-                        return Err(format!("nobody holds {next} to {}", from - 1).into());
+                        return Err(format!("no worker holds the keys {next} to {}", from - 1).into());
                     }
                     next = next.max(to + 1);
                 }
                 next == control_state::KEY_SPACE
             }
             "holds" => {
-                let w = cluster.workers.get(words[1]).ok_or("no such worker")?;
-                (w.holds(cluster.now).next().is_some()) == (words[2] == "yes")
+                let worker = cluster.workers.get(words[1]).ok_or("unknown worker")?;
+                (worker.holds(cluster.now).next().is_some()) == (words[2] == "yes")
             }
             _ => return Ok(None),
         };
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -1,4 +1,4 @@
-//! Simulated workers that hold keys, as the protocol lays it down.
+//! Simulated workers that hold keys according to the protocol.
 
 use key_ownership::{GrantResult, ReleaseResult};
 use protocol::{KeyLease, Worker};
@@ -16,80 +16,82 @@
 pub struct SimulatedWorker {
     pub listed: Worker,
     pub up: bool,
-    /// Calls reach it and are carried out, but no answer comes back.
-    pub mute: bool,
+    /// Whether calls are executed but their answers are dropped.
+    pub drops_answers: bool,
     held: Vec<Held>,
-    evidence: Vec<Held>,
-    /// What it took and gave back, and since when: from, to, fence, until.
-    pub took: Vec<(u32, u32, u64, u64)>,
+    granted: Vec<Held>,
+    /// Grants and releases of keys not yet collected by the observer: from, to, fencing token, end
+    /// of the hold in ms (0 for a release).
+    pub key_changes: Vec<(u32, u32, u64, u64)>,
 }
 
 impl SimulatedWorker {
-    /// A worker that holds nothing.
+    /// Creates a worker that holds no keys.
     pub fn new(listed: Worker) -> SimulatedWorker {
         SimulatedWorker {
             listed,
             up: true,
-            mute: false,
+            drops_answers: false,
             held: Vec::new(),
-            evidence: Vec::new(),
-            took: Vec::new(),
+            granted: Vec::new(),
+            key_changes: Vec::new(),
         }
     }
 
-    /// Takes a grant that arrives now. Its clock for the hold runs 2% slow.
-    pub fn grant(&mut self, now: u64, h: &KeyLease, hold_ms: u64) -> GrantResult {
-        if self
-            .evidence
-            .iter()
-            .any(|s| s.from <= h.to && s.to >= h.from && s.fence > h.fencing_token)
-        {
+    /// Handles a grant that arrives now. The clock by which the worker measures the hold runs 2%
+    /// slow.
+    pub fn grant(&mut self, now: u64, lease: &KeyLease, hold_ms: u64) -> GrantResult {
+        if self.granted.iter().any(|grant| {
+            grant.from <= lease.to && grant.to >= lease.from && grant.fence > lease.fencing_token
+        }) {
             return GrantResult::Fenced;
         }
         let held = Held {
-            from: h.from,
-            to: h.to,
-            fence: h.fencing_token,
+            from: lease.from,
+            to: lease.to,
+            fence: lease.fencing_token,
             until: now + hold_ms * 102 / 100,
         };
-        self.took.push((h.from, h.to, h.fencing_token, held.until));
-        self.cut(h.from, h.to);
+        self.key_changes
+            .push((lease.from, lease.to, lease.fencing_token, held.until));
+        self.remove_range(lease.from, lease.to);
         self.held.push(held.clone());
-        self.evidence.push(held);
+        self.granted.push(held);
         GrantResult::Accepted
     }
 
-    /// Gives keys back.
-    pub fn release(&mut self, h: &KeyLease) -> ReleaseResult {
-        self.took.push((h.from, h.to, h.fencing_token, 0));
-        self.cut(h.from, h.to);
+    /// Releases keys.
+    pub fn release(&mut self, lease: &KeyLease) -> ReleaseResult {
+        self.key_changes
+            .push((lease.from, lease.to, lease.fencing_token, 0));
+        self.remove_range(lease.from, lease.to);
         ReleaseResult::Released(format!("from-{}", self.listed.id))
     }
 
-    fn cut(&mut self, from: u32, to: u32) {
+    fn remove_range(&mut self, from: u32, to: u32) {
         let old = std::mem::take(&mut self.held);
-        for h in old {
-            if h.to < from || h.from > to {
-                self.held.push(h);
+        for held in old {
+            if held.to < from || held.from > to {
+                self.held.push(held);
                 continue;
             }
-            if h.from < from {
+            if held.from < from {
                 self.held.push(Held {
                     to: from - 1,
-                    ..h.clone()
+                    ..held.clone()
                 });
             }
-            if h.to > to {
-                self.held.push(Held { from: to + 1, ..h });
+            if held.to > to {
+                self.held.push(Held { from: to + 1, ..held });
             }
         }
     }
 
-    /// Ranges held at the moment.
+    /// Returns the ranges held at `now`.
     pub fn holds(&self, now: u64) -> impl Iterator<Item = (u32, u32)> + '_ {
         self.held
             .iter()
-            .filter(move |h| self.up && h.until > now)
-            .map(|h| (h.from, h.to))
+            .filter(move |held| self.up && held.until > now)
+            .map(|held| (held.from, held.to))
     }
 }
--- a/crates/simulation/tests/catch_up.rs
+++ b/crates/simulation/tests/catch_up.rs
@@ -2,7 +2,7 @@
 //! catches up within a stated time, whatever its link and however large the state.
 
 use config::Configuration;
-use simulation::catch_up::{recovery, NARROW};
+use simulation::catch_up::{catch_up_ms, SLOW_LINK_BYTES_PER_S};
 use simulation::configuration::large_configuration;
 
 /// A member that is back counts as there after this time, ms.
@@ -20,8 +20,12 @@
 /// Twenty changes of real size, seen by members that were down, empty or narrow.
 #[test]
 fn whoever_was_away_catches_up() {
-    for (routes, width, wipe) in [(100, 0, false), (300, NARROW, false), (300, NARROW, true)] {
-        let took = recovery(1, routes, 20, width, wipe);
+    for (routes, width, wipe) in [
+        (100, 0, false),
+        (300, SLOW_LINK_BYTES_PER_S, false),
+        (300, SLOW_LINK_BYTES_PER_S, true),
+    ] {
+        let took = catch_up_ms(1, routes, 20, width, wipe);
         println!("{routes} routes, {width} bytes a second, empty {wipe}: {took:?} ms");
         assert!(took.is_some_and(|ms| ms <= CATCH_UP_MS), "{took:?}");
     }
--- a/crates/simulation/tests/checker.rs
+++ b/crates/simulation/tests/checker.rs
@@ -492,7 +492,7 @@
         let disks = if *check == Check::TooFewDisks { 2 } else { 0 };
         let guarantees = Guarantees {
             disks,
-            alike_ms: 100,
+            duplicate_window_ms: 100,
             ..Guarantees::default()
         };
         let found = found(text, guarantees);
@@ -505,8 +505,8 @@
     let text = "1 ann sends 1 1 a read\n20 ann sends 2 2 a read\n21 a replies 2 503\n22 ann hears 2 503";
     let guarantees = Guarantees {
         disks: 0,
-        calm_from: Some(10),
-        alike_ms: 0,
+        fault_free_from: Some(10),
+        duplicate_window_ms: 0,
     };
     assert_eq!(found(text, guarantees), [Check::NoReadBack]);
 }
--- a/crates/simulation/tests/explore.rs
+++ b/crates/simulation/tests/explore.rs
@@ -18,7 +18,7 @@
     matches!(
         what,
         StepAction::OperatorRequest {
-            ask: OperatorRequest::Evacuate { .. },
+            request: OperatorRequest::Evacuate { .. },
             ..
         }
     )
@@ -100,7 +100,7 @@
 fn staged(steps: &[(u64, StepAction)]) -> impl Iterator<Item = Plan> + '_ {
     (0..2000).map(|seed| Plan {
         disks: 3,
-        others: 0,
+        diskless: 0,
         workers: 0,
         seed,
         steps: steps
@@ -118,8 +118,12 @@
     invalid: false,
 };
 
-fn ask(operator: u8, node: u8, ask: OperatorRequest) -> StepAction {
-    StepAction::OperatorRequest { operator, node, ask }
+fn request(operator: u8, node: u8, request: OperatorRequest) -> StepAction {
+    StepAction::OperatorRequest {
+        operator,
+        node,
+        request,
+    }
 }
 
 /// The leader is cut off and frozen; meanwhile another one takes a change, of which the
@@ -127,8 +131,8 @@
 fn frozen_leader() -> Vec<(u64, StepAction)> {
     let (way, duration_ms) = (Direction::Both, 3000);
     vec![
-        (300, ask(0, 0, CHANGE)),
-        (400, ask(1, 0, OperatorRequest::Read)),
+        (300, request(0, 0, CHANGE)),
+        (400, request(1, 0, OperatorRequest::Read)),
         (
             300,
             StepAction::Fault(Fault::Isolate {
@@ -144,10 +148,10 @@
                 duration_ms: 2700,
             }),
         ),
-        (1000, ask(1, 1, CHANGE)),
-        (1500, ask(1, 0, CHANGE)),
-        (0, ask(0, 0, OperatorRequest::Read)),
-        (1500, ask(1, 1, OperatorRequest::Read)),
+        (1000, request(1, 1, CHANGE)),
+        (1500, request(1, 0, CHANGE)),
+        (0, request(0, 0, OperatorRequest::Read)),
+        (1500, request(1, 1, OperatorRequest::Read)),
     ]
 }
 
@@ -155,7 +159,7 @@
 fn unheard_leader() -> Vec<(u64, StepAction)> {
     let (way, duration_ms) = (Direction::Out, 3000);
     let mut steps = vec![
-        (300, ask(0, 0, CHANGE)),
+        (300, request(0, 0, CHANGE)),
         (
             700,
             StepAction::Fault(Fault::Isolate {
@@ -166,10 +170,15 @@
         ),
     ];
     let (begin, zone) = (true, 0);
-    steps.push((380, ask(0, 0, CHANGE)));
-    steps.extend((0..5).map(|_| (0, ask(0, 0, OperatorRequest::Evacuate { zone, begin }))));
+    steps.push((380, request(0, 0, CHANGE)));
+    steps.extend((0..5).map(|_| (0, request(0, 0, OperatorRequest::Evacuate { zone, begin }))));
     let zone = 1;
-    steps.extend((0..8).map(|i| (60, ask(1, 1 + i % 2, OperatorRequest::Evacuate { zone, begin }))));
+    steps.extend((0..8).map(|i| {
+        (
+            60,
+            request(1, 1 + i % 2, OperatorRequest::Evacuate { zone, begin }),
+        )
+    }));
     steps
 }
 
@@ -255,7 +264,7 @@
         assert_eq!(history.events, again.events, "seed {seed} repeats");
         coverage.add(&this);
     }
-    assert!(coverage.snapshots > 0 && coverage.wipes > 5, "{coverage:?}");
+    assert!(coverage.snapshots > 0 && coverage.disk_losses > 5, "{coverage:?}");
     assert!(coverage.resends > 100 && coverage.refusals > 50, "{coverage:?}");
     assert!(
         coverage.membership_changes > 100 && coverage.acknowledged > 50,
--- a/crates/simulation/tests/repeat.rs
+++ b/crates/simulation/tests/repeat.rs
@@ -30,7 +30,7 @@
         total.resends,
         total.refusals,
         total.acknowledged,
-        total.wipes,
+        total.disk_losses,
         total.processes,
     ];
     assert_eq!(counts, [29288, 215, 4, 218, 1358, 570, 338, 26, 703]);
