--- a/crates/simulation/examples/capacity.rs
+++ b/crates/simulation/examples/capacity.rs
@@ -1,14 +1,13 @@
-//! Measures how what each role costs grows, on real state machines and a simulated
-//! transport, all in this one process:
+//! Measures how the costs of each role grow with the size of the system, on real state machines
+//! and a simulated transport, all in one process:
 //!
 //! ```text
 //! cargo run --release -p pebblepond-simulation --example capacity
 //! ```
 //!
-//! Each row is measured at several sizes; `power` is the exponent of a power law
-//! through them, `target` the line from the two largest sizes carried on to the
-//! target size. Processor time is that of this thread. Ends by itself in about two
-//! minutes and a few hundred megabytes.
+//! Each row is measured at several sizes; `power` is the exponent of a power law fitted to them,
+//! `target` the linear extrapolation from the two largest sizes to the target size. Processor time
+//! is that of this thread. A run takes about two minutes and a few hundred megabytes.
 
 use balancer::{AttemptResult, LoadBalancer, Locality, PeerInfo, SelectionRequest};
 use config::{constants as c, settings::Bounds, timing, Configuration, RouteKind};
@@ -29,37 +28,37 @@
 const WORKERS: f64 = 51_000.0;
 const ROUTES: f64 = 81_000.0;
 
-/// Processor time of this thread, ns.
-fn spent() -> u64 {
+/// Returns the processor time of this thread, ns.
+fn processor_time_ns() -> u64 {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let first = text.split_whitespace().next();
     first.and_then(|t| t.parse().ok()).unwrap_or(0)
 }
 
-/// Microseconds of processor time for one call, the mean over a quarter of a second:
-/// that time is told in steps of some milliseconds.
-fn micros(mut work: impl FnMut()) -> f64 {
+/// Returns the mean processor time of one call, in microseconds, over a quarter of a second,
+/// because the kernel reports processor time in steps of some milliseconds.
+fn mean_microseconds(mut work: impl FnMut()) -> f64 {
     work();
-    let (before, mut times) = (spent(), 0u64);
-    while spent() - before < 250_000_000 {
+    let (before, mut times) = (processor_time_ns(), 0u64);
+    while processor_time_ns() - before < 250_000_000 {
         for _ in 0..8 {
             work();
         }
         times += 8;
     }
-    (spent() - before) as f64 / 1000.0 / times as f64
+    (processor_time_ns() - before) as f64 / 1000.0 / times as f64
 }
 
-/// Resident memory, KB.
-fn resident() -> f64 {
+/// Returns the resident memory of this process, KB.
+fn resident_kb() -> f64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find(|l| l.starts_with("VmRSS"));
     let word = line.and_then(|l| l.split_whitespace().nth(1));
     word.and_then(|w| w.parse().ok()).unwrap_or(0.0)
 }
 
-/// Memory of a control state, in a process of its own, KB.
-fn apart(workers: usize) -> f64 {
+/// Returns the memory of a control state, measured in separate processes, KB.
+fn control_state_kb(workers: usize) -> f64 {
     let run = |workers: usize| {
         let exe = std::env::current_exe().expect("this program");
         let out = std::process::Command::new(exe).arg(workers.to_string()).output();
@@ -69,7 +68,7 @@
     run(workers) - run(30)
 }
 
-/// Sizes and what was measured there.
+/// Pairs of size and measured value.
 type Points = Vec<(f64, f64)>;
 
 fn row(name: &str, unit: &str, target: f64, points: &[(f64, f64)]) {
@@ -90,14 +89,14 @@
     );
 }
 
-/// Bytes a second and processor time of a node's membership: at the start, calm,
-/// and with a restart every two seconds.
+/// Measures bytes per second, processor time and memory of the gossip membership per node: at the
+/// start, in the steady state, and with a restart every two seconds.
 fn membership() {
-    let (mut start, mut calm, mut churn, mut cpu, mut memory) = (vec![], vec![], vec![], vec![], vec![]);
+    let (mut start, mut calm, mut restarting, mut cpu, mut memory) = (vec![], vec![], vec![], vec![], vec![]);
     for nodes in [75usize, 150, 300, 600] {
-        let before = resident();
+        let before = resident_kb();
         let name = |i: usize| format!("10.{}.{}.{}:7540", i / 4096, i / 64 % 64, i % 64);
-        let board = |i: usize, now: u64| {
+        let new_member = |i: usize, now: u64| {
             let me = Member {
                 address: name(i),
                 id: i as u64 + 1,
@@ -111,29 +110,29 @@
             };
             MembershipProtocol::new(me, (0..3).map(name).collect(), timing::GOSSIP, now, i as u64)
         };
-        let mut boards: BTreeMap<String, MembershipProtocol> =
-            (0..nodes).map(|i| (name(i), board(i, 0))).collect();
+        let mut members: BTreeMap<String, MembershipProtocol> =
+            (0..nodes).map(|i| (name(i), new_member(i, 0))).collect();
         let mut in_flight: Vec<(u64, String, String, Message)> = Vec::new();
         let mut lost = 0u64;
         let mut run = |from: u64, to: u64, restarts: bool| {
-            let (mut bytes, mut took) = (0usize, 0u64);
+            let (mut bytes, mut used_ns) = (0usize, 0u64);
             for now in (from..to).step_by(50) {
                 if restarts && now % 2000 == 0 {
                     let i = (now / 2000) as usize * 7 % nodes;
-                    boards.insert(name(i), board(i, now));
+                    members.insert(name(i), new_member(i, now));
                 }
                 let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut in_flight)
                     .into_iter()
                     .partition(|(at, ..)| *at <= now);
                 in_flight = rest;
-                let begun = spent();
-                for (_, from, to, notice) in due {
-                    if let Some(b) = boards.get_mut(&to) {
-                        b.receive(now, &from, notice);
+                let started = processor_time_ns();
+                for (_, from, to, message) in due {
+                    if let Some(b) = members.get_mut(&to) {
+                        b.receive(now, &from, message);
                     }
                 }
                 let mut out = Vec::new();
-                for (name, b) in &mut boards {
+                for (name, b) in &mut members {
                     b.tick(now);
                     out.extend(
                         b.take_outgoing()
@@ -141,30 +140,35 @@
                             .map(|e| (name.clone(), e.to, e.message)),
                     );
                 }
-                took += spent() - begun;
-                for (from, to, notice) in out {
-                    bytes += notice.encoded_len() + 28;
+                used_ns += processor_time_ns() - started;
+                for (from, to, message) in out {
+                    bytes += message.encoded_len() + 28;
                     lost += 1;
                     if !lost.is_multiple_of(100) {
-                        in_flight.push((now + 40, from, to, notice));
+                        in_flight.push((now + 40, from, to, message));
                     }
                 }
             }
             let span = (to - from) as f64 / 1000.0 * nodes as f64;
-            (bytes as f64 / span, took as f64 / 1000.0 / span)
+            (bytes as f64 / span, used_ns as f64 / 1000.0 / span)
         };
         let size = nodes as f64;
         start.push((size, run(0, 5000, false).0));
         run(5000, 15_000, false);
-        let (bytes, took) = run(15_000, 25_000, false);
+        let (bytes, used_ns) = run(15_000, 25_000, false);
         calm.push((size, bytes));
-        cpu.push((size, took));
-        churn.push((size, run(25_000, 35_000, true).0));
-        memory.push((size, (resident() - before).max(0.0) / size));
+        cpu.push((size, used_ns));
+        restarting.push((size, run(25_000, 35_000, true).0));
+        memory.push((size, (resident_kb() - before).max(0.0) / size));
     }
     row("membership, all start at once", "B/s a node", NODES, &start);
     row("membership, calm, 1% lost", "B/s a node", NODES, &calm);
-    row("membership, a restart every 2 s", "B/s a node", NODES, &churn);
+    row(
+        "membership, a restart every 2 s",
+        "B/s a node",
+        NODES,
+        &restarting,
+    );
     row("membership, calm", "us/s a node", NODES, &cpu);
     row("membership, table", "KB a node", NODES, &memory);
 }
@@ -181,8 +185,8 @@
     }
 }
 
-/// A control state of so many workers, with the routes and holders that go with
-/// them at the target.
+/// Returns a control state of `workers` workers, with routes and key leases in the proportion of the
+/// target size.
 fn large_state(workers: usize) -> ControlState {
     let services = (workers / 27).max(1);
     let routes = (workers as f64 * ROUTES / WORKERS) as usize;
@@ -222,17 +226,17 @@
     let mut fence = 0;
     for s in (0..services).step_by(3) {
         let held: Vec<usize> = (0..workers).filter(|i| i % services == s).collect();
-        let each = KEY_SPACE / held.len() as u32;
+        let keys_per_worker = KEY_SPACE / held.len() as u32;
         for (n, i) in held.iter().enumerate() {
             fence += 1;
-            let from = n as u32 * each;
+            let from = n as u32 * keys_per_worker;
             put.push(KeyLease {
                 service: format!("service-{s}"),
                 from,
                 to: if n + 1 == held.len() {
                     KEY_SPACE - 1
                 } else {
-                    from + each - 1
+                    from + keys_per_worker - 1
                 },
                 worker: worker(*i, services).id,
                 fencing_token: fence,
@@ -244,20 +248,24 @@
     state
 }
 
-/// What the copy of the control state costs each node, and the leader's duties.
-#[allow(clippy::too_many_lines, reason = "one measurement after the other")]
-fn control() {
+/// Measures the costs of the control state replica on each node, and of the duties of the leader.
+#[allow(clippy::too_many_lines, reason = "a sequence of measurements")]
+fn control_state() {
     let mut rows: BTreeMap<&str, (&str, Points)> = BTreeMap::new();
     for workers in [500usize, 1000, 2000, 4000, 8000] {
         let size = workers as f64;
         let mut note = |name, unit, value| rows.entry(name).or_insert((unit, vec![])).1.push((size, value));
-        note("copy of the control state", "KB a node", apart(workers));
+        note(
+            "copy of the control state",
+            "KB a node",
+            control_state_kb(workers),
+        );
         let state = large_state(workers);
         note("copy, packed", "KB", state.to_snapshot().len() as f64 / 1024.0);
         let services = (workers / 27).max(1);
         let mut held = Arc::new(state.clone());
         let mut draining = false;
-        let mut word_of_one = |held: &mut Arc<ControlState>| {
+        let mut update_one_worker = |held: &mut Arc<ControlState>| {
             draining = !draining;
             let row = Worker {
                 draining,
@@ -274,16 +282,16 @@
         note(
             "one worker changes: applied and published",
             "us a node",
-            micros(|| word_of_one(&mut held)),
+            mean_microseconds(|| update_one_worker(&mut held)),
         );
         let body = state.configuration_body.to_vec();
         note(
             "one route changes: the configuration is read whole",
             "us a node",
-            micros(|| drop(Configuration::parse(&body))),
+            mean_microseconds(|| drop(Configuration::parse(&body))),
         );
         note("configuration", "KB a change", body.len() as f64 / 1024.0);
-        // An edge: the choice, and news of one worker.
+        // A proxy: the choice of a worker, and the update of one worker.
         let zones = (0..37)
             .map(|z| (format!("zone-{z}"), format!("region-{}", z % 16)))
             .collect();
@@ -299,16 +307,22 @@
             own_id: 1,
             round_trips: BTreeMap::new(),
         });
-        let config = state.configuration.clone().expect("there");
-        let route = config.route("h1.example", "/a1/x").expect("there").clone();
+        let config = state
+            .configuration
+            .clone()
+            .expect("the state has a configuration");
+        let route = config
+            .route("h1.example", "/a1/x")
+            .expect("the configuration has the route")
+            .clone();
         assert_eq!(route.kind, RouteKind::Idempotent);
         let mut now = 10_000;
         note(
             "a request: the choice of a worker",
             "us",
-            micros(|| {
+            mean_microseconds(|| {
                 now += 1;
-                let ask = SelectionRequest {
+                let request = SelectionRequest {
                     route: &route,
                     key: None,
                     service: "service-1",
@@ -316,7 +330,7 @@
                     remaining_ms: 2000,
                     zone: None,
                 };
-                if let balancer::Selection::Worker(w) = balancer.choose(now, &ask) {
+                if let balancer::Selection::Worker(w) = balancer.choose(now, &request) {
                     balancer.observe(now, &w.id, AttemptResult::Answered(90.0));
                 }
             }),
@@ -324,8 +338,8 @@
         note(
             "one worker changes: an edge takes it in",
             "us a node",
-            micros(|| {
-                word_of_one(&mut held);
+            mean_microseconds(|| {
+                update_one_worker(&mut held);
                 balancer.set_state(now, held.clone());
             }),
         );
@@ -346,7 +360,7 @@
         note(
             "leader: the list against the state",
             "us a look",
-            micros(|| {
+            mean_microseconds(|| {
                 let input = DiscoveryInput {
                     state: &state,
                     as_of: state.index,
@@ -358,8 +372,8 @@
                 warmup.compare(now, &listed, &input);
             }),
         );
-        let mut bench = OutlierDetector::default();
-        bench.reset(0);
+        let mut outlier_detector = OutlierDetector::default();
+        outlier_detector.reset(0);
         let seen: Vec<WorkerStats> = state
             .workers
             .keys()
@@ -373,9 +387,9 @@
         note(
             "leader: who fails",
             "us a look",
-            micros(|| {
-                bench.record(&seen);
-                bench.evaluate(20_000, &state);
+            mean_microseconds(|| {
+                outlier_detector.record(&seen);
+                outlier_detector.evaluate(20_000, &state);
             }),
         );
         let mut ownership = OwnershipManager::new(10_000, 300);
@@ -383,7 +397,7 @@
         note(
             "leader: renewals of keys",
             "us a look",
-            micros(|| {
+            mean_microseconds(|| {
                 now += c::KEY_CHECK_INTERVAL_MS;
                 for act in ownership.tick(now, &state) {
                     match act {
@@ -397,7 +411,7 @@
         note(
             "repair: digests of a copy",
             "us",
-            micros(|| drop(anti_entropy::digests(&state))),
+            mean_microseconds(|| drop(anti_entropy::digests(&state))),
         );
     }
     for (name, (unit, points)) in rows {
@@ -405,8 +419,8 @@
     }
 }
 
-/// Bytes of Raft that the busiest voter and follower send.
-fn agreement() {
+/// Measures the Raft bytes that the busiest voter and the busiest learner send.
+fn raft() {
     let (mut calm, mut changing, mut follower) = (vec![], vec![], vec![]);
     for nodes in [75usize, 150, 300] {
         let mut cluster = Cluster::new(1);
@@ -453,14 +467,14 @@
 fn main() {
     if let Some(workers) = std::env::args().nth(1).and_then(|a| a.parse().ok()) {
         let state = large_state(workers);
-        println!("{}", resident());
+        println!("{}", resident_kb());
         drop(state);
         return;
     }
     println!("| what | unit | measured at | power | at the target |");
     println!("| --- | --- | --- | --- | --- |");
     membership();
-    control();
-    agreement();
-    println!("\npeak resident memory {:.0} MB", resident() / 1024.0);
+    control_state();
+    raft();
+    println!("\npeak resident memory {:.0} MB", resident_kb() / 1024.0);
 }
--- a/crates/simulation/examples/explore.rs
+++ b/crates/simulation/examples/explore.rs
@@ -1,4 +1,4 @@
-//! Searches random worlds for what breaks a promise.
+//! Runs random plans and searches for violations of the guarantees.
 //!
 //! ```text
 //! cargo run --release -p pebblepond-simulation --example explore -- --worlds 10000 --seed 1
@@ -16,27 +16,27 @@
 use std::time::Instant;
 
 #[derive(Parser)]
-#[command(about = "Runs random worlds and checks what was observed of them")]
+#[command(about = "Runs random plans and checks the observations")]
 struct Args {
-    /// How many random worlds to run.
+    /// Number of random plans to run.
     #[arg(long, default_value_t = 1000)]
     worlds: u64,
-    /// The seed of the first world; the others follow one by one.
+    /// The seed of the first plan; the others use the consecutive seeds.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Threads to use.
+    /// Number of threads.
     #[arg(long, default_value_t = 2)]
     jobs: usize,
-    /// Most steps of a world.
+    /// Upper bound of the number of steps of a plan.
     #[arg(long, default_value_t = 60)]
     steps: usize,
-    /// Runs one world, makes it as small as it fails, and tells what happened.
+    /// Runs the plan of one seed, shrinks it if it fails, and prints the history.
     #[arg(long)]
     replay: Option<u64>,
-    /// Tells what happened in the whole world, not in the smallest one that fails.
+    /// Prints the history of the complete plan instead of the smallest failing one.
     #[arg(long)]
     whole: bool,
-    /// Ends the search after so many seconds.
+    /// Time after which the search ends, in seconds.
     #[arg(long, default_value_t = 3600)]
     seconds: u64,
 }
@@ -45,8 +45,8 @@
     static SEED: Cell<u64> = const { Cell::new(0) };
 }
 
-/// Tries to make a failing world smaller.
-const SMALLER: usize = 1500;
+/// Largest number of shrinking steps for a failing plan.
+const MAX_SHRINK_STEPS: usize = 1500;
 
 fn replay_line(seed: u64, steps: usize) -> String {
     format!(
@@ -56,11 +56,11 @@
 
 fn main() {
     let args = Args::parse();
-    let before = std::panic::take_hook();
+    let previous_hook = std::panic::take_hook();
     let steps = args.steps;
     std::panic::set_hook(Box::new(move |panic| {
         println!("panic: replay with: {}", replay_line(SEED.get(), steps));
-        before(panic);
+        previous_hook(panic);
     }));
     match args.replay {
         Some(seed) => replay(seed, &args),
@@ -71,21 +71,21 @@
 fn replay(seed: u64, args: &Args) {
     SEED.set(seed);
     let Ok(mut tree) = PlanTree::of_seed(seed, args.steps) else {
-        println!("seed {seed} makes no world");
+        println!("seed {seed} gives no plan");
         return;
     };
     let (_, violations, _) = run_and_check(&tree.plan(), Mutant::None);
     let mut plan = tree.plan();
     if let (false, Some(first)) = (args.whole, violations.first()) {
-        // The same kind of failure: its first word.
+        // The first word of a violation is its kind; the smaller plan must fail with the same kind.
         let kind = first.split_whitespace().next().unwrap_or("").to_string();
         let fails = |plan: &_| {
             run_and_check(plan, Mutant::None)
                 .1
                 .iter()
-                .any(|w| w.starts_with(&kind))
+                .any(|violation| violation.starts_with(&kind))
         };
-        plan = tree.smallest(SMALLER, fails);
+        plan = tree.smallest(MAX_SHRINK_STEPS, fails);
     }
     let (coverage, violations, history) = run_and_check(&plan, Mutant::None);
     println!(
@@ -97,22 +97,22 @@
     }
     println!("{}", history.trace());
     println!("{coverage:?}");
-    for w in &violations {
-        println!("WRONG {w}");
+    for violation in &violations {
+        println!("WRONG {violation}");
     }
     std::process::exit(i32::from(!violations.is_empty()));
 }
 
 fn search(args: &Args) {
     let next = AtomicU64::new(0);
-    let begun = Instant::now();
+    let started = Instant::now();
     let total = Mutex::new((Coverage::default(), 0u64, 0u64));
     let failing: Mutex<BTreeMap<u64, Vec<String>>> = Mutex::default();
     std::thread::scope(|scope| {
         for _ in 0..args.jobs {
             scope.spawn(|| loop {
                 let i = next.fetch_add(1, Ordering::Relaxed);
-                if i >= args.worlds || begun.elapsed().as_secs() >= args.seconds {
+                if i >= args.worlds || started.elapsed().as_secs() >= args.seconds {
                     return;
                 }
                 let seed = args.seed + i;
@@ -139,7 +139,7 @@
     });
     let (coverage, events, worlds) = total.into_inner().unwrap_or_default();
     let failing = failing.into_inner().unwrap_or_default();
-    let seconds = begun.elapsed().as_secs_f64().max(0.001);
+    let seconds = started.elapsed().as_secs_f64().max(0.001);
     println!(
         "{worlds} worlds from seed {} in {seconds:.1} s: {:.1} a second; {events} events",
         args.seed,
--- a/crates/simulation/tests/checker.rs
+++ b/crates/simulation/tests/checker.rs
@@ -1,13 +1,13 @@
-//! The checker itself: it accepts what one register explains, and finds each planted
-//! fault. Histories are written by hand, one event a line:
+//! Tests of the checker: it accepts histories that one register can explain, and finds each
+//! planted fault. Histories are written by hand, one event per line:
 //!
 //! ```text
-//! AT WHO sends ORDER ATTEMPT NODE replace BASE VERSION BODY [invalid] | begin Z | finish Z | read
+//! AT WHO sends COMMAND ATTEMPT NODE replace BASE VERSION BODY [invalid] | begin Z | finish Z | read
 //! AT NODE replies ATTEMPT STATUS
 //! AT WHO hears ATTEMPT STATUS [for ATTEMPT] [VERSION BODY]
-//! AT NODE applies INDEX BASE/VERSION/BODY|none [Z=COUNT] [odd]
-//! AT NODE effect INDEX ORDER ATTEMPT changed|nothing
-//! AT NODE leads TERM | synced INDEX | ends killed|wiped | begins LIFE
+//! AT NODE applies INDEX BASE/VERSION/BODY|none [Z=COUNT] [different]
+//! AT NODE effect INDEX COMMAND ATTEMPT changed|nothing
+//! AT NODE leads TERM | synced INDEX | ends killed|wiped | begins PROCESS
 //! AT WORKER holds FROM TO FENCE UNTIL
 //! ```
 
@@ -18,7 +18,7 @@
 use std::collections::BTreeMap;
 
 fn number(word: &str) -> u64 {
-    word.parse().unwrap_or_else(|_| panic!("{word} is no number"))
+    word.parse().unwrap_or_else(|_| panic!("{word} is not a number"))
 }
 
 fn request(words: &[&str]) -> Request {
@@ -50,15 +50,15 @@
         _ => None,
     };
     let mut evacuated = BTreeMap::new();
-    let mut odd = 0;
+    let mut difference = 0;
     for word in &words[1..] {
         match word.split_once('=') {
             Some((zone, count)) => drop(evacuated.insert(zone.to_string(), number(count) as u32)),
-            None => odd = 1,
+            None => difference = 1,
         }
     }
     let index = number(index);
-    let digest = digest(format!("{index} {content:?} {evacuated:?}").as_bytes()) + odd;
+    let digest = digest(format!("{index} {content:?} {evacuated:?}").as_bytes()) + difference;
     Replica {
         index,
         digest,
@@ -130,7 +130,7 @@
     }
 }
 
-/// Reads a history; a node's life is 1 until a line says that another begins.
+/// Parses a history. The process number of a node is 1 until a line starts another process.
 fn history(text: &str) -> History {
     let mut processes: BTreeMap<String, u64> = BTreeMap::new();
     let mut history = History::default();
@@ -154,10 +154,10 @@
     found
 }
 
-/// Histories that break nothing.
-const SOUND: &[(&str, &str)] = &[
+/// Histories without violations.
+const CONSISTENT: &[(&str, &str)] = &[
     (
-        "an answer is lost, the order sent again is acknowledged, the rival is refused",
+        "an answer is lost, the repeated command is acknowledged, the competing one is refused",
         "1 ann sends 1 1 a replace 0 3 x
          2 bob sends 2 2 b replace 0 3 y
          5 a applies 2 0/3/x
@@ -171,7 +171,7 @@
          21 ann hears 4 200 3 x",
     ),
     (
-        "an order without a reply takes effect much later",
+        "a command without a reply takes effect much later",
         "1 ann sends 1 1 a replace 0 3 x
          2 a replies 1 503
          2 ann hears 1 503
@@ -183,7 +183,7 @@
          52 bob hears 3 200 3 x",
     ),
     (
-        "a rival is refused since an order without a reply came first",
+        "a competing command is refused because one without a reply took effect first",
         "1 ann sends 1 1 a replace 0 3 x
          2 bob sends 2 2 b replace 0 4 y
          3 b replies 2 412
@@ -193,7 +193,7 @@
          11 bob hears 3 200",
     ),
     (
-        "a refusal and a read that overlap the winner",
+        "a refusal and a read overlap the accepted command",
         "1 ann sends 1 1 a replace 0 3 x
          2 bob sends 2 2 b read
          3 bob sends 3 3 b replace 0 4 y
@@ -205,7 +205,7 @@
          9 bob hears 3 412",
     ),
     (
-        "two evacuations of one zone, one taken back",
+        "two evacuations of one zone, each finished once, then a finish without effect",
         "1 ann sends 1 1 a begin z
          1 bob sends 2 2 a begin z
          3 a effect 4 1 1 changed
@@ -227,7 +227,7 @@
          13 a applies 8 none",
     ),
     (
-        "keys change hands, a part of them before their time",
+        "keys change holders, some of them by a release before the hold ends",
         "1 v holds 0 99 1 100
          5 v holds 50 99 1 5
          6 w holds 50 99 2 200
@@ -238,7 +238,7 @@
 /// Planted faults, and the check that finds each.
 const FAULTS: &[(&str, Check, &str)] = &[
     (
-        "an order that was taken is refused when it comes again",
+        "an accepted command is refused when it is repeated",
         Check::TakenRefused,
         "1 ann sends 1 1 a replace 0 1 x
          2 a replies 1 200
@@ -253,7 +253,7 @@
          11 ann hears 4 412",
     ),
     (
-        "a deposed leader refuses by its old copy, the order comes through later",
+        "a deposed leader refuses by its old replica, the command takes effect later",
         Check::RefusedInForce,
         "1 ann sends 1 1 a replace 0 1 x
          2 a replies 1 412
@@ -261,7 +261,7 @@
          9 b applies 3 0/1/x",
     ),
     (
-        "a cut-off leader refuses though nothing else is in force",
+        "a leader that is cut off refuses although the base is in force",
         Check::Register,
         "1 ann sends 1 1 a replace 0 1 x
          2 a replies 1 200
@@ -271,7 +271,7 @@
          6 ann hears 2 412",
     ),
     (
-        "two changes on top of one version",
+        "two changes with the same base version",
         Check::TwoForOneBase,
         "1 ann sends 1 1 a replace 0 3 x
          1 bob sends 2 2 b replace 0 4 y
@@ -281,27 +281,27 @@
          4 bob hears 2 200",
     ),
     (
-        "an invalid order is acknowledged",
+        "an invalid command is acknowledged",
         Check::InvalidInForce,
         "1 ann sends 1 1 a replace 0 3 x invalid
          2 a replies 1 200
          3 ann hears 1 200",
     ),
     (
-        "a valid order is called invalid",
+        "a valid command is refused as invalid",
         Check::ValidRefused,
         "1 ann sends 1 1 a replace 0 3 x
          2 a replies 1 400
          3 ann hears 1 400",
     ),
     (
-        "the body in force is not the one sent under its number",
+        "the body in force differs from the one sent with this version",
         Check::UnknownInForce,
         "1 ann sends 1 1 a replace 0 3 x
          4 b applies 3 0/3/y",
     ),
     (
-        "an acknowledged order is gone after all lost power",
+        "an acknowledged command is lost after a restart",
         Check::LostAfterAck,
         "1 ann sends 1 1 a replace 0 3 x
          2 a replies 1 200
@@ -313,7 +313,7 @@
          11 ann hears 2 404",
     ),
     (
-        "an acknowledged evacuation is gone",
+        "an acknowledged evacuation is lost",
         Check::LostAfterAck,
         "1 ann sends 1 1 a begin z
          3 a replies 1 200
@@ -321,7 +321,7 @@
          9 b applies 9 none",
     ),
     (
-        "a read out of a copy, without a round",
+        "a read from a replica without confirmation by a majority",
         Check::StaleRead,
         "1 ann sends 1 1 a replace 0 3 x
          2 a replies 1 200
@@ -334,7 +334,7 @@
          14 bob hears 3 200 3 x",
     ),
     (
-        "one read finds a version, a later one does not yet, though none was acknowledged",
+        "a read returns a version that a later read does not return, though it was not acknowledged",
         Check::Register,
         "1 ann sends 1 1 a replace 0 3 x
          9 bob sends 2 2 b read
@@ -345,7 +345,7 @@
          14 bob hears 3 404",
     ),
     (
-        "acknowledged by a leader alone",
+        "a command is acknowledged while only the leader has it on disk",
         Check::TooFewDisks,
         "1 ann sends 1 1 a replace 0 3 x
          2 a synced 4
@@ -355,7 +355,7 @@
          5 ann hears 1 200",
     ),
     (
-        "acknowledged by two disks of which one is lost",
+        "a command is acknowledged by two disks of which one is lost",
         Check::TooFewDisks,
         "1 ann sends 1 1 a replace 0 3 x
          2 a synced 4
@@ -367,7 +367,7 @@
          2001 ann hears 1 200",
     ),
     (
-        "an order that was sent again is counted twice",
+        "a repeated command is counted twice",
         Check::MoreThanOnce,
         "1 ann sends 1 1 a begin z
          3 ann sends 1 2 b begin z
@@ -376,7 +376,7 @@
          5 a applies 5 none z=2",
     ),
     (
-        "an attempt that was passed on twice is counted twice",
+        "an attempt that was forwarded twice is counted twice",
         Check::MoreThanOnce,
         "1 ann sends 1 1 a begin z
          4 a effect 4 1 1 changed
@@ -384,7 +384,7 @@
          400 a applies 5 none z=2",
     ),
     (
-        "an operator's evacuation is swallowed, long after its like",
+        "an evacuation has no effect although an equal command came long before",
         Check::Evacuations,
         "1 ann sends 1 1 a begin z
          4 a effect 4 1 1 changed
@@ -394,7 +394,7 @@
          903 bob hears 2 200",
     ),
     (
-        "one of two operators' evacuations is swallowed",
+        "the evacuation of one of two operators is acknowledged and never applied",
         Check::LostAfterAck,
         "1 ann sends 1 1 a begin z
          3 a effect 4 1 1 changed
@@ -406,7 +406,7 @@
          8 bob hears 2 200",
     ),
     (
-        "a zone is still empty when all was taken back",
+        "a zone is still evacuated after all evacuations have been finished",
         Check::Evacuations,
         "1 ann sends 1 1 a begin z
          3 a effect 4 1 1 changed
@@ -419,7 +419,7 @@
          8 ann hears 2 200",
     ),
     (
-        "evacuations in an order that nobody saw",
+        "evacuations are applied in an order that contradicts the observations",
         Check::Evacuations,
         "1 ann sends 1 1 a begin z
          3 a effect 4 2 2 changed
@@ -429,7 +429,7 @@
          9 bob sends 2 2 a finish z",
     ),
     (
-        "a late answer to a call of the life before reaches a new caller",
+        "a late answer to a call of the previous process reaches a new caller",
         Check::WrongCaller,
         "1 ann sends 1 1 a replace 0 3 x
          2 a ends killed
@@ -439,27 +439,27 @@
          6 bob hears 2 200 for 1",
     ),
     (
-        "an answer that nobody gave",
+        "an answer that no node sent",
         Check::WrongCaller,
         "1 ann sends 1 1 a replace 0 3 x
          2 b replies 1 200
          3 ann hears 1 200",
     ),
     (
-        "a copy goes back within a life",
+        "the replica of a process goes back to an earlier index",
         Check::WentBack,
         "1 ann sends 1 1 a replace 0 3 x
          2 a applies 5 0/3/x
          3 a applies 4 none",
     ),
     (
-        "two copies differ",
+        "two replicas differ",
         Check::CopiesDiffer,
         "2 a applies 5 none
-         3 b applies 5 none odd",
+         3 b applies 5 none different",
     ),
     (
-        "one index is two orders'",
+        "two commands are applied at one index",
         Check::CopiesDiffer,
         "1 ann sends 1 1 a begin z
          1 ann sends 2 2 a begin y
@@ -467,12 +467,12 @@
          3 b effect 5 2 2 changed",
     ),
     (
-        "two lead in one term",
+        "two leaders in one term",
         Check::TwoLeaders,
         "2 a leads 5\n3 b leads 5",
     ),
     (
-        "a leader forgets what its predecessor granted",
+        "a leader grants keys again while the grant of its predecessor is in force",
         Check::TwoHolders,
         "1 v holds 0 99 1 100
          50 w holds 90 120 2 150",
@@ -480,8 +480,8 @@
 ];
 
 #[test]
-fn what_one_register_explains_is_accepted() {
-    for (name, text) in SOUND {
+fn histories_that_one_register_explains_are_accepted() {
+    for (name, text) in CONSISTENT {
         assert_eq!(check_history(&history(text), Guarantees::default()), [], "{name}");
     }
 }
@@ -501,7 +501,7 @@
 }
 
 #[test]
-fn a_read_that_is_never_answered_in_calm_times_is_found() {
+fn missing_answers_after_all_faults_have_ended_are_found() {
     let text = "1 ann sends 1 1 a read\n20 ann sends 2 2 a read\n21 a replies 2 503\n22 ann hears 2 503";
     let guarantees = Guarantees {
         disks: 0,
@@ -511,21 +511,21 @@
     assert_eq!(found(text, guarantees), [Check::NoReadBack]);
 }
 
-/// One attempt in a run of a true register: what is asked, how long the way there and
-/// back takes, and whether the reply gets lost.
+/// One attempt on a correct register: the request, the transit times of request and reply, and
+/// whether the reply is lost.
 #[derive(Clone, Debug)]
-struct Try {
+struct PlannedAttempt {
     at: u64,
-    there: u64,
-    back: u64,
-    lost: bool,
-    /// How far behind the newest version that the operator knows its base is.
-    stale: u64,
-    again: bool,
-    read: bool,
+    request_ms: u64,
+    reply_ms: u64,
+    is_reply_lost: bool,
+    /// Number of versions by which the base is older than the newest one that the operator knows.
+    versions_behind: u64,
+    is_repeated: bool,
+    is_read: bool,
 }
 
-fn tries() -> impl Strategy<Value = Vec<Try>> {
+fn tries() -> impl Strategy<Value = Vec<PlannedAttempt>> {
     let one = (
         0..400u64,
         1..60u64,
@@ -535,47 +535,55 @@
         any::<bool>(),
         any::<bool>(),
     )
-        .prop_map(|(at, there, back, lost, stale, again, read)| Try {
-            at,
-            there,
-            back,
-            lost,
-            stale,
-            again,
-            read,
-        });
+        .prop_map(
+            |(at, request_ms, reply_ms, is_reply_lost, versions_behind, is_repeated, is_read)| {
+                PlannedAttempt {
+                    at,
+                    request_ms,
+                    reply_ms,
+                    is_reply_lost,
+                    versions_behind,
+                    is_repeated,
+                    is_read,
+                }
+            },
+        );
     prop::collection::vec(one, 1..40)
 }
 
-/// Runs attempts against a register that does what it should.
-#[allow(clippy::too_many_lines, reason = "a register in miniature")]
-fn outcome(mut tries: Vec<Try>) -> History {
+/// Runs attempts against a correct register.
+#[allow(clippy::too_many_lines, reason = "a complete register in one function")]
+fn register_history(mut tries: Vec<PlannedAttempt>) -> History {
     tries.sort_by_key(|t| t.at);
-    // What happens when: 0 sent, 1 at the register, 2 heard.
-    let mut agenda: Vec<(u64, u8, usize)> = Vec::new();
+    // Events by time: 0 sent, 1 executed by the register, 2 reply received.
+    let mut events: Vec<(u64, u8, usize)> = Vec::new();
     for (i, t) in tries.iter().enumerate() {
-        agenda.extend([
+        events.extend([
             (t.at, 0, i),
-            (t.at + t.there, 1, i),
-            (t.at + t.there + t.back, 2, i),
+            (t.at + t.request_ms, 1, i),
+            (t.at + t.request_ms + t.reply_ms, 2, i),
         ]);
     }
-    agenda.sort_unstable();
+    events.sort_unstable();
     let mut history = History::default();
-    let (mut taken, mut known): (Vec<Content>, Vec<u64>) = (Vec::new(), vec![0]);
-    let mut asked: Vec<(u64, Request)> = Vec::new();
+    let (mut accepted, mut known): (Vec<Content>, Vec<u64>) = (Vec::new(), vec![0]);
+    let mut sent_requests: Vec<(u64, Request)> = Vec::new();
     let mut replies: BTreeMap<usize, Reply> = BTreeMap::new();
-    for (at, what, i) in agenda {
+    for (at, what, i) in events {
         let attempt = i as u64 + 1;
         match what {
             0 => {
                 let t = &tries[i];
-                let last = asked.iter().rev().find(|(_, r)| *r != Request::Read).cloned();
+                let last = sent_requests
+                    .iter()
+                    .rev()
+                    .find(|(_, r)| *r != Request::Read)
+                    .cloned();
                 let (command, request) = match last {
-                    _ if t.read => (attempt, Request::Read),
-                    Some(last) if t.again => last,
+                    _ if t.is_read => (attempt, Request::Read),
+                    Some(last) if t.is_repeated => last,
                     _ => {
-                        let base = known[known.len().saturating_sub(1 + t.stale as usize)];
+                        let base = known[known.len().saturating_sub(1 + t.versions_behind as usize)];
                         let content = Content {
                             base,
                             version: base + 1 + attempt % 2,
@@ -584,7 +592,7 @@
                         (attempt, Request::Replace { content, valid: true })
                     }
                 };
-                asked.push((command, request.clone()));
+                sent_requests.push((command, request.clone()));
                 let to = "a".into();
                 history.record(
                     at,
@@ -599,17 +607,17 @@
             }
             1 => {
                 let (mut status, mut read) = (200, None);
-                match &asked[i].1 {
+                match &sent_requests[i].1 {
                     Request::Replace { content, .. } => {
-                        let newest = taken.last().map_or(0, |c| c.version);
-                        if content.base == newest && !taken.contains(content) {
-                            taken.push(*content);
-                        } else if !taken.contains(content) {
+                        let newest = accepted.last().map_or(0, |c| c.version);
+                        if content.base == newest && !accepted.contains(content) {
+                            accepted.push(*content);
+                        } else if !accepted.contains(content) {
                             status = 412;
                         }
                     }
                     _ => {
-                        read = taken.last().map(|c| (c.version, c.digest));
+                        read = accepted.last().map(|c| (c.version, c.digest));
                         status = if read.is_some() { 200 } else { 404 };
                     }
                 }
@@ -624,10 +632,10 @@
                     },
                 );
             }
-            _ if tries[i].lost => {}
+            _ if tries[i].is_reply_lost => {}
             _ => {
                 let reply = replies[&i].clone();
-                if let (200, Request::Replace { content, .. }) = (reply.status, &asked[i].1) {
+                if let (200, Request::Replace { content, .. }) = (reply.status, &sent_requests[i].1) {
                     known.push(content.version);
                     known.sort_unstable();
                 }
@@ -646,23 +654,24 @@
         ..Config::default()
     })]
 
-    /// No false alarm, and three mutations that break a history are seen.
+    /// A correct history has no violations; a reply made for another attempt and a stale read are
+    /// found.
     #[test]
-    fn a_true_register_is_accepted_and_a_changed_reply_is_not(tries in tries(), pick in any::<prop::sample::Index>()) {
-        let history = outcome(tries);
+    fn a_correct_register_is_accepted_and_changed_replies_are_found(tries in tries(), pick in any::<prop::sample::Index>()) {
+        let history = register_history(tries);
         prop_assert_eq!(check_history(&history, Guarantees::default()), []);
-        let heard = |h: &History| -> Vec<usize> {
-            let is = |i: &usize| matches!(h.events[*i].observation, Observation::ReplyReceived { .. });
-            (0..h.events.len()).filter(is).collect()
+        let received = |h: &History| -> Vec<usize> {
+            let is_reply = |i: &usize| matches!(h.events[*i].observation, Observation::ReplyReceived { .. });
+            (0..h.events.len()).filter(is_reply).collect()
         };
-        let all = heard(&history);
+        let all = received(&history);
         prop_assume!(!all.is_empty());
         let mut changed = history.clone();
         if let Observation::ReplyReceived { reply, .. } = &mut changed.events[all[pick.index(all.len())]].observation {
             reply.made_for += 1;
         }
-        prop_assert!(!check_history(&changed, Guarantees::default()).is_empty(), "another's reply");
-        // The last read hears what was true at the beginning, when more is known.
+        prop_assert!(!check_history(&changed, Guarantees::default()).is_empty(), "a reply made for another attempt");
+        // A final read returns the initial state although a change has been acknowledged.
         let mut changed = history.clone();
         let acknowledged = |e: &simulation::history::Event| matches!(&e.observation, Observation::ReplyReceived { reply, .. } if reply.status == 200 && reply.read.is_none());
         if let Some(first) = history.events.iter().find(|e| acknowledged(e)) {
--- a/crates/simulation/tests/cold.rs
+++ b/crates/simulation/tests/cold.rs
@@ -1,5 +1,5 @@
-//! Whatever comes at a cold worker, all nodes together stay within its bound:
-//! arbitrary arrivals, joins, restarts, leaders and views that lag behind.
+//! All nodes together keep the request rate of a worker in warm-up within its bound, under
+//! arbitrary load, joins, restarts, changes of leader and replicas that lag behind.
 
 use balancer::{AttemptResult, LoadBalancer, Locality, PeerInfo, Selection, SelectionRequest};
 use config::{constants as c, settings::Bounds};
@@ -19,28 +19,28 @@
       {"Name":"keyed","RouteType":"idempotent","Target":"300ms","Condition":{"PathPrefix":"/b/"},"Treatment":{"Service":"k","Timeout":"9s"}}]}],
     "Groups":[{"Name":"s","ConnectionLimit":500,"ColdPeriod":"3s","ColdRateS":RATE},
       {"Name":"k","Partitioned":true,"ConnectionLimit":500,"ColdPeriod":"3s","ColdRateS":RATE}]}"#;
-/// Requests a second that cold workers bear.
+/// Request rate that a worker in warm-up can serve, requests per second.
 const RATE: &str = "3.0";
-const LAG_MS: u64 = 800;
+const LIST_LAG_MS: u64 = 800;
 const STEP_MS: u64 = 20;
 const ZONES: u64 = 3;
 
 #[derive(Clone, Debug)]
 enum Event {
-    /// Workers of both services begin in a zone, cold; one takes the keys over.
-    Begin {
+    /// Workers of both services start in a zone, in warm-up; one of them takes over the keys.
+    StartWorkers {
         zone: u64,
         count: usize,
     },
-    /// A part of the nodes ends and is back after so many ms.
-    Herd {
-        part: f64,
-        dark_ms: u64,
+    /// A fraction of the nodes ends and is back after `down_ms`.
+    MassRestart {
+        fraction: f64,
+        down_ms: u64,
     },
     ClientLoad {
-        per_s: f64,
+        requests_per_s: f64,
     },
-    /// A zone is emptied for so many ms; its workers turn cold shortly before.
+    /// A zone is evacuated for `for_ms`; shortly before the end its workers may return to warm-up.
     Evacuate {
         zone: u64,
         for_ms: u64,
@@ -50,9 +50,9 @@
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        (0..ZONES, 1..6usize).prop_map(|(zone, count)| Event::Begin { zone, count }),
-        (0.1..1.0, 20..1500u64).prop_map(|(part, dark_ms)| Event::Herd { part, dark_ms }),
-        (0.0..400.0).prop_map(|per_s| Event::ClientLoad { per_s }),
+        (0..ZONES, 1..6usize).prop_map(|(zone, count)| Event::StartWorkers { zone, count }),
+        (0.1..1.0, 20..1500u64).prop_map(|(fraction, down_ms)| Event::MassRestart { fraction, down_ms }),
+        (0.0..400.0).prop_map(|requests_per_s| Event::ClientLoad { requests_per_s }),
         (0..ZONES, 3000..5000u64).prop_map(|(zone, for_ms)| Event::Evacuate { zone, for_ms }),
         Just(Event::NewLeader),
     ]
@@ -63,7 +63,7 @@
     zone: u64,
     balancer: LoadBalancer,
     seen: usize,
-    /// How far its copy lags behind.
+    /// Lag of the replica of the node, ms.
     lag_ms: u64,
     up_at: u64,
     keeps_id: bool,
@@ -72,28 +72,28 @@
 struct Worker {
     row: protocol::Worker,
     cold_until: u64,
-    /// It is cold from then on; the list shows it later.
+    /// Start of the warm-up, ms; the list shows it later.
     cold_from: u64,
     arrivals: Vec<u64>,
 }
 
-struct Day {
+struct Simulation {
     now: u64,
     rng: SmallRng,
     nodes: Vec<Node>,
     workers: BTreeMap<String, Worker>,
-    /// The log: when each state was reached.
+    /// The control states, each with the time at which it was reached, ms.
     log: Vec<(u64, Arc<ControlState>)>,
     warmup: WarmupAdmission,
     bounds: Bounds,
-    per_s: f64,
+    requests_per_s: f64,
     next_id: u64,
     answers: Vec<(u64, usize, u64, String)>,
-    back: Vec<(u64, u64)>,
+    evacuation_ends: Vec<(u64, u64)>,
 }
 
-impl Day {
-    fn new(seed: u64, nodes: u64, rate: &str) -> Day {
+impl Simulation {
+    fn new(seed: u64, nodes: u64, rate: &str) -> Simulation {
         let bounds = Bounds {
             cold_excess: 1.5,
             cold_slack: 6.0,
@@ -101,7 +101,7 @@
             retry_slack: 50.0,
             ..Default::default()
         };
-        let mut day = Day {
+        let mut simulation = Simulation {
             now: 1,
             rng: SmallRng::seed_from_u64(seed),
             nodes: Vec::new(),
@@ -109,26 +109,26 @@
             log: vec![(0, Arc::new(ControlState::default()))],
             warmup: WarmupAdmission::default(),
             bounds,
-            per_s: 100.0,
+            requests_per_s: 100.0,
             next_id: 1,
             answers: Vec::new(),
-            back: Vec::new(),
+            evacuation_ends: Vec::new(),
         };
-        day.change(ChangeKind::Replace(ConfigurationCommand {
+        simulation.change(ChangeKind::Replace(ConfigurationCommand {
             body: CONFIG.replace("RATE", rate).into(),
             ..Default::default()
         }));
         for i in 0..nodes {
-            let node = day.node(i % ZONES, i < 2 * ZONES);
-            day.nodes.push(node);
+            let node = simulation.node(i % ZONES, i < 2 * ZONES);
+            simulation.nodes.push(node);
         }
         for i in 0..ZONES * 4 {
             for service in ["s", "k"] {
-                day.worker(&format!("{service}-old-{i}"), service, i % ZONES, 0);
+                simulation.worker(&format!("{service}-old-{i}"), service, i % ZONES, 0);
             }
         }
-        day.give_keys("k-old-0");
-        day
+        simulation.grant_keys("k-old-0");
+        simulation
     }
 
     fn node(&mut self, zone: u64, keeps_id: bool) -> Node {
@@ -173,7 +173,7 @@
         self.log.push((self.now, Arc::new(state)));
     }
 
-    fn give_keys(&mut self, worker: &str) {
+    fn grant_keys(&mut self, worker: &str) {
         let put = vec![KeyLease {
             service: "k".into(),
             to: KEY_SPACE - 1,
@@ -184,25 +184,25 @@
         self.change(ChangeKind::KeyLeases(KeyLeaseChange { put }));
     }
 
-    fn happen(&mut self, event: &Event) {
+    fn apply_event(&mut self, event: &Event) {
         match *event {
-            Event::Begin { zone, count } => {
+            Event::StartWorkers { zone, count } => {
                 for i in 0..count {
                     for service in ["s", "k"] {
                         self.worker(&format!("{service}-{}-{i}", self.now), service, zone, 3000);
                     }
                 }
                 self.read_list();
-                self.give_keys(&format!("k-{}-0", self.now));
+                self.grant_keys(&format!("k-{}-0", self.now));
             }
-            Event::Herd { part, dark_ms } => {
+            Event::MassRestart { fraction, down_ms } => {
                 for i in 0..self.nodes.len() {
-                    if self.rng.gen_bool(part) {
-                        let (zone, keeps, id) =
+                    if self.rng.gen_bool(fraction) {
+                        let (zone, keeps_id, id) =
                             (self.nodes[i].zone, self.nodes[i].keeps_id, self.nodes[i].id);
-                        let mut node = self.node(zone, keeps);
-                        node.up_at = self.now + dark_ms;
-                        if keeps {
+                        let mut node = self.node(zone, keeps_id);
+                        node.up_at = self.now + down_ms;
+                        if keeps_id {
                             node.id = id;
                         }
                         self.nodes[i] = node;
@@ -210,10 +210,10 @@
                 }
                 self.answers.clear();
             }
-            Event::ClientLoad { per_s } => self.per_s = per_s,
+            Event::ClientLoad { requests_per_s } => self.requests_per_s = requests_per_s,
             Event::Evacuate { zone, for_ms } => {
                 self.evacuate(zone, true);
-                self.back.push((self.now + for_ms, zone));
+                self.evacuation_ends.push((self.now + for_ms, zone));
             }
             Event::NewLeader => self.warmup.reset(),
         }
@@ -224,10 +224,10 @@
         self.change(ChangeKind::Evacuate(EvacuationChange { zone, begin }));
     }
 
-    /// The leader reads the list, which is behind.
+    /// Lets the leader read the list of workers, which lags by `LIST_LAG_MS`.
     fn read_list(&mut self) {
         let now = self.now;
-        let shown = now.saturating_sub(LAG_MS);
+        let shown = now.saturating_sub(LIST_LAG_MS);
         let mut listed = BTreeMap::new();
         for (id, w) in &self.workers {
             let mut row = w.row.clone();
@@ -251,7 +251,7 @@
             as_of: state.index,
             nodes: &callers,
             bounds: &self.bounds,
-            lag_ms: LAG_MS,
+            lag_ms: LIST_LAG_MS,
             pages: 1,
         };
         let change = self.warmup.compare(now, &listed, &input);
@@ -263,18 +263,22 @@
     fn step(&mut self) {
         self.now += STEP_MS;
         let now = self.now;
-        let back: Vec<u64> = self
-            .back
+        let evacuation_ends: Vec<u64> = self
+            .evacuation_ends
             .iter()
             .filter(|(at, _)| *at <= now)
             .map(|(_, z)| *z)
             .collect();
-        self.back.retain(|(at, _)| *at > now);
-        for zone in back {
-            let turns = self.rng.gen_bool(0.7);
+        self.evacuation_ends.retain(|(at, _)| *at > now);
+        for zone in evacuation_ends {
+            let returns_to_warmup = self.rng.gen_bool(0.7);
             let before = self.rng.gen_range(0..500);
             let name = format!("z{zone}");
-            for w in self.workers.values_mut().filter(|w| turns && w.row.zone == name) {
+            for w in self
+                .workers
+                .values_mut()
+                .filter(|w| returns_to_warmup && w.row.zone == name)
+            {
                 w.cold_from = now - before;
                 w.cold_until = now - before + 3000;
             }
@@ -301,27 +305,27 @@
 
     fn serve(&mut self, i: usize) {
         let now = self.now;
-        let (log, edges) = (&self.log, self.nodes.len());
+        let (log, node_count) = (&self.log, self.nodes.len());
         let node = &mut self.nodes[i];
         if node.up_at > now {
             return;
         }
-        // A fresh copy is as new as its voter's.
+        // The replica of a restarted node is as recent as that of its upstream.
         let newest = log.partition_point(|(at, _)| at + node.lag_ms <= now).max(1) - 1;
         if node.seen < newest {
             node.seen = newest;
             node.balancer.set_state(now, log[newest].1.clone());
         }
-        // Who has just begun knows nobody.
-        let alone = now < node.up_at + 1000;
-        let (edges, in_zone) = if alone {
+        // A node that has just started knows no peers.
+        let knows_no_peers = now < node.up_at + 1000;
+        let (node_count, in_zone) = if knows_no_peers {
             (1, 1)
         } else {
-            (edges, edges / ZONES as usize)
+            (node_count, node_count / ZONES as usize)
         };
         node.balancer.set_peers(PeerInfo {
             locality: Locality {
-                nodes: edges,
+                nodes: node_count,
                 number: 0,
                 nodes_in_zone: in_zone.max(1),
                 number_in_zone: 0,
@@ -333,7 +337,7 @@
             return;
         };
         for (path, service) in [("/a/", "s"), ("/b/", "k")] {
-            let chance = self.per_s * STEP_MS as f64 / 1000.0 / edges as f64;
+            let chance = self.requests_per_s * STEP_MS as f64 / 1000.0 / node_count as f64;
             let mut left = chance.floor() as u32 + u32::from(self.rng.gen_bool(chance.fract()));
             while left > 0 {
                 left -= 1;
@@ -341,7 +345,7 @@
                     continue;
                 };
                 let tried: Vec<String> = Vec::new();
-                let ask = SelectionRequest {
+                let request = SelectionRequest {
                     route,
                     key: (service == "k").then(|| self.rng.gen_range(0..KEY_SPACE)),
                     service,
@@ -349,7 +353,7 @@
                     remaining_ms: 8000,
                     zone: None,
                 };
-                if let Selection::Worker(found) = node.balancer.choose(now, &ask) {
+                if let Selection::Worker(found) = node.balancer.choose(now, &request) {
                     let answer = (now + 60, i, node.id, found.id.clone());
                     self.answers.push(answer);
                     if let Some(w) = self.workers.get_mut(&found.id) {
@@ -362,8 +366,9 @@
         }
     }
 
-    /// The most that a cold worker got in one second, and all that they got.
-    fn most(&self) -> (usize, usize) {
+    /// Returns the largest number of requests that a worker in warm-up received in one second, and the
+    /// number that all workers received in warm-up.
+    fn max_arrivals(&self) -> (usize, usize) {
         let most = self.workers.values().map(|w| {
             let within = |t: &u64| w.arrivals.iter().filter(|a| **a >= *t && **a < t + 1000).count();
             w.arrivals.iter().map(within).max().unwrap_or(0)
@@ -377,21 +382,21 @@
     }
 }
 
-fn run_day(seed: u64, nodes: u64, rate: &str, events: &[(u64, Event)]) -> Day {
-    let mut day = Day::new(seed, nodes, rate);
+fn run_simulation(seed: u64, nodes: u64, rate: &str, events: &[(u64, Event)]) -> Simulation {
+    let mut simulation = Simulation::new(seed, nodes, rate);
     for _ in 0..3000 / STEP_MS {
-        day.step();
+        simulation.step();
     }
     for (pause, event) in events {
         for _ in 0..pause / STEP_MS {
-            day.step();
+            simulation.step();
         }
-        day.happen(event);
+        simulation.apply_event(event);
     }
     for _ in 0..5000 / STEP_MS {
-        day.step();
+        simulation.step();
     }
-    day
+    simulation
 }
 
 fn config(cases: u32) -> Config {
@@ -407,48 +412,67 @@
     #![proptest_config(config(48))]
 
     #[test]
-    fn no_cold_worker_is_flooded(
+    fn no_worker_in_warmup_exceeds_its_bound(
         seed in any::<u64>(),
         nodes in prop_oneof![1..20u64, 60..90u64, 200..320u64],
         events in prop::collection::vec((0..2500u64, event()), 1..8),
     ) {
-        let day = run_day(seed, nodes, RATE, &events);
-        let (most, _) = day.most();
-        prop_assert!(most <= day.bound(), "{most} of {}", day.bound());
+        let simulation = run_simulation(seed, nodes, RATE, &events);
+        let (most, _) = simulation.max_arrivals();
+        prop_assert!(most <= simulation.bound(), "{most} of {}", simulation.bound());
     }
 }
 
-/// A whole zone begins cold, and is flooded after a herd of restarts.
-fn hard() -> Vec<(u64, Event)> {
-    let herd = Event::Herd {
-        part: 0.6,
-        dark_ms: 100,
+/// Workers of a zone start in warm-up, and a mass restart of nodes follows under high load.
+fn mass_restart_under_load() -> Vec<(u64, Event)> {
+    let mass_restart = Event::MassRestart {
+        fraction: 0.6,
+        down_ms: 100,
     };
     vec![
-        (0, Event::ClientLoad { per_s: 300.0 }),
-        (0, Event::Begin { zone: 1, count: 5 }),
-        (600, herd),
+        (
+            0,
+            Event::ClientLoad {
+                requests_per_s: 300.0,
+            },
+        ),
+        (0, Event::StartWorkers { zone: 1, count: 5 }),
+        (600, mass_restart),
     ]
 }
 
 #[test]
-fn the_check_finds_a_share_that_is_too_large() {
-    let day = run_day(1, 80, "40.0", &hard());
-    assert!(day.most().0 > day.bound(), "{:?}", day.most());
-    let day = run_day(1, 80, RATE, &hard());
-    assert!(day.most().0 <= day.bound(), "{:?}", day.most());
+fn a_warmup_rate_that_is_too_high_is_found() {
+    let simulation = run_simulation(1, 80, "40.0", &mass_restart_under_load());
+    assert!(
+        simulation.max_arrivals().0 > simulation.bound(),
+        "{:?}",
+        simulation.max_arrivals()
+    );
+    let simulation = run_simulation(1, 80, RATE, &mass_restart_under_load());
+    assert!(
+        simulation.max_arrivals().0 <= simulation.bound(),
+        "{:?}",
+        simulation.max_arrivals()
+    );
 }
 
 #[test]
-fn what_cold_workers_bear_is_used() {
+fn the_warmup_capacity_is_used() {
     let events = [
-        (0, Event::ClientLoad { per_s: 400.0 }),
-        (0, Event::Begin { zone: 1, count: 5 }),
+        (
+            0,
+            Event::ClientLoad {
+                requests_per_s: 400.0,
+            },
+        ),
+        (0, Event::StartWorkers { zone: 1, count: 5 }),
     ];
-    let day = run_day(3, 45, RATE, &events);
-    // Workers of both services bear 3 a second for 3 s; of those with keys, one.
-    let bears = (5.0 + 1.0) * 3.0 * 3.0 * c::WARMUP_PART;
-    let used = day.most().1 as f64 / bears;
+    let simulation = run_simulation(3, 45, RATE, &events);
+    // Workers of both services can serve 3 requests per second for 3 s; of the partitioned service,
+    // only the one with the keys.
+    let capacity = (5.0 + 1.0) * 3.0 * 3.0 * c::WARMUP_PART;
+    let used = simulation.max_arrivals().1 as f64 / capacity;
     println!("used: {used:.2}");
     assert!(used > 0.4, "{used:.2}");
 }
--- a/crates/simulation/tests/explore.rs
+++ b/crates/simulation/tests/explore.rs
@@ -1,5 +1,5 @@
-//! Random runs under fixed seeds: the system breaks no promise, and real faults that
-//! are planted into how nodes deal with commands are found by the checker. Longer searches:
+//! Random runs with fixed seeds: the system violates no guarantee, and the checker finds
+//! realistic faults that are planted in the command handlers. Longer searches:
 //! `cargo run --release -p pebblepond-simulation --example explore -- --worlds 100000`.
 
 use proptest::strategy::Strategy;
@@ -9,10 +9,10 @@
 use simulation::plan::{plans, Direction, Fault, OperatorRequest, Plan, PlanTree, Step, StepAction};
 use std::time::{Duration, Instant};
 
-/// Most steps of a run.
+/// Upper bound of the number of steps of a run.
 const STEPS: usize = 40;
-/// Runs of each search: some seconds in a test build.
-const WORLDS: u32 = 60;
+/// Number of runs of each search: some seconds in a test build.
+const RUNS: u32 = 60;
 
 fn is_evacuation(what: &StepAction) -> bool {
     matches!(
@@ -24,8 +24,8 @@
     )
 }
 
-/// Machines that join, or go and are replaced: the membership changes for other reasons than
-/// losses of disks.
+/// Returns whether a step adds or replaces a machine, so that the membership changes for reasons
+/// other than lost disks.
 fn changes_machines(what: &StepAction) -> bool {
     matches!(
         what,
@@ -33,54 +33,54 @@
     )
 }
 
-/// Searches plans, without some steps, until one fails; that is made smaller.
+/// Runs random plans without the steps that match `without`. A failing plan is shrunk.
 fn search(seed: u64, without: fn(&StepAction) -> bool) {
     let mut runner = TestRunner::new(Config {
-        cases: WORLDS,
+        cases: RUNS,
         rng_seed: RngSeed::Fixed(seed),
         failure_persistence: None,
         max_shrink_iters: 150,
         ..Config::default()
     });
-    let kept = plans(STEPS).prop_map(move |mut plan| {
+    let strategy = plans(STEPS).prop_map(move |mut plan| {
         plan.steps.retain(|s| !without(&s.what));
         plan
     });
-    let done = runner.run(&kept, |plan| {
+    let result = runner.run(&strategy, |plan| {
         let (_, violations, history) = run_and_check(&plan, Mutant::None);
         match violations.first() {
             None => Ok(()),
             Some(first) => Err(TestCaseError::fail(format!("{first}\n{}", history.trace()))),
         }
     });
-    if let Err(failure) = done {
+    if let Err(failure) = result {
         panic!("seed {seed}: {failure}");
     }
 }
 
 #[test]
-fn configurations_on_machines_that_stay() {
+fn configurations_with_fixed_machines_violate_no_guarantee() {
     search(1, |what| is_evacuation(what) || changes_machines(what));
 }
 
 #[test]
-fn evacuations_on_machines_that_stay() {
+fn evacuations_with_fixed_machines_violate_no_guarantee() {
     search(2, changes_machines);
 }
 
 #[test]
-fn machines_that_join_and_go() {
+fn joins_and_replacements_of_machines_violate_no_guarantee() {
     search(3, is_evacuation);
 }
 
-/// Runs in which a planted fault has its chance: no machine joins or goes for good, and
-/// if wanted each command is followed by a restart of the node that it was sent to.
-fn worlds(count: u64, restarts: bool) -> impl Iterator<Item = Plan> {
+/// Returns plans in which a planted fault can show: no machine joins or is permanently removed,
+/// and with `restarts` each request is followed by a restart of the node that it was sent to.
+fn random_plans(count: u64, restarts: bool) -> impl Iterator<Item = Plan> {
     (0..count).filter_map(move |seed| {
         let mut plan = PlanTree::of_seed(seed, 60).ok()?.plan();
         plan.steps.retain(|s| !changes_machines(&s.what));
         if restarts {
-            let followed = plan.steps.iter().flat_map(|s| {
+            let steps_with_restarts = plan.steps.iter().flat_map(|s| {
                 let kill = match s.what {
                     StepAction::OperatorRequest { node: target, .. } => Some(Step {
                         after: 150,
@@ -90,14 +90,14 @@
                 };
                 [Some(*s), kill]
             });
-            plan.steps = followed.flatten().collect();
+            plan.steps = steps_with_restarts.flatten().collect();
         }
         Some(plan)
     })
 }
 
-/// Runs of three voters that run the same steps under many seeds; the first leads.
-fn staged(steps: &[(u64, StepAction)]) -> impl Iterator<Item = Plan> + '_ {
+/// Returns plans of three voters with the same steps and different seeds. The first voter leads.
+fn staged_plans(steps: &[(u64, StepAction)]) -> impl Iterator<Item = Plan> + '_ {
     (0..2000).map(|seed| Plan {
         disks: 3,
         diskless: 0,
@@ -113,7 +113,7 @@
     })
 }
 
-const CHANGE: OperatorRequest = OperatorRequest::Replace {
+const REPLACE: OperatorRequest = OperatorRequest::Replace {
     older: 0,
     invalid: false,
 };
@@ -126,12 +126,12 @@
     }
 }
 
-/// The leader is cut off and frozen; meanwhile another one takes a change, of which the
-/// old leader is asked at the moment at which it goes on.
+/// The leader is cut off and frozen. Meanwhile another leader accepts a change, and the old
+/// leader receives requests at the moment at which it continues.
 fn frozen_leader() -> Vec<(u64, StepAction)> {
     let (way, duration_ms) = (Direction::Both, 3000);
     vec![
-        (300, request(0, 0, CHANGE)),
+        (300, request(0, 0, REPLACE)),
         (400, request(1, 0, OperatorRequest::Read)),
         (
             300,
@@ -148,18 +148,19 @@
                 duration_ms: 2700,
             }),
         ),
-        (1000, request(1, 1, CHANGE)),
-        (1500, request(1, 0, CHANGE)),
+        (1000, request(1, 1, REPLACE)),
+        (1500, request(1, 0, REPLACE)),
         (0, request(0, 0, OperatorRequest::Read)),
         (1500, request(1, 1, OperatorRequest::Read)),
     ]
 }
 
-/// Nobody hears the leader any more; others take its place and its place in the log.
-fn unheard_leader() -> Vec<(u64, StepAction)> {
+/// Messages of the leader no longer reach the other voters. Another leader is elected and writes
+/// its entries at the indexes that the old one has used.
+fn leader_without_outgoing_links() -> Vec<(u64, StepAction)> {
     let (way, duration_ms) = (Direction::Out, 3000);
     let mut steps = vec![
-        (300, request(0, 0, CHANGE)),
+        (300, request(0, 0, REPLACE)),
         (
             700,
             StepAction::Fault(Fault::Isolate {
@@ -170,7 +171,7 @@
         ),
     ];
     let (begin, zone) = (true, 0);
-    steps.push((380, request(0, 0, CHANGE)));
+    steps.push((380, request(0, 0, REPLACE)));
     steps.extend((0..5).map(|_| (0, request(0, 0, OperatorRequest::Evacuate { zone, begin }))));
     let zone = 1;
     steps.extend((0..8).map(|i| {
@@ -182,67 +183,74 @@
     steps
 }
 
-fn is_found(mutant: Mutant, by: &[&str], worlds: impl Iterator<Item = Plan>) {
-    let begun = Instant::now();
-    for (i, plan) in worlds.enumerate() {
+fn assert_found(mutant: Mutant, checks: &[&str], plans: impl Iterator<Item = Plan>) {
+    let started = Instant::now();
+    for (i, plan) in plans.enumerate() {
         let (_, violations, _) = run_and_check(&plan, mutant);
-        if let Some(w) = violations.iter().find(|w| by.iter().any(|b| w.starts_with(b))) {
-            println!("{mutant:?}: world {i}, {:?}: {w}", begun.elapsed());
+        if let Some(violation) = violations
+            .iter()
+            .find(|v| checks.iter().any(|check| v.starts_with(check)))
+        {
+            println!("{mutant:?}: run {i}, {:?}: {violation}", started.elapsed());
             return;
         }
         assert!(
-            begun.elapsed() < Duration::from_secs(60),
-            "{mutant:?} was not found in {i} worlds"
+            started.elapsed() < Duration::from_secs(60),
+            "{mutant:?} was not found in {i} runs"
         );
     }
     panic!("{mutant:?} was not found");
 }
 
 #[test]
-fn a_leader_that_refuses_out_of_its_copy_is_found() {
-    let by = ["TakenRefused", "Register", "RefusedInForce"];
-    is_found(Mutant::RefusesByCopy, &by, staged(&frozen_leader()));
+fn a_leader_that_refuses_by_its_replica_is_found() {
+    let checks = ["TakenRefused", "Register", "RefusedInForce"];
+    assert_found(Mutant::RefusesByCopy, &checks, staged_plans(&frozen_leader()));
 }
 
 #[test]
-fn an_acknowledgement_before_the_majority_is_found() {
-    let by = ["TooFewDisks", "LostAfterAck", "StaleRead", "TwoForOneBase"];
-    is_found(Mutant::AcknowledgesEarly, &by, worlds(2000, false));
+fn an_acknowledgement_before_a_majority_has_the_command_is_found() {
+    let checks = ["TooFewDisks", "LostAfterAck", "StaleRead", "TwoForOneBase"];
+    assert_found(Mutant::AcknowledgesEarly, &checks, random_plans(2000, false));
 }
 
 #[test]
-fn a_read_without_a_round_is_found() {
-    let by = ["StaleRead", "Register", "LostAfterAck"];
-    is_found(Mutant::ReadsCopy, &by, staged(&frozen_leader()));
+fn a_read_without_confirmation_is_found() {
+    let checks = ["StaleRead", "Register", "LostAfterAck"];
+    assert_found(Mutant::ReadsCopy, &checks, staged_plans(&frozen_leader()));
 }
 
 #[test]
-fn numbers_that_begin_anew_in_each_life_are_found() {
-    is_found(Mutant::PairsByNumber, &["WrongCaller"], worlds(2000, true));
+fn call_numbers_that_restart_with_the_process_are_found() {
+    assert_found(Mutant::PairsByNumber, &["WrongCaller"], random_plans(2000, true));
 }
 
 #[test]
-fn an_outcome_of_anothers_entry_is_found() {
-    let by = [
+fn an_outcome_of_an_entry_of_another_leader_is_found() {
+    let checks = [
         "LostAfterAck",
         "TakenRefused",
         "RefusedInForce",
         "Register",
         "StaleRead",
     ];
-    is_found(Mutant::IgnoresTerm, &by, staged(&unheard_leader()));
+    assert_found(
+        Mutant::IgnoresTerm,
+        &checks,
+        staged_plans(&leader_without_outgoing_links()),
+    );
 }
 
 #[test]
-fn an_order_without_a_tag_is_found() {
-    is_found(Mutant::SendsNoTag, &["MoreThanOnce"], worlds(2000, false));
+fn a_command_without_a_tag_is_found() {
+    assert_found(Mutant::SendsNoTag, &["MoreThanOnce"], random_plans(2000, false));
 }
 
-/// The staged runs break nothing without a planted fault.
+/// The staged plans violate no guarantee without a planted fault.
 #[test]
-fn staged_worlds_are_sound() {
-    for steps in [frozen_leader(), unheard_leader()] {
-        for plan in staged(&steps).take(40) {
+fn staged_plans_violate_no_guarantee() {
+    for steps in [frozen_leader(), leader_without_outgoing_links()] {
+        for plan in staged_plans(&steps).take(40) {
             assert_eq!(
                 run_and_check(&plan, Mutant::None).1,
                 Vec::<String>::new(),
@@ -253,16 +261,17 @@
     }
 }
 
-/// The runs do reach what they are for.
+/// Guards against plans that no longer cause snapshots, lost disks, retries, refusals and
+/// membership changes, and against runs that depend on more than the seed.
 #[test]
-fn worlds_reach_what_they_are_for_and_repeat() {
+fn random_plans_reach_the_intended_situations_and_repeat() {
     let mut coverage = Coverage::default();
     for seed in 0..30 {
         let plan = PlanTree::of_seed(seed, 60).expect("a plan").plan();
-        let (this, _, history) = run_and_check(&plan, Mutant::None);
-        let (_, _, again) = run_and_check(&plan, Mutant::None);
-        assert_eq!(history.events, again.events, "seed {seed} repeats");
-        coverage.add(&this);
+        let (run_coverage, _, history) = run_and_check(&plan, Mutant::None);
+        let (_, _, repeated_history) = run_and_check(&plan, Mutant::None);
+        assert_eq!(history.events, repeated_history.events, "seed {seed} repeats");
+        coverage.add(&run_coverage);
     }
     assert!(coverage.snapshots > 0 && coverage.disk_losses > 5, "{coverage:?}");
     assert!(coverage.resends > 100 && coverage.refusals > 50, "{coverage:?}");
--- a/crates/simulation/tests/histories.rs
+++ b/crates/simulation/tests/histories.rs
@@ -1,6 +1,6 @@
-//! Histories of operators and watchdog: whatever they try on top of whatever they
-//! last saw, one rollout of a service is active, ends are final, races have one
-//! winner, and the split from before comes back exactly.
+//! Random histories of rollout changes by operators and the watchdog, each based on a current or
+//! outdated version of the rollout: a service has one active rollout at most, ended rollouts stay
+//! ended, of competing changes one is applied, and a rollback restores the previous split exactly.
 
 use control_state::{ControlState, Outcome};
 use proptest::prelude::*;
@@ -19,39 +19,39 @@
     Action::Cancel,
 ];
 
-/// Who acts on which service, and how many changes ago they last looked.
+/// An action on a service, based on the rollout version of `versions_behind` changes ago.
 #[derive(Clone, Debug)]
 struct Move {
     service: u8,
     action: usize,
-    stale: usize,
+    versions_behind: usize,
     target: u8,
 }
 
 fn moves() -> impl Strategy<Value = Vec<Move>> {
-    let one = (
+    let single_move = (
         0..2u8,
         0..ACTIONS.len(),
         prop_oneof![4 => Just(0usize), 1 => 1..4usize],
         2..5u8,
     );
-    prop::collection::vec(one, 1..120).prop_map(|all| {
+    prop::collection::vec(single_move, 1..120).prop_map(|all| {
         all.into_iter()
-            .map(|(service, action, stale, target)| Move {
+            .map(|(service, action, versions_behind, target)| Move {
                 service,
                 action,
-                stale,
+                versions_behind,
                 target,
             })
             .collect()
     })
 }
 
-/// Versions of a service that get requests, by their side.
+/// Returns the versions of a service with their cohorts.
 fn split(state: &ControlState, service: &str) -> Vec<(String, Cohort)> {
     let versions = (1..5).map(|v| format!("v{v}"));
-    let side = |v: &str| state.rollouts.get(service).map_or(Cohort::Old, |p| p.cohort(v));
-    versions.map(|v| (v.clone(), side(&v))).collect()
+    let cohort = |v: &str| state.rollouts.get(service).map_or(Cohort::Old, |p| p.cohort(v));
+    versions.map(|v| (v.clone(), cohort(&v))).collect()
 }
 
 proptest! {
@@ -63,15 +63,15 @@
     })]
 
     #[test]
-    fn histories_keep_the_promises(moves in moves()) {
+    fn random_rollout_histories_keep_the_guarantees(moves in moves()) {
         let mut state = ControlState::default();
-        // What each service's rollout was at, over time.
+        // The versions of the rollout of each service, over time.
         let mut seen: BTreeMap<String, Vec<u64>> = BTreeMap::new();
         for m in moves {
             let service = format!("s{}", m.service);
             let action = ACTIONS[m.action];
             let versions = seen.entry(service.clone()).or_default();
-            let expected = versions.iter().rev().nth(m.stale).copied().unwrap_or(0);
+            let expected = versions.iter().rev().nth(m.versions_behind).copied().unwrap_or(0);
             let change = RolloutChange {
                 service: service.clone(),
                 action: action as i32,
@@ -92,48 +92,48 @@
             prop_assert_eq!(&other, &state.rollouts.get(&format!("s{}", 1 - m.service)).cloned());
             match outcome {
                 Outcome::Applied => {
-                    let after = after.expect("there");
-                    prop_assert_eq!(after.version, index, "every change has its own number");
+                    let after = after.expect("the rollout exists");
+                    prop_assert_eq!(after.version, index, "each change sets its own version");
                     versions.push(index);
                     if action == Action::Create {
-                        prop_assert!(before.is_none_or(|p| !p.is_active()), "one is active");
+                        prop_assert!(before.is_none_or(|p| !p.is_active()), "another rollout is active");
                     } else {
-                        let before = before.expect("there");
-                        prop_assert_eq!(before.version, expected, "who was late has lost");
-                        prop_assert!(before.is_active(), "an end is final");
-                        prop_assert_eq!(&before.previous_versions, &after.previous_versions, "the snapshot stays");
+                        let before = before.expect("the rollout exists");
+                        prop_assert_eq!(before.version, expected, "a change based on an outdated version was applied");
+                        prop_assert!(before.is_active(), "an ended rollout was changed");
+                        prop_assert_eq!(&before.previous_versions, &after.previous_versions, "the previous versions changed");
                     }
                     match after.state_now() {
                         State::RolledBack | State::Cancelled => {
-                            for (version, side) in split(&state, &service) {
-                                let new = version == after.target;
-                                prop_assert_eq!(side, if new { Cohort::Excluded } else { Cohort::Old });
+                            for (version, cohort) in split(&state, &service) {
+                                let is_target = version == after.target;
+                                prop_assert_eq!(cohort, if is_target { Cohort::Excluded } else { Cohort::Old });
                             }
                             prop_assert_eq!(after.share(), 0.0);
                         }
                         State::Completed => {
-                            let gone = split(&state, &service);
-                            prop_assert!(gone.contains(&("v1".into(), Cohort::Excluded)));
-                            prop_assert!(gone.contains(&(after.target.clone(), Cohort::Old)));
+                            let cohorts = split(&state, &service);
+                            prop_assert!(cohorts.contains(&("v1".into(), Cohort::Excluded)));
+                            prop_assert!(cohorts.contains(&(after.target.clone(), Cohort::Old)));
                         }
                         _ => {}
                     }
                 }
                 Outcome::AlreadyApplied => {
-                    let p = before.clone().expect("there");
+                    let p = before.clone().expect("the rollout exists");
                     prop_assert!(action == Action::Create && p.is_active());
                     prop_assert_eq!(&before, &after);
                 }
                 Outcome::RolloutRejected(refusal) => {
-                    prop_assert_eq!(&before, &after, "what is refused changes nothing");
+                    prop_assert_eq!(&before, &after, "a refused change had an effect");
                     if let Refusal::Active { target, .. } = refusal {
-                        prop_assert_eq!(target, before.expect("there").target.clone());
+                        prop_assert_eq!(target, before.expect("the rollout exists").target.clone());
                     }
                 }
                 other => prop_assert!(false, "{other:?}"),
             }
-            let again = ControlState::from_image(state.image()).expect("readable");
-            prop_assert_eq!(&again.rollouts, &state.rollouts);
+            let restored = ControlState::from_image(state.image()).expect("the image is readable");
+            prop_assert_eq!(&restored.rollouts, &state.rollouts);
         }
     }
 }
--- a/crates/simulation/tests/model.rs
+++ b/crates/simulation/tests/model.rs
@@ -1,7 +1,7 @@
-//! Every history of a few steps, over two leaders and three workers: grants, renewals,
-//! releases and takeovers on the real state machine, with calls that arrive late or
-//! whose answers are lost. No key ever has two holders. A leader that forgets what
-//! its predecessor granted must be found.
+//! Explores every history of a few steps with two leaders and three workers: grants, renewals,
+//! releases and takeovers on the real state machine, with calls that arrive late or whose answers
+//! are lost. No key ever has two holders. The check must find a leader that ignores the grants of
+//! its predecessor.
 
 use config::constants as c;
 use control_state::ControlState;
@@ -10,34 +10,35 @@
 use simulation::worker::SimulatedWorker;
 
 const TICK_MS: u64 = 100;
-/// A call that has not arrived by then never does: its connection has ended.
-const LOST_MS: u64 = c::GRANT_TIMEOUT_MS + c::WORKER_USER_TIMEOUT_MS + 4 * c::DEFAULT_RTT_MS as u64;
+/// Time after which a call that has not arrived never does, because its connection has ended, ms.
+const MAX_TRANSIT_MS: u64 = c::GRANT_TIMEOUT_MS + c::WORKER_USER_TIMEOUT_MS + 4 * c::DEFAULT_RTT_MS as u64;
 const DEPTH: usize = 7;
 const LATE_DEPTH: usize = 6;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
-    /// Time passes, calls arrive and are answered.
+    /// Time passes; calls arrive and are answered.
     Pass,
-    /// Time passes, calls are held up.
+    /// Time passes; calls are delayed.
     Hold,
-    /// Time passes, nearly as long as a call may take to arrive; calls of the leader
-    /// do, those of the other are held up.
+    /// Time passes, nearly as long as a call may take to arrive; calls of the current leader
+    /// arrive, those of the other are delayed.
     Slow,
-    /// Time passes, calls arrive and their answers are lost.
+    /// Time passes; calls arrive and their answers are lost.
     Mute,
     /// The other leader takes over.
     Lead,
-    /// The same, while the calls of the one before are held up.
+    /// The other leader takes over while the calls of its predecessor are delayed.
     LeadSlow,
-    /// It takes over and loses the duty again at once, while calls are held up.
+    /// The other leader takes over and loses the leadership at once, while calls are delayed.
     Regain,
+    /// A worker starts to drain.
     Drain,
-    /// The life of a worker ends.
+    /// The process of a worker ends.
     End,
-    /// The list leaves out a worker that runs.
+    /// The list omits a running worker.
     Omit,
-    /// The list shows it again.
+    /// The list contains the omitted worker again.
     Relist,
 }
 
@@ -50,7 +51,7 @@
     Step::End,
 ];
 
-/// For histories in which calls and answers outlast the duty they were made in.
+/// Steps of histories in which calls and answers outlast the leadership in which they were made.
 const LATE_STEPS: [Step; 7] = [
     Step::Pass,
     Step::Slow,
@@ -61,7 +62,7 @@
     Step::End,
 ];
 
-/// For histories in which the list leaves out a worker for a while, or for good.
+/// Steps of histories in which the list omits a worker for a time, or permanently.
 const LIST_STEPS: [Step; 6] = [
     Step::Pass,
     Step::Mute,
@@ -78,7 +79,7 @@
 }
 
 #[derive(Clone)]
-struct Flight {
+struct CallInFlight {
     call: Call,
     leader: usize,
     sent: u64,
@@ -90,15 +91,15 @@
     now: u64,
     state: ControlState,
     leaders: [OwnershipManager; 2],
-    leading: usize,
-    flights: Vec<Flight>,
+    current_leader: usize,
+    calls: Vec<CallInFlight>,
     workers: Vec<SimulatedWorker>,
-    done: [bool; 11],
-    forgets: bool,
+    performed: [bool; 11],
+    ignores_earlier_grants: bool,
 }
 
 impl Model {
-    fn new(forgets: bool) -> Model {
+    fn new(ignores_earlier_grants: bool) -> Model {
         let mut state = ControlState::default();
         let mut change = |kind| {
             let index = state.index + 1;
@@ -126,11 +127,11 @@
             now: 10_000,
             state,
             leaders: [new(), new()],
-            leading: 0,
-            flights: Vec::new(),
+            current_leader: 0,
+            calls: Vec::new(),
             workers: rows.into_iter().map(SimulatedWorker::new).collect(),
-            done: [false; 11],
-            forgets,
+            performed: [false; 11],
+            ignores_earlier_grants,
         }
     }
 
@@ -139,29 +140,29 @@
         self.state.apply(index, &Change::encode(kind));
     }
 
-    fn lead(&mut self) {
-        self.leading = 1 - self.leading;
-        if self.forgets {
-            self.leaders[self.leading] = OwnershipManager::new(10_000, 300);
+    fn take_over(&mut self) {
+        self.current_leader = 1 - self.current_leader;
+        if self.ignores_earlier_grants {
+            self.leaders[self.current_leader] = OwnershipManager::new(10_000, 300);
         } else {
             let (now, state) = (self.now, self.state.clone());
-            self.leaders[self.leading].begin(now, &state);
+            self.leaders[self.current_leader].begin(now, &state);
         }
     }
 
-    fn take(&mut self, step: Step) {
+    fn perform(&mut self, step: Step) {
         match step {
             Step::Lead => {
-                self.lead();
+                self.take_over();
                 self.pass(step, 2);
             }
             Step::LeadSlow => {
-                self.lead();
+                self.take_over();
                 self.pass(Step::Slow, 2);
             }
             Step::Regain => {
                 for _ in 0..2 {
-                    self.lead();
+                    self.take_over();
                     self.pass(Step::Hold, 1);
                 }
             }
@@ -201,30 +202,30 @@
             Step::Slow => self.pass(step, 10),
             _ => self.pass(step, 8),
         }
-        self.done[step as usize] = true;
+        self.performed[step as usize] = true;
     }
 
     fn pass(&mut self, step: Step, ticks: u64) {
         for _ in 0..ticks {
             self.now += TICK_MS;
             if !matches!(step, Step::Hold) {
-                self.arrive(step);
+                self.deliver(step);
             }
-            self.give_up();
+            self.time_out_calls();
             let (now, state) = (self.now, self.state.clone());
-            for act in self.leaders[self.leading].tick(now, &state) {
+            for act in self.leaders[self.current_leader].tick(now, &state) {
                 let call = match act {
                     Action::Log(put) => {
                         self.change(ChangeKind::KeyLeases(KeyLeaseChange { put }));
-                        self.leaders[self.leading].on_logged();
+                        self.leaders[self.current_leader].on_logged();
                         continue;
                     }
                     Action::Grant(call) => Call::Grant(call),
                     Action::Release(call) => Call::Release(call),
                 };
-                self.flights.push(Flight {
+                self.calls.push(CallInFlight {
                     call,
-                    leader: self.leading,
+                    leader: self.current_leader,
                     sent: now,
                     arrived: false,
                 });
@@ -233,46 +234,46 @@
         }
     }
 
-    fn arrive(&mut self, step: Step) {
-        let (now, mute) = (self.now, step == Step::Mute);
-        for mut f in std::mem::take(&mut self.flights) {
+    fn deliver(&mut self, step: Step) {
+        let (now, drops_answers) = (self.now, step == Step::Mute);
+        for mut f in std::mem::take(&mut self.calls) {
             let address = match &f.call {
                 Call::Grant(g) => &g.address,
                 Call::Release(r) => &r.address,
             };
             let worker = self.workers.iter_mut().find(|w| w.listed.address == *address);
-            let held = step == Step::Slow && f.leader != self.leading;
-            let Some(worker) = worker.filter(|w| w.up && !f.arrived && !held) else {
-                self.flights.push(f);
+            let is_delayed = step == Step::Slow && f.leader != self.current_leader;
+            let Some(worker) = worker.filter(|w| w.up && !f.arrived && !is_delayed) else {
+                self.calls.push(f);
                 continue;
             };
-            let waits = now < f.sent + c::GRANT_TIMEOUT_MS && !mute;
+            let is_awaited = now < f.sent + c::GRANT_TIMEOUT_MS && !drops_answers;
             let leader = &mut self.leaders[f.leader];
             match &f.call {
                 Call::Grant(g) => {
-                    let end = worker.grant(now, &g.lease, g.lease_ms);
-                    if waits {
-                        leader.on_grant_result(now, g, end);
+                    let result = worker.grant(now, &g.lease, g.lease_ms);
+                    if is_awaited {
+                        leader.on_grant_result(now, g, result);
                     }
                 }
                 Call::Release(r) => {
-                    let end = worker.release(&r.lease);
-                    if waits {
-                        leader.on_release_result(now, r, end);
+                    let result = worker.release(&r.lease);
+                    if is_awaited {
+                        leader.on_release_result(now, r, result);
                     }
                 }
             }
-            if !waits {
+            if !is_awaited {
                 f.arrived = true;
-                self.flights.push(f);
+                self.calls.push(f);
             }
         }
     }
 
-    /// Callers stop waiting; later calls that have not arrived never do.
-    fn give_up(&mut self) {
+    /// Times out the callers whose wait is over, and drops calls that can no longer arrive.
+    fn time_out_calls(&mut self) {
         let now = self.now;
-        for f in &self.flights {
+        for f in &self.calls {
             if now < f.sent + c::GRANT_TIMEOUT_MS || now >= f.sent + c::GRANT_TIMEOUT_MS + TICK_MS {
                 continue;
             }
@@ -282,8 +283,8 @@
                 Call::Release(r) => leader.on_release_result(now, r, ReleaseResult::Failed),
             }
         }
-        self.flights
-            .retain(|f| now < f.sent + LOST_MS && !(f.arrived && now >= f.sent + c::GRANT_TIMEOUT_MS));
+        self.calls
+            .retain(|f| now < f.sent + MAX_TRANSIT_MS && !(f.arrived && now >= f.sent + c::GRANT_TIMEOUT_MS));
     }
 
     fn check(&self) {
@@ -299,55 +300,56 @@
     }
 }
 
-/// Runs all that can follow; how many histories that was.
+/// Explores all continuations of `depth` steps. Returns the number of histories.
 fn explore(model: &Model, steps: &[Step], depth: usize) -> u64 {
     if depth == 0 {
         return 1;
     }
     let mut count = 0;
     for &step in steps {
-        let once = matches!(step, Step::Drain | Step::End);
-        if once && model.done[step as usize] {
+        let happens_once = matches!(step, Step::Drain | Step::End);
+        if happens_once && model.performed[step as usize] {
             continue;
         }
         let mut next = model.clone();
-        next.take(step);
+        next.perform(step);
         count += explore(&next, steps, depth - 1);
     }
     count
 }
 
-fn begun(forgets: bool) -> Model {
-    let mut model = Model::new(forgets);
-    model.take(Step::Pass);
+fn started_model(ignores_earlier_grants: bool) -> Model {
+    let mut model = Model::new(ignores_earlier_grants);
+    model.perform(Step::Pass);
     model
 }
 
 #[test]
 fn no_history_gives_a_key_two_holders() {
-    let count = explore(&begun(false), &STEPS, DEPTH);
+    let count = explore(&started_model(false), &STEPS, DEPTH);
     println!("{count} histories");
     assert!(count > 20_000, "{count}");
 }
 
 #[test]
-fn no_call_or_answer_that_outlasts_its_duty_gives_a_key_two_holders() {
-    let count = explore(&begun(false), &LATE_STEPS, LATE_DEPTH);
+fn no_call_or_answer_that_outlasts_its_leadership_gives_a_key_two_holders() {
+    let count = explore(&started_model(false), &LATE_STEPS, LATE_DEPTH);
     println!("{count} histories");
     assert!(count > 20_000, "{count}");
 }
 
-/// Guards against a list that is taken as proof that a process has ended (OWNER; review case 2).
+/// Guards against treating the absence of a worker from the list as proof that its process has
+/// ended (OWNER; review case 2).
 #[test]
-fn no_list_that_leaves_out_a_worker_gives_a_key_two_holders() {
-    let count = explore(&begun(false), &LIST_STEPS, LATE_DEPTH);
+fn no_list_that_omits_a_running_worker_gives_a_key_two_holders() {
+    let count = explore(&started_model(false), &LIST_STEPS, LATE_DEPTH);
     println!("{count} histories");
     assert!(count > 20_000, "{count}");
 }
 
 #[test]
-fn a_leader_that_forgets_is_found() {
-    let model = begun(true);
+fn a_leader_that_ignores_earlier_grants_is_found() {
+    let model = started_model(true);
     let found = std::panic::catch_unwind(|| explore(&model, &STEPS, DEPTH));
-    assert!(found.is_err(), "the check must find it");
+    assert!(found.is_err(), "the check must find keys with two holders");
 }
--- a/crates/simulation/tests/repeat.rs
+++ b/crates/simulation/tests/repeat.rs
@@ -1,22 +1,22 @@
-//! Random runs repeat exactly: what a change of names or shape leaves alone must give the
-//! same counts to the last digit. A change of behaviour may move them, and says why.
+//! Random runs repeat exactly: a change that leaves the behaviour as it is must give exactly the
+//! same counts. A change of behaviour may alter them and states the reason.
 
 use simulation::command_handler::Mutant;
 use simulation::exploration::{run_and_check, Coverage};
 use simulation::plan::PlanTree;
 
-/// The first seed, and how many runs follow one by one.
-const FIRST: u64 = 90_210;
-const WORLDS: u64 = 60;
-/// Most steps of a run.
+/// The first seed, and the number of consecutive seeds.
+const FIRST_SEED: u64 = 90_210;
+const RUNS: u64 = 60;
+/// Upper bound of the number of steps of a run.
 const STEPS: usize = 60;
 
 #[test]
-fn random_worlds_repeat_to_the_last_digit() {
+fn random_runs_repeat_exactly() {
     let mut total = Coverage::default();
     let mut events = 0;
-    for seed in FIRST..FIRST + WORLDS {
-        let tree = PlanTree::of_seed(seed, STEPS).expect("a world");
+    for seed in FIRST_SEED..FIRST_SEED + RUNS {
+        let tree = PlanTree::of_seed(seed, STEPS).expect("the seed gives a plan");
         let (coverage, violations, history) = run_and_check(&tree.plan(), Mutant::None);
         assert_eq!(violations, Vec::<String>::new(), "seed {seed}");
         total.add(&coverage);
--- a/crates/simulation/tests/rollouts.rs
+++ b/crates/simulation/tests/rollouts.rs
@@ -1,23 +1,23 @@
-//! Runs rollouts on simulated time: proxies, workers of two versions, the log
-//! and the watchdog, with whatever fails meanwhile. One line, one step:
+//! Runs rollouts on simulated time, with proxies, workers of two versions, the log, the watchdog
+//! and faults. Each line of a scenario is one step:
 //!
 //! ```text
-//! nodes 60 | workers 30 | rate 500        proxies, workers of each version, requests a second
-//! new-version good|errors|slow|late MS|under-load|one-route    what the new version is like
+//! nodes 60 | workers 30 | rate 500        proxies, workers of each version, requests per second
+//! new-version good|errors|slow|late MS|under-load|one-route    behaviour of the new version
 //! begin 14000                             creates the rollout; also `begin-other` for another version
 //! run 2000
-//! lose-leader                             the leader is lost; another after 900 ms
-//! core-cut 4000                           nobody hears the core
-//! cut 0.4 3000 | restart-nodes 0.6 1000            a part of the nodes is cut off, or ends and is back
-//! region-loss 3000                        a zone's workers answer nobody
+//! lose-leader                             the leader is lost; another one leads after 900 ms
+//! core-cut 4000                           no node can reach the core
+//! cut 0.4 3000 | restart-nodes 0.6 1000            a fraction of the nodes is cut off, or restarts
+//! region-loss 3000                        the workers of a zone do not answer
 //! add-nodes 20 | change-configuration 30                       nodes join; changes of the configuration
 //! evacuate z1 | finish z1
 //! operator pause|resume|promote|rollback|cancel ; kill-switch on|off
 //! expect in_progress|completed|reverted | expect phase PAUSED | expect refused
 //! ```
 //!
-//! At the end of each: a bad version had no more than it may have, lost its traffic
-//! in time, and what was said to have ended has ended everywhere.
+//! At the end of each scenario: a bad version has received no more than its share of requests and
+//! has lost its traffic in time, and a completed rollout has ended on all nodes.
 
 use balancer::{AttemptResult, LoadBalancer, Locality, PeerInfo, SampleLabel, Selection, SelectionRequest};
 use config::settings::Bounds;
@@ -37,7 +37,7 @@
       {"Name":"most","RouteType":"idempotent","Target":"600ms","Condition":{"PathPrefix":"/a/"},"Treatment":{"Service":"s","Timeout":"4s","AttemptLimit":2}},
       {"Name":"some","RouteType":"idempotent","Target":"600ms","Condition":{"PathPrefix":"/b/"},"Treatment":{"Service":"s","Timeout":"4s","AttemptLimit":2}}]}],
     "Groups":[{"Name":"s","ConnectionLimit":500,"ColdPeriod":"3s","ColdRateS":6.0}]}"#;
-const STEP: u64 = 20;
+const STEP_MS: u64 = 20;
 const ZONES: u64 = 3;
 const SHARE: f64 = 0.1;
 const SLACK: f64 = 50.0;
@@ -61,7 +61,7 @@
     lag_ms: u64,
     up_at: u64,
     cut_until: u64,
-    heard_at: u64,
+    last_contact_at: u64,
 }
 
 #[derive(Default)]
@@ -73,11 +73,11 @@
     speed: f64,
 }
 
-/// A request under way: when it ends, and for whom.
+/// A request in flight, with the time at which it ends, its node and its worker.
 struct InFlight {
     at: u64,
     node: usize,
-    life: u64,
+    node_id: u64,
     worker: String,
     label: Option<SampleLabel>,
     end: AttemptResult,
@@ -92,26 +92,28 @@
     in_flight: Vec<InFlight>,
     reports: Vec<(u64, Vec<CohortSample>, u64, u64)>,
     watchdog: Watchdog,
-    /// Another voter's, which follows the log only.
+    /// The watchdog of another voter, which only follows the log.
     standby: Watchdog,
     emergency: EmergencyTracker,
     reported_at: u64,
-    leads_from: u64,
+    leader_from: u64,
     core_cut_until: u64,
     unsettled_at: u64,
-    dark_zone: Option<(u64, u64)>,
+    unreachable_zone: Option<(u64, u64)>,
     kind: Kind,
     rate: f64,
     next_id: u64,
-    ordered_at: u64,
-    term: u64,
-    /// Requests that reached the service, and the new version, from order to term.
+    created_at: u64,
+    ends_at: u64,
+    /// Requests that reached the service between the creation and the end of the rollout.
     all: u64,
+    /// Requests that reached the new version in the same time.
     new: u64,
     bad_answers: u64,
     fiftieth_at: Option<u64>,
     late_sends: u64,
-    /// Sent to the new version by a node that has lost the core, before its end.
+    /// Requests that a node without contact to the core sent to the new version before the rollout
+    /// ended.
     lost_sends: u64,
     old_after_end: u64,
     ended_at: u64,
@@ -133,15 +135,15 @@
             standby: Watchdog::default(),
             emergency: EmergencyTracker::default(),
             reported_at: 0,
-            leads_from: 0,
+            leader_from: 0,
             core_cut_until: 0,
             unsettled_at: 0,
-            dark_zone: None,
+            unreachable_zone: None,
             kind: Kind::Good,
             rate: 500.0,
             next_id: 0,
-            ordered_at: 0,
-            term: u64::MAX,
+            created_at: 0,
+            ends_at: u64::MAX,
             all: 0,
             new: 0,
             bad_answers: 0,
@@ -172,12 +174,12 @@
         let base = self.version;
         self.version += 1;
         let body = CONFIG.replace("VERSION", &self.version.to_string()).into();
-        let order = ConfigurationCommand {
+        let command = ConfigurationCommand {
             base,
             body,
             ..Default::default()
         };
-        assert_eq!(self.change(ChangeKind::Replace(order)), Outcome::Applied);
+        assert_eq!(self.change(ChangeKind::Replace(command)), Outcome::Applied);
     }
 
     fn bounds() -> Bounds {
@@ -211,7 +213,7 @@
             lag_ms: self.rng.gen_range(0..250),
             up_at: self.now,
             cut_until: 0,
-            heard_at: self.now,
+            last_contact_at: self.now,
         }
     }
 
@@ -260,8 +262,8 @@
         match self.change(ChangeKind::Rollout(change)) {
             Outcome::RolloutRejected(refusal) => self.refused = Some(format!("{refusal:?}")),
             Outcome::Applied => {
-                self.ordered_at = self.now;
-                self.term = self.now + duration_ms;
+                self.created_at = self.now;
+                self.ends_at = self.now + duration_ms;
             }
             _ => {}
         }
@@ -289,20 +291,20 @@
     }
 
     fn conditions(&mut self, state: &ControlState) -> Conditions {
-        let able = |w: &&Arc<Worker>| !state.evacuated.contains_key(&w.zone);
+        let is_available = |w: &&Arc<Worker>| !state.evacuated.contains_key(&w.zone);
         let p = state.rollouts.get("s");
-        let of = |side: Cohort| {
-            let workers = state.workers.values().filter(able);
+        let count_of = |cohort: Cohort| {
+            let workers = state.workers.values().filter(is_available);
             workers
-                .filter(|w| p.is_some_and(|p| p.cohort(&w.version) == side))
+                .filter(|w| p.is_some_and(|p| p.cohort(&w.version) == cohort))
                 .count()
         };
         let newest = self.log.len() - 1;
-        let behind = |n: &Node| n.up_at <= self.now && n.cut_until <= self.now && n.seen < newest;
+        let is_behind = |n: &Node| n.up_at <= self.now && n.cut_until <= self.now && n.seen < newest;
         Conditions {
-            ready: of(Cohort::New),
-            old: of(Cohort::Old),
-            is_behind: self.nodes.iter().any(behind),
+            ready: count_of(Cohort::New),
+            old: count_of(Cohort::Old),
+            is_behind: self.nodes.iter().any(is_behind),
             keys_remain: false,
             reported_at: self.reported_at,
             level: self.emergency.clone().check(),
@@ -310,12 +312,12 @@
         }
     }
 
-    fn lead(&mut self) {
+    fn run_watchdog(&mut self) {
         let now = self.now;
         let state = self.state();
         self.watchdog.follow(now, &state.rollouts);
         self.standby.follow(now, &state.rollouts);
-        if now < self.leads_from || now < self.core_cut_until {
+        if now < self.leader_from || now < self.core_cut_until {
             self.unsettled_at = now;
             return;
         }
@@ -328,7 +330,7 @@
             self.emergency.add(served, failed);
             self.watchdog.add(&samples, name_hash);
         }
-        if now % 260 >= STEP {
+        if now % 260 >= STEP_MS {
             return;
         }
         let level = self.emergency.check();
@@ -338,18 +340,18 @@
                 ..self.conditions(&state)
             };
             if let Some(change) = self.watchdog.decide(now, p, &conditions) {
-                println!("  {} {}", now - self.ordered_at, change.why);
+                println!("  {} {}", now - self.created_at, change.why);
                 self.change(ChangeKind::Rollout(change));
             }
         }
-        let ended = |p: &Arc<rollout::Rollout>| p.state_now() == State::Completed;
-        if self.ended_at == 0 && self.state().rollouts.values().any(ended) {
+        let is_completed = |p: &Arc<rollout::Rollout>| p.state_now() == State::Completed;
+        if self.ended_at == 0 && self.state().rollouts.values().any(is_completed) {
             self.ended_at = now;
         }
     }
 
     fn step(&mut self) {
-        self.now += STEP;
+        self.now += STEP_MS;
         let now = self.now;
         let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
             .into_iter()
@@ -361,18 +363,18 @@
             if let Some(w) = worker {
                 w.inflight = w.inflight.saturating_sub(1);
             }
-            let bad = matches!(
+            let is_bad = matches!(
                 f.end,
                 AttemptResult::Errored(_) | AttemptResult::Answered(900.0..)
             );
-            if new && bad && self.kind != Kind::Good {
+            if new && is_bad && self.kind != Kind::Good {
                 self.bad_answers += 1;
                 if self.bad_answers == 50 {
                     self.fiftieth_at = Some(now);
                 }
             }
             let node = &mut self.nodes[f.node];
-            if node.id == f.life {
+            if node.id == f.node_id {
                 if let Some(label) = &f.label {
                     node.balancer.observe_sample(label, f.end);
                 }
@@ -382,7 +384,7 @@
         for i in 0..self.nodes.len() {
             self.serve(i);
         }
-        if now % 500 < STEP {
+        if now % 500 < STEP_MS {
             for i in 0..self.nodes.len() {
                 let delay = self.rng.gen_range(100..700);
                 let node = &mut self.nodes[i];
@@ -400,10 +402,10 @@
                 }
             }
         }
-        self.lead();
+        self.run_watchdog();
     }
 
-    #[allow(clippy::too_many_lines, reason = "the life of one request in its order")]
+    #[allow(clippy::too_many_lines, reason = "all steps of one request in order")]
     fn serve(&mut self, i: usize) {
         let now = self.now;
         let count = self.nodes.len();
@@ -411,10 +413,10 @@
         if node.up_at > now {
             return;
         }
-        let hears = node.cut_until <= now && now >= self.core_cut_until;
-        if hears {
+        let is_in_contact = node.cut_until <= now && now >= self.core_cut_until;
+        if is_in_contact {
             node.balancer.set_last_contact(now);
-            node.heard_at = now;
+            node.last_contact_at = now;
             let newest = self.log.partition_point(|(at, _)| at + node.lag_ms <= now).max(1) - 1;
             if node.seen < newest {
                 node.seen = newest;
@@ -434,7 +436,7 @@
         let Some(config) = self.log[node.seen].1.configuration.clone() else {
             return;
         };
-        let chance = self.rate * STEP as f64 / 1000.0 / count as f64;
+        let chance = self.rate * STEP_MS as f64 / 1000.0 / count as f64;
         if !self.rng.gen_bool(chance.min(1.0)) {
             return;
         }
@@ -444,7 +446,7 @@
         };
         let mut tried: Vec<String> = Vec::new();
         for _ in 0..2 {
-            let ask = SelectionRequest {
+            let request = SelectionRequest {
                 route,
                 key: None,
                 service: "s",
@@ -453,33 +455,33 @@
                 zone: None,
             };
             let node = &mut self.nodes[i];
-            let Selection::Worker(found) = node.balancer.choose(now, &ask) else {
+            let Selection::Worker(found) = node.balancer.choose(now, &request) else {
                 return;
             };
-            let in_term = now >= self.ordered_at && now < self.term && self.ordered_at > 0;
-            let in_touch = hears && now > self.unsettled_at + 4000;
+            let is_in_progress = now >= self.created_at && now < self.ends_at && self.created_at > 0;
+            let is_contact_settled = is_in_contact && now > self.unsettled_at + 4000;
             let Some(w) = self.workers.get_mut(&found.id) else {
                 return;
             };
-            self.all += u64::from(in_term && tried.is_empty());
+            self.all += u64::from(is_in_progress && tried.is_empty());
             if w.new {
-                self.new += u64::from(in_term);
-                let over = self.fiftieth_at.is_some_and(|at| now > at + ROLLBACK_MS);
-                self.late_sends += u64::from(over && in_touch);
+                self.new += u64::from(is_in_progress);
+                let is_overdue = self.fiftieth_at.is_some_and(|at| now > at + ROLLBACK_MS);
+                self.late_sends += u64::from(is_overdue && is_contact_settled);
                 let node = &self.nodes[i];
-                let active = self.log[node.seen].1.rollouts.values().any(|p| p.is_active());
-                let lost = now > node.heard_at + rollout::FALLBACK_MS;
-                self.lost_sends += u64::from(active && lost);
-            } else if self.ended_at > 0 && hears && now > self.ended_at + 300 {
+                let is_active = self.log[node.seen].1.rollouts.values().any(|p| p.is_active());
+                let has_lost_core = now > node.last_contact_at + rollout::FALLBACK_MS;
+                self.lost_sends += u64::from(is_active && has_lost_core);
+            } else if self.ended_at > 0 && is_in_contact && now > self.ended_at + 300 {
                 self.old_after_end += 1;
             }
             w.inflight += 1;
-            let dark = self
-                .dark_zone
+            let is_unreachable = self
+                .unreachable_zone
                 .is_some_and(|(zone, until)| w.zone == zone && now < until);
             let load = f64::from(w.inflight) / 6.0;
             let mut ms = 200.0 * self.rng.gen_range(0.6..1.6) / w.speed * (1.0 + (load - 1.0).max(0.0));
-            let strikes = w.new
+            let may_fail = w.new
                 && match self.kind {
                     Kind::Good => false,
                     Kind::Errors | Kind::Slow => true,
@@ -488,26 +490,26 @@
                     Kind::OneRoute => path == "/b/",
                 };
             let mut end = None;
-            if strikes && self.rng.gen_bool(0.5) {
+            if may_fail && self.rng.gen_bool(0.5) {
                 if self.kind == Kind::Slow {
                     ms *= 8.0;
                 } else {
                     end = Some(AttemptResult::Errored(ms));
                 }
             }
-            if dark {
+            if is_unreachable {
                 end = Some(AttemptResult::Failed);
                 ms = 300.0;
             }
             self.in_flight.push(InFlight {
                 at: now + ms as u64,
                 node: i,
-                life: self.nodes[i].id,
+                node_id: self.nodes[i].id,
                 worker: found.id.clone(),
                 label: found.label,
                 end: end.unwrap_or(AttemptResult::Answered(ms)),
             });
-            // What failed is tried once more, on the old version.
+            // A failed request is tried once more, on the old version.
             if end.is_none() {
                 return;
             }
@@ -516,141 +518,165 @@
     }
 
     fn run(&mut self, ms: u64) {
-        for _ in 0..ms / STEP {
+        for _ in 0..ms / STEP_MS {
             self.step();
         }
     }
 
-    /// What must hold whatever happened.
+    /// Checks what must hold in every scenario.
     fn check(&self) {
         if self.kind != Kind::Good {
-            let most = SHARE * self.all as f64 + SLACK;
+            let max_new = SHARE * self.all as f64 + SLACK;
             let new = self.new as f64;
-            assert!(new <= most, "{new} of {} requests, {most:.0} allowed", self.all);
+            assert!(
+                new <= max_new,
+                "the new version got {new} of {} requests, {max_new:.0} allowed",
+                self.all
+            );
         }
         assert_eq!(
             self.late_sends, 0,
-            "sent to a bad version after the rollback's time"
+            "requests sent to a bad version after the time for the rollback"
+        );
+        assert_eq!(
+            self.lost_sends, 0,
+            "requests sent to the new version without contact to the core"
+        );
+        assert_eq!(
+            self.old_after_end, 0,
+            "requests sent to the old version after the rollout was completed"
         );
-        assert_eq!(self.lost_sends, 0, "sent to a new version without the core");
-        assert_eq!(self.old_after_end, 0, "sent to the old version after its end");
         let state = self.state();
-        let again = ControlState::from_image(state.image()).expect("readable");
-        assert_eq!(again.rollouts, state.rollouts, "it survives in a snapshot");
+        let restored = ControlState::from_image(state.image()).expect("the image is readable");
+        assert_eq!(
+            restored.rollouts, state.rollouts,
+            "the rollouts differ after a snapshot"
+        );
     }
 }
 
 fn number<T: std::str::FromStr>(word: Option<&&str>) -> T {
-    word.and_then(|w| w.parse().ok()).expect("a number")
+    word.and_then(|w| w.parse().ok()).expect("expected a number")
 }
 
-#[allow(clippy::too_many_lines, reason = "one arm a step")]
+#[allow(clippy::too_many_lines, reason = "one arm per step")]
 fn run_scenario(text: &str, seed: u64) {
     let mut fleet = Fleet::new(seed);
     let mut workers = 30;
     for line in text.lines() {
         let line = line.split('#').next().unwrap_or("").trim();
         let words: Vec<&str> = line.split_whitespace().collect();
-        let Some((step, rest)) = words.split_first() else {
+        let Some((step, arguments)) = words.split_first() else {
             continue;
         };
         match *step {
-            "nodes" | "add-nodes" => fleet.add_nodes(number(rest.first())),
+            "nodes" | "add-nodes" => fleet.add_nodes(number(arguments.first())),
             "workers" => {
-                workers = number(rest.first());
+                workers = number(arguments.first());
                 fleet.add_workers(workers, false);
             }
-            "rate" => fleet.rate = number(rest.first()),
+            "rate" => fleet.rate = number(arguments.first()),
             "new-version" => {
-                fleet.kind = match rest[0] {
+                fleet.kind = match arguments[0] {
                     "good" => Kind::Good,
                     "errors" => Kind::Errors,
                     "slow" => Kind::Slow,
-                    "late" => Kind::Late(number(rest.get(1))),
+                    "late" => Kind::Late(number(arguments.get(1))),
                     "under-load" => Kind::UnderLoad,
                     "one-route" => Kind::OneRoute,
-                    other => panic!("no such kind: {other}"),
+                    other => panic!("unknown kind: {other}"),
                 }
             }
             "begin" => {
-                fleet.begin("v2", number(rest.first()));
+                fleet.begin("v2", number(arguments.first()));
                 fleet.run(600);
                 fleet.add_workers(workers, true);
             }
-            "again" => fleet.begin("v2", number(rest.first())),
-            "begin-other" => fleet.begin("v3", number(rest.first())),
-            "run" => fleet.run(number(rest.first())),
+            "again" => fleet.begin("v2", number(arguments.first())),
+            "begin-other" => fleet.begin("v3", number(arguments.first())),
+            "run" => fleet.run(number(arguments.first())),
             "lose-leader" => {
-                fleet.leads_from = fleet.now + 900;
+                fleet.leader_from = fleet.now + 900;
                 fleet.watchdog = std::mem::take(&mut fleet.standby);
                 fleet.emergency = EmergencyTracker::default();
                 fleet.reported_at = 0;
             }
-            "core-cut" => fleet.core_cut_until = fleet.now + number::<u64>(rest.first()),
+            "core-cut" => fleet.core_cut_until = fleet.now + number::<u64>(arguments.first()),
             "cut" => {
-                let (part, until) = (number(rest.first()), fleet.now + number::<u64>(rest.get(1)));
+                let (fraction, until) = (
+                    number(arguments.first()),
+                    fleet.now + number::<u64>(arguments.get(1)),
+                );
                 for i in 0..fleet.nodes.len() {
-                    if fleet.rng.gen_bool(part) {
+                    if fleet.rng.gen_bool(fraction) {
                         fleet.nodes[i].cut_until = until;
                     }
                 }
             }
             "restart-nodes" => {
-                let (part, dark) = (number(rest.first()), number::<u64>(rest.get(1)));
+                let (fraction, down_ms) = (number(arguments.first()), number::<u64>(arguments.get(1)));
                 for i in 0..fleet.nodes.len() {
-                    if fleet.rng.gen_bool(part) {
+                    if fleet.rng.gen_bool(fraction) {
                         let zone = fleet.nodes[i].zone;
                         fleet.nodes[i] = fleet.node(zone);
-                        fleet.nodes[i].up_at = fleet.now + dark;
+                        fleet.nodes[i].up_at = fleet.now + down_ms;
                     }
                 }
             }
-            "region-loss" => fleet.dark_zone = Some((1, fleet.now + number::<u64>(rest.first()))),
+            "region-loss" => fleet.unreachable_zone = Some((1, fleet.now + number::<u64>(arguments.first()))),
             "change-configuration" => {
-                for _ in 0..number::<u64>(rest.first()) {
+                for _ in 0..number::<u64>(arguments.first()) {
                     fleet.configure();
                     fleet.run(60);
                 }
             }
             "evacuate" | "finish" => {
                 let change = EvacuationChange {
-                    zone: rest[0].into(),
+                    zone: arguments[0].into(),
                     begin: *step == "evacuate",
                 };
                 fleet.change(ChangeKind::Evacuate(change));
             }
             "kill-switch" => {
                 let switch = KillSwitch {
-                    on: rest[0] == "on",
+                    on: arguments[0] == "on",
                     ..Default::default()
                 };
                 fleet.change(ChangeKind::KillSwitch(switch));
             }
-            "operator" => fleet.operate(Action::from_name(rest[0]).expect("an action")),
+            "operator" => fleet.operate(Action::from_name(arguments[0]).expect("expected an action")),
             "expect" => {
                 let state = fleet.state();
                 let p = state.rollouts.get("s");
-                let got = match rest[0] {
+                let got = match arguments[0] {
                     "refused" => {
-                        assert!(fleet.refused.take().is_some(), "`{line}`: it was not refused");
+                        assert!(
+                            fleet.refused.take().is_some(),
+                            "`{line}`: the rollout was not refused"
+                        );
                         continue;
                     }
                     "phase" => p.map_or("", |p| p.state_now().name()),
                     _ => p.map_or("", |p| p.state_now().protocol_name()),
                 };
-                let elapsed = fleet.now - fleet.ordered_at;
-                assert_eq!(Some(&got), rest.last(), "`{line}` at {elapsed}, level {:?}", {
-                    let level: EmergencyLevel = fleet.emergency.clone().check();
-                    level
-                });
+                let elapsed = fleet.now - fleet.created_at;
+                assert_eq!(
+                    Some(&got),
+                    arguments.last(),
+                    "`{line}` at {elapsed}, level {:?}",
+                    {
+                        let level: EmergencyLevel = fleet.emergency.clone().check();
+                        level
+                    }
+                );
             }
-            other => panic!("no such step: {other}"),
+            other => panic!("unknown step: {other}"),
         }
     }
     fleet.check();
 }
 
 #[test]
-fn every_rollout() {
+fn every_rollout_scenario_passes() {
     simulation::scenario::run_folder("rollout-scenarios", 10, 3, run_scenario);
 }
--- a/crates/simulation/tests/uneven.rs
+++ b/crates/simulation/tests/uneven.rs
@@ -1,9 +1,10 @@
-//! Live voters that stand unevenly over the regions.
+//! Running voters that are distributed unevenly over the regions.
 
 use simulation::scenario::run_scenario;
 
-/// Three voters of one region and one of each other: no loss of the first is borne, and
-/// no single step mends that. Those too many step back and are not let in again.
+/// Three voters in one region and one in each of two others: the loss of the first region is not
+/// tolerated, and no single membership change repairs that. The surplus voters are removed from
+/// the membership and are not admitted again.
 const THREE_IN_ONE_REGION: &str = "\
 voters a/r1 b/r2 c/r3
 run 4000
@@ -25,7 +26,7 @@
 ";
 
 #[test]
-fn voters_too_many_in_one_region_step_back_for_good() {
+fn surplus_voters_of_one_region_are_removed_permanently() {
     for seed in 1..=6 {
         run_scenario(THREE_IN_ONE_REGION, seed);
     }
--- a/crates/simulation/tests/wire.rs
+++ b/crates/simulation/tests/wire.rs
@@ -1,7 +1,7 @@
-//! The encoded form of every message stays as it was released: nodes of the version before
-//! read it, and stored logs and snapshots hold it. `wire.hex` has one filled value of each
-//! message (of each variant of a `oneof`), a line each: name and bytes. The names are those
-//! of the version that wrote them.
+//! The encoding of every message stays as it was released: nodes of the previous version read it,
+//! and stored logs and snapshots contain it. `wire.hex` has one filled value of each message (of
+//! each variant of a `oneof`), one per line: name and bytes. The names are those of the version
+//! that wrote the file.
 
 use gossip::Member;
 use prost::Message;
@@ -9,72 +9,72 @@
 use raft::{Entry, Membership, Snapshot, Voter};
 use rollout::{AnalysisCriteria, Audit, CohortSample, Create, Rollout, RolloutChange, RolloutStage};
 
-/// Messages in `wire.hex`.
+/// Number of messages in `wire.hex`.
 const MESSAGES: usize = 67;
 
-fn decoded_and_encoded<T: Message + Default>(bytes: &[u8]) -> Vec<u8> {
-    T::decode(bytes).expect("decodes").encode_to_vec()
+fn reencode<T: Message + Default>(bytes: &[u8]) -> Vec<u8> {
+    T::decode(bytes).expect("the message decodes").encode_to_vec()
 }
 
 fn bytes_of(hex: &str) -> Vec<u8> {
-    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex");
+    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal digits");
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
 #[test]
-fn encoded_messages_stay_as_they_were() {
+fn message_encodings_are_unchanged() {
     let mut messages = 0;
     for line in include_str!("wire.hex").lines() {
         let (name, hex) = line.split_once(' ').expect("a name and bytes");
         let bytes = bytes_of(hex);
         let encoded = match name {
-            "Voter" => decoded_and_encoded::<Voter>(&bytes),
-            "Roll" => decoded_and_encoded::<Membership>(&bytes),
-            "Entry" => decoded_and_encoded::<Entry>(&bytes),
-            "Snapshot" => decoded_and_encoded::<Snapshot>(&bytes),
-            "Cue" => decoded_and_encoded::<raft::Message>(&bytes),
-            "Member" => decoded_and_encoded::<Member>(&bytes),
-            "Notice" => decoded_and_encoded::<gossip::Message>(&bytes),
-            "Review" => decoded_and_encoded::<AnalysisCriteria>(&bytes),
-            "Showing" => decoded_and_encoded::<RolloutStage>(&bytes),
-            "Audit" => decoded_and_encoded::<Audit>(&bytes),
-            "Preview" => decoded_and_encoded::<Rollout>(&bytes),
-            "Create" => decoded_and_encoded::<Create>(&bytes),
-            "PreviewChange" => decoded_and_encoded::<RolloutChange>(&bytes),
-            "Trial" => decoded_and_encoded::<CohortSample>(&bytes),
-            "Letter" => decoded_and_encoded::<PeerMessage>(&bytes),
-            "ControlCall" => decoded_and_encoded::<CommandRequest>(&bytes),
-            "BeginOrder" => decoded_and_encoded::<BeginRollout>(&bytes),
-            "KillSwitch" => decoded_and_encoded::<KillSwitch>(&bytes),
-            "ReplaceOrder" => decoded_and_encoded::<ConfigurationCommand>(&bytes),
-            "ControlAnswer" => decoded_and_encoded::<CommandResponse>(&bytes),
-            "Report" => decoded_and_encoded::<Report>(&bytes),
-            "KeyCounts" => decoded_and_encoded::<KeyCounts>(&bytes),
-            "Demand" => decoded_and_encoded::<Demand>(&bytes),
-            "Capacity" => decoded_and_encoded::<WorkerStats>(&bytes),
-            "Distance" => decoded_and_encoded::<RoundTrip>(&bytes),
-            "Digests" => decoded_and_encoded::<RangeDigests>(&bytes),
-            "Mend" => decoded_and_encoded::<Repair>(&bytes),
-            "Change" => decoded_and_encoded::<Change>(&bytes),
-            "OrderTag" => decoded_and_encoded::<CommandTag>(&bytes),
-            "LedgerImage" => decoded_and_encoded::<CommandHistoryImage>(&bytes),
-            "TakenOrder" => decoded_and_encoded::<ConfigurationKey>(&bytes),
-            "JudgedOrder" => decoded_and_encoded::<JudgedCommand>(&bytes),
-            "ReplaceDelta" => decoded_and_encoded::<ConfigurationDelta>(&bytes),
-            "DeltaPart" => decoded_and_encoded::<DeltaPart>(&bytes),
-            "EvacuationChange" => decoded_and_encoded::<EvacuationChange>(&bytes),
-            "Worker" => decoded_and_encoded::<Worker>(&bytes),
-            "Cast" => decoded_and_encoded::<WarmupGroup>(&bytes),
-            "WorkersChange" => decoded_and_encoded::<WorkersChange>(&bytes),
-            "Holding" => decoded_and_encoded::<KeyLease>(&bytes),
-            "KeysChange" => decoded_and_encoded::<KeyLeaseChange>(&bytes),
-            "Fraction" => decoded_and_encoded::<SiteFraction>(&bytes),
-            "PlacementChange" => decoded_and_encoded::<PlacementChange>(&bytes),
-            "BenchChange" => decoded_and_encoded::<EjectionChange>(&bytes),
-            "AllowanceChange" => decoded_and_encoded::<RetryAllowanceChange>(&bytes),
-            "StageImage" => decoded_and_encoded::<ControlStateImage>(&bytes),
-            "ZoneReturn" => decoded_and_encoded::<EndedEvacuation>(&bytes),
-            other => panic!("{other} is no message"),
+            "Voter" => reencode::<Voter>(&bytes),
+            "Roll" => reencode::<Membership>(&bytes),
+            "Entry" => reencode::<Entry>(&bytes),
+            "Snapshot" => reencode::<Snapshot>(&bytes),
+            "Cue" => reencode::<raft::Message>(&bytes),
+            "Member" => reencode::<Member>(&bytes),
+            "Notice" => reencode::<gossip::Message>(&bytes),
+            "Review" => reencode::<AnalysisCriteria>(&bytes),
+            "Showing" => reencode::<RolloutStage>(&bytes),
+            "Audit" => reencode::<Audit>(&bytes),
+            "Preview" => reencode::<Rollout>(&bytes),
+            "Create" => reencode::<Create>(&bytes),
+            "PreviewChange" => reencode::<RolloutChange>(&bytes),
+            "Trial" => reencode::<CohortSample>(&bytes),
+            "Letter" => reencode::<PeerMessage>(&bytes),
+            "ControlCall" => reencode::<CommandRequest>(&bytes),
+            "BeginOrder" => reencode::<BeginRollout>(&bytes),
+            "KillSwitch" => reencode::<KillSwitch>(&bytes),
+            "ReplaceOrder" => reencode::<ConfigurationCommand>(&bytes),
+            "ControlAnswer" => reencode::<CommandResponse>(&bytes),
+            "Report" => reencode::<Report>(&bytes),
+            "KeyCounts" => reencode::<KeyCounts>(&bytes),
+            "Demand" => reencode::<Demand>(&bytes),
+            "Capacity" => reencode::<WorkerStats>(&bytes),
+            "Distance" => reencode::<RoundTrip>(&bytes),
+            "Digests" => reencode::<RangeDigests>(&bytes),
+            "Mend" => reencode::<Repair>(&bytes),
+            "Change" => reencode::<Change>(&bytes),
+            "OrderTag" => reencode::<CommandTag>(&bytes),
+            "LedgerImage" => reencode::<CommandHistoryImage>(&bytes),
+            "TakenOrder" => reencode::<ConfigurationKey>(&bytes),
+            "JudgedOrder" => reencode::<JudgedCommand>(&bytes),
+            "ReplaceDelta" => reencode::<ConfigurationDelta>(&bytes),
+            "DeltaPart" => reencode::<DeltaPart>(&bytes),
+            "EvacuationChange" => reencode::<EvacuationChange>(&bytes),
+            "Worker" => reencode::<Worker>(&bytes),
+            "Cast" => reencode::<WarmupGroup>(&bytes),
+            "WorkersChange" => reencode::<WorkersChange>(&bytes),
+            "Holding" => reencode::<KeyLease>(&bytes),
+            "KeysChange" => reencode::<KeyLeaseChange>(&bytes),
+            "Fraction" => reencode::<SiteFraction>(&bytes),
+            "PlacementChange" => reencode::<PlacementChange>(&bytes),
+            "BenchChange" => reencode::<EjectionChange>(&bytes),
+            "AllowanceChange" => reencode::<RetryAllowanceChange>(&bytes),
+            "StageImage" => reencode::<ControlStateImage>(&bytes),
+            "ZoneReturn" => reencode::<EndedEvacuation>(&bytes),
+            other => panic!("unknown message: {other}"),
         };
         assert_eq!(encoded, bytes, "{name}");
         messages += 1;
