--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -334,7 +334,7 @@
         } else {
             0.0
         };
-        let ratio = self.bounds.retry_ratio * c::RETRY_BUDGET_PART;
+        let ratio = self.bounds.retry_ratio * c::RETRY_BUDGET_FRACTION;
         let window_ms = self.bounds.retry_window.ms;
         self.retry_budget(service).try_take(now, window_ms, ratio, slack)
     }
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -106,7 +106,7 @@
     /// Returns the factor by which the cost of the worker is raised while it is on probation.
     pub(crate) fn probation_cost(&self, now: u64) -> f64 {
         let left = self.probation_until.saturating_sub(now) as f64 / c::PROBATION_MS as f64;
-        1.0 + (c::PROBATION_COST - 1.0) * left
+        1.0 + (c::PROBATION_COST_FACTOR - 1.0) * left
     }
 
     /// Records the result of an attempt.
@@ -131,9 +131,9 @@
             AttemptResult::TimedOut => self.failed += 1,
             AttemptResult::Replaced => {
                 self.failed += 1;
-                self.eject(now, c::REUSED_ADDRESS_MS);
+                self.eject(now, c::REUSED_ADDRESS_EJECTION_MS);
             }
-            AttemptResult::Rejected => self.eject(now, c::OVERLOAD_PAUSE_MS),
+            AttemptResult::Rejected => self.eject(now, c::OVERLOAD_EJECTION_MS),
             AttemptResult::Failed => {
                 self.failures += 1;
                 self.failed += 1;
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -121,7 +121,7 @@
         let shares = warmup_limit(service, &self.bounds) / group.len();
         // Without a configured rate, one request per second is assumed.
         let rate = service.map_or(0.0, |s| s.warmup_rate);
-        let rate = c::WARMUP_PART * if rate > 0.0 { rate } else { 1.0 };
+        let rate = c::WARMUP_RATE_FRACTION * if rate > 0.0 { rate } else { 1.0 };
         let gap_ms = 1000.0 * group.len() as f64 / rate;
         let warmup = &endpoint.warmup;
         warmup.recently_sent(now) < shares.min(c::WARMUP_MAX_SHARES) && warmup.is_due(now, gap_ms)
@@ -139,7 +139,7 @@
     /// priority are rejected earlier.
     fn would_miss_deadline(&self, endpoint: &Endpoint, request: &SelectionRequest, subset: &Subset) -> bool {
         let priority = f64::from(request.route.priority);
-        let slack_factor = c::DEADLINE_SLACK_FACTOR / (1.0 + c::PRIORITY_STEP * priority);
+        let slack_factor = c::DEADLINE_SLACK_FACTOR / (1.0 + c::PRIORITY_DEADLINE_STEP * priority);
         self.expected_ms(endpoint, subset) > slack_factor * request.remaining_ms as f64
     }
 
@@ -150,9 +150,9 @@
         let distance = if endpoint.worker.zone == request.zone.unwrap_or(&self.zone) {
             0.0
         } else if endpoint.region == self.region {
-            c::LOCAL_RTT_MS + c::ZONE_PENALTY * target_ms
+            c::LOCAL_RTT_MS + c::ZONE_PENALTY_FRACTION * target_ms
         } else {
-            self.round_trip_to(&endpoint.region) + c::REGION_PENALTY * target_ms
+            self.round_trip_to(&endpoint.region) + c::REGION_PENALTY_FRACTION * target_ms
         };
         self.expected_ms(endpoint, subset) + distance
     }
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -123,9 +123,9 @@
             (self.locality.number, all_nodes)
         };
         let part = if self.is_local {
-            c::LOCAL_CONNECTION_PART
+            c::LOCAL_CONNECTION_FRACTION
         } else {
-            c::REMOTE_CONNECTION_PART
+            c::REMOTE_CONNECTION_FRACTION
         };
         let capacity = f64::from(self.limit) * part;
         let size = self.size(candidates.len(), capacity, nodes);
@@ -146,12 +146,12 @@
     /// connections to each worker.
     fn size(&self, candidates: usize, capacity: f64, nodes: usize) -> usize {
         if self.is_local {
-            c::LOCAL_SUBSET.min(candidates)
+            c::LOCAL_SUBSET_WORKERS.min(candidates)
         } else if self.is_scarce {
             let affordable = (capacity * candidates as f64 / nodes as f64) as usize;
-            affordable.clamp(1, c::REMOTE_SUBSET).min(candidates)
+            affordable.clamp(1, c::REMOTE_SUBSET_WORKERS).min(candidates)
         } else {
-            c::REMOTE_SUBSET.min(candidates)
+            c::REMOTE_SUBSET_WORKERS.min(candidates)
         }
     }
 }
--- a/crates/config/src/constants/gossip.rs
+++ b/crates/config/src/constants/gossip.rs
@@ -34,4 +34,4 @@
 /// of members.
 pub const MEMBER_TABLE_INTERVAL_MS: u64 = 100;
 /// Number of members below which the member table is rebuilt at every change.
-pub const MEMBER_TABLE_SMALL: usize = 120;
+pub const MEMBER_TABLE_IMMEDIATE_MEMBERS: usize = 120;
--- a/crates/config/src/constants/keys.rs
+++ b/crates/config/src/constants/keys.rs
@@ -25,7 +25,7 @@
 pub const MAX_GRANT_FAILURES: u32 = 3;
 /// Time for which a worker that was given up gets no keys, in milliseconds: longer than the
 /// platform takes to drop a crashed worker from its list.
-pub const HOLDER_AVOID_MS: u64 = 10_000;
+pub const HOLDER_BACKOFF_MS: u64 = 10_000;
 /// Timeout of a release, in milliseconds. The worker answers when its running requests have ended.
 pub const RELEASE_TIMEOUT_MS: u64 = 5000;
 /// Interval between two checks of the key assignment, in milliseconds.
@@ -50,15 +50,15 @@
 pub const KEY_RESPONSE_RETENTION: f64 = 0.9;
 /// Fraction of the load that is assumed to be spread evenly over all keys, so that keys without
 /// requests so far also have a load.
-pub const KEY_EVEN_LOAD_PART: f64 = 0.1;
+pub const KEY_EVEN_LOAD_FRACTION: f64 = 0.1;
 /// Largest number of ranges into which the keys of a leaving worker are split. Each range goes to
 /// another worker, so that no worker doubles its load.
 pub const MAX_SPLIT_RANGES: usize = 3;
 /// Fraction of the mean load below which a worker gets keys from the most loaded worker. Above it a
 /// move costs more than it gains.
-pub const UNDERLOADED_BELOW: f64 = 0.5;
+pub const UNDERLOADED_FRACTION: f64 = 0.5;
 /// Multiple of the mean load above which a worker gives keys away.
-pub const OVERLOADED_ABOVE: f64 = 1.25;
+pub const OVERLOADED_FACTOR: f64 = 1.25;
 /// Number of workers of a service per concurrent rebalancing move. With many workers, busy keys
 /// need more capacity at once.
 pub const REBALANCE_WORKERS_PER_MOVE: usize = 6;
--- a/crates/config/src/constants/placement.rs
+++ b/crates/config/src/constants/placement.rs
@@ -3,7 +3,7 @@
 /// Weight of the newest measurement in the smoothed rates (design: 0.6).
 pub const RATE_SMOOTHING: f64 = 0.6;
 /// Fraction of a site's capacity that the placement may use (design: 0.9).
-pub const WATERMARK: f64 = 0.9;
+pub const CAPACITY_WATERMARK: f64 = 0.9;
 /// Length of the site ranking's prefix by which client groups are merged (design: 3).
 pub const RANKING_PREFIX: usize = 3;
 /// Flow of a service at a site below which the flow counts as tiny, in requests per second. The
@@ -11,7 +11,7 @@
 pub const DELETION_THRESHOLD: f64 = 8.0;
 /// Hysteresis ratio. The flow at a site already in use counts as tiny only below the threshold
 /// divided by this ratio (design: 3).
-pub const HYSTERESIS: f64 = 3.0;
+pub const DELETION_HYSTERESIS_RATIO: f64 = 3.0;
 /// Interval between placement decisions, in milliseconds. A day lasts less than a few of the
 /// design's intervals of 30 s.
 pub const PLACEMENT_INTERVAL_MS: u64 = 5000;
--- a/crates/config/src/constants/process.rs
+++ b/crates/config/src/constants/process.rs
@@ -3,7 +3,7 @@
 /// Interval between two announcements of a voter's shutdown, in milliseconds.
 pub const SHUTDOWN_ANNOUNCE_INTERVAL_MS: u64 = 200;
 /// Time without running requests after which a node that shuts down ends, in milliseconds.
-pub const SHUTDOWN_QUIET_MS: u64 = 300;
+pub const SHUTDOWN_IDLE_MS: u64 = 300;
 /// Time before the end of the grace period at which a process that shuts down exits, in
 /// milliseconds. It exits by itself to avoid being killed.
 pub const SHUTDOWN_END_MARGIN_MS: u64 = 100;
--- a/crates/config/src/constants/proxy.rs
+++ b/crates/config/src/constants/proxy.rs
@@ -14,7 +14,7 @@
 pub const IDLE_REUSE_NON_IDEMPOTENT_MS: u64 = 2000;
 /// Time for which a node avoids idle connections after a peer has lost the state of one, in
 /// milliseconds. Such phases last some seconds.
-pub const STALE_CONNECTION_CAUTION_MS: u64 = 10_000;
+pub const STALE_CONNECTION_BACKOFF_MS: u64 = 10_000;
 /// Wait that a refused client is told, in milliseconds.
 pub const RETRY_AFTER_MS: u64 = 200;
 /// Wait that a client is told while its key is handed over, in milliseconds. A release waits for
--- a/crates/config/src/constants/raft.rs
+++ b/crates/config/src/constants/raft.rs
@@ -11,9 +11,9 @@
 pub const PEER_TIMEOUT_MS: u64 = 3000;
 /// Time after which a node replaces an unresponsive upstream, in milliseconds: more than two
 /// heartbeats, and well within the time allowed for a change.
-pub const UPSTREAM_SILENCE_MS: u64 = 1100;
+pub const UPSTREAM_TIMEOUT_MS: u64 = 1100;
 /// Time for which a replaced upstream is not selected again, in milliseconds: longer than a restart.
-pub const UPSTREAM_AVOID_MS: u64 = 4000;
+pub const UPSTREAM_BACKOFF_MS: u64 = 4000;
 /// Shortest time without contact to the leader before an election, in milliseconds: more than four
 /// heartbeats and a round trip between distant regions.
 pub const ELECTION_TIMEOUT_MS: u64 = 450;
--- a/crates/config/src/constants/storage.rs
+++ b/crates/config/src/constants/storage.rs
@@ -9,4 +9,4 @@
 /// in milliseconds. The count distinguishes a damaged store from an interrupted write. A power
 /// failure within this time leaves the newest commits uncounted; at most one sync per second is
 /// added.
-pub const HIGH_WATER_SYNC_MS: u64 = 1000;
+pub const COMMIT_COUNT_SYNC_DELAY_MS: u64 = 1000;
--- a/crates/config/src/constants/transport.rs
+++ b/crates/config/src/constants/transport.rs
@@ -8,7 +8,7 @@
 pub const PEER_CONNECT_TIMEOUT_MS: u64 = 250;
 /// Number of attempts after which the timeout for connecting to another node doubles. As many
 /// attempts take longer than a restart.
-pub const PEER_CONNECT_TRIES: u32 = 4;
+pub const PEER_CONNECT_ATTEMPTS_PER_DOUBLING: u32 = 4;
 /// Time after which unacknowledged bytes end any connection, in milliseconds. A failed machine sends
 /// no notice.
 pub const TCP_USER_TIMEOUT_MS: u32 = 1200;
--- a/crates/config/src/constants/warmup.rs
+++ b/crates/config/src/constants/warmup.rs
@@ -4,7 +4,7 @@
 use super::proxy::WORKER_CONNECT_TIMEOUT_MS;
 
 /// Fraction of a warming worker's rate that is distributed to the nodes.
-pub const WARMUP_PART: f64 = 0.85;
+pub const WARMUP_RATE_FRACTION: f64 = 0.85;
 /// Time for which a worker of a zone whose evacuation has ended is assumed to be warming up, unless
 /// the configuration gives a longer time, in milliseconds.
 pub const RESTORED_ZONE_WARMUP_MS: u64 = 3000;
--- a/crates/config/src/timing.rs
+++ b/crates/config/src/timing.rs
@@ -18,16 +18,16 @@
 };
 
 /// Timeouts after which a leader acts on an unresponsive voter.
-pub const VOTER_SILENCE: raft::SilenceTimeouts = raft::SilenceTimeouts {
+pub const VOTER_TIMEOUTS: raft::VoterTimeouts = raft::VoterTimeouts {
     contact_ms: c::CONTACT_TIMEOUT_MS,
-    removal_ms: c::VOTER_REMOVAL_MS,
-    urgent_removal_ms: c::VOTER_URGENT_REMOVAL_MS,
+    removal_ms: c::VOTER_REMOVAL_TIMEOUT_MS,
+    urgent_removal_ms: c::VOTER_URGENT_REMOVAL_TIMEOUT_MS,
 };
 
 /// Timeouts after which a learner acts on an unresponsive upstream.
-pub const UPSTREAM: raft::UpstreamTimeouts = raft::UpstreamTimeouts {
-    silence_ms: c::UPSTREAM_SILENCE_MS,
-    avoid_ms: c::UPSTREAM_AVOID_MS,
+pub const UPSTREAM_TIMEOUTS: raft::UpstreamTimeouts = raft::UpstreamTimeouts {
+    unresponsive_ms: c::UPSTREAM_TIMEOUT_MS,
+    backoff_ms: c::UPSTREAM_BACKOFF_MS,
 };
 
 /// Timeouts, intervals and sizes of the membership protocol.
--- a/crates/control-state/src/apply.rs
+++ b/crates/control-state/src/apply.rs
@@ -55,7 +55,7 @@
         let Some(tag) = tag else {
             return execute(self);
         };
-        match self.command_history.tagged(&tag) {
+        match self.command_history.tagged_status(&tag) {
             (CommandStatus::Accepted, _) => Outcome::AlreadyApplied,
             (CommandStatus::Rejected, at) => Outcome::RolloutRejected(Refusal::Conflict(at)),
             (CommandStatus::Forgotten, _) => Outcome::Undecidable,
--- a/crates/control-state/src/command_history.rs
+++ b/crates/control-state/src/command_history.rs
@@ -14,7 +14,7 @@
 use prost::Message as _;
 use protocol::{
     Command, CommandHistoryImage, CommandRequest, CommandTag, ConfigurationCommand, ConfigurationKey,
-    JudgedCommand,
+    DecidedCommand,
 };
 use sha2::{Digest, Sha256};
 use std::cmp::Ordering;
@@ -62,7 +62,7 @@
     accepted: VecDeque<ConfigurationKey>,
     /// Rejected configuration commands on a base that no configuration has reached yet.
     rejected_ahead: VecDeque<ConfigurationKey>,
-    tagged: VecDeque<JudgedCommand>,
+    tagged: VecDeque<DecidedCommand>,
     forgotten_base: Option<u64>,
     forgotten_index: u64,
 }
@@ -146,7 +146,7 @@
     }
 
     /// Returns the status of a configuration command while `version` is current.
-    pub fn configuration(&self, key: &ConfigurationKey, version: u64) -> CommandStatus {
+    pub fn configuration_status(&self, key: &ConfigurationKey, version: u64) -> CommandStatus {
         if let Some(at_base) = self.accepted.iter().rev().find(|a| a.base == key.base) {
             return if at_base.digest == key.digest {
                 CommandStatus::Accepted
@@ -159,7 +159,7 @@
         }
         let is_forgotten = self.forgotten_base.is_some_and(|f| key.base <= f);
         // A permanent rejection must be remembered until the current version passes its base.
-        let has_room = self.rejected_ahead.len() < c::REJECTED_AHEAD_REMEMBERED;
+        let has_room = self.rejected_ahead.len() < c::MAX_REJECTED_AHEAD_COMMANDS;
         match key.base.cmp(&version) {
             Ordering::Equal => CommandStatus::New,
             Ordering::Less if is_forgotten => CommandStatus::Forgotten,
@@ -171,7 +171,7 @@
     /// Records a configuration command that was accepted and made `version` current.
     pub fn add_accepted(&mut self, key: ConfigurationKey, version: u64) {
         self.accepted.push_back(key);
-        while self.accepted.len() > c::ACCEPTED_REMEMBERED {
+        while self.accepted.len() > c::MAX_ACCEPTED_COMMANDS {
             self.forgotten_base = self.accepted.pop_front().map(|a| a.base);
         }
         // Below the current version the list of accepted commands decides alone.
@@ -180,7 +180,7 @@
 
     /// Records a configuration command that was rejected because its base is above `version`.
     pub(crate) fn add_rejected_ahead(&mut self, key: ConfigurationKey, version: u64) {
-        let has_room = self.rejected_ahead.len() < c::REJECTED_AHEAD_REMEMBERED;
+        let has_room = self.rejected_ahead.len() < c::MAX_REJECTED_AHEAD_COMMANDS;
         if key.base > version && !self.rejected_ahead.contains(&key) && has_room {
             self.rejected_ahead.push_back(key);
         }
@@ -190,11 +190,11 @@
 /// Commands with a tag.
 impl CommandHistory {
     /// Returns the status of a command with a tag, and the index at which it was decided.
-    pub fn tagged(&self, tag: &CommandTag) -> (CommandStatus, u64) {
+    pub fn tagged_status(&self, tag: &CommandTag) -> (CommandStatus, u64) {
         // The leader saw an identical command shortly before this one. Only the log can decide
         // whether this one still repeats it at the position of its entry.
         let repeats = (tag.repeats != 0).then(|| self.repeated_by(tag)).flatten();
-        let is_same_or_repeated = |decided: &&JudgedCommand| {
+        let is_same_or_repeated = |decided: &&DecidedCommand| {
             let is_same_call = |t: &CommandTag| (t.incarnation, t.number) == (tag.incarnation, tag.number);
             decided.tag.as_ref().is_some_and(is_same_call) || repeats == Some(decided.index)
         };
@@ -210,12 +210,12 @@
 
     /// Records a command with a tag that was decided at `index`.
     pub fn add_tagged(&mut self, index: u64, tag: CommandTag, accepted: bool) {
-        self.tagged.push_back(JudgedCommand {
+        self.tagged.push_back(DecidedCommand {
             index,
             tag: Some(tag),
             accepted,
         });
-        while self.tagged.len() > c::TAGGED_REMEMBERED {
+        while self.tagged.len() > c::MAX_TAGGED_COMMANDS {
             let forgotten = self.tagged.pop_front();
             self.forgotten_index = forgotten.map_or(self.forgotten_index, |f| f.index);
         }
@@ -226,8 +226,8 @@
     /// the subject are skipped, and the newest identical one is taken if it was accepted.
     pub fn repeated_by(&self, tag: &CommandTag) -> Option<u64> {
         let is_identical =
-            |decided: &JudgedCommand| decided.tag.as_ref().is_some_and(|t| t.digest == tag.digest);
-        let is_candidate = |decided: &&JudgedCommand| {
+            |decided: &DecidedCommand| decided.tag.as_ref().is_some_and(|t| t.digest == tag.digest);
+        let is_candidate = |decided: &&DecidedCommand| {
             let on_subject = decided.tag.as_ref().is_some_and(|t| t.subject == tag.subject);
             on_subject && (is_identical(decided) || !tag.cautious)
         };
@@ -239,7 +239,7 @@
     /// pending in its log (`pending`, by index and tag), or else the newest one in the history, if
     /// it was accepted and `is_recent` holds for its index. Other commands in between are not
     /// considered here, but where the entry is applied.
-    pub fn recent_like<'a>(
+    pub fn recent_identical<'a>(
         &self,
         tag: &CommandTag,
         pending: impl Iterator<Item = (u64, &'a CommandTag)>,
@@ -251,7 +251,8 @@
             .map(|(index, _)| index)
             .max();
         in_log.or_else(|| {
-            let has_identical_tag = |decided: &&JudgedCommand| decided.tag.as_ref().is_some_and(is_identical);
+            let has_identical_tag =
+                |decided: &&DecidedCommand| decided.tag.as_ref().is_some_and(is_identical);
             let newest = self.tagged.iter().rev().find(has_identical_tag)?;
             (newest.accepted && is_recent(newest.index)).then_some(newest.index)
         })
@@ -271,7 +272,7 @@
             let is_other = (other.incarnation, other.number) != (tag.incarnation, tag.number);
             is_other && other.subject == tag.subject && index > seen
         };
-        let is_newer_decided = |decided: &JudgedCommand| {
+        let is_newer_decided = |decided: &DecidedCommand| {
             let other = decided.tag.as_ref();
             other.is_some_and(|other| is_newer(decided.index, other))
         };
--- a/crates/control-state/src/configuration_commands.rs
+++ b/crates/control-state/src/configuration_commands.rs
@@ -22,7 +22,7 @@
 
 /// The decision about a configuration command before it is logged.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Judgement {
+pub enum CommandDecision {
     /// The command is to be appended to the log, and its outcome is decided there.
     Log,
     /// This copy would reject the command. The check is to be repeated once a majority has
@@ -34,20 +34,20 @@
 
 impl ControlState {
     /// Decides about a configuration command, as far as this copy of the state allows.
-    pub fn judge(&self, command: &ConfigurationCommand, confirmation: Confirmation) -> Judgement {
+    pub fn decide(&self, command: &ConfigurationCommand, confirmation: Confirmation) -> CommandDecision {
         let checked = if command.modification.is_empty() {
             self.check_replace(command)
         } else {
-            let modified = self.modified(command.base, &command.modification);
+            let modified = self.resolve_modification(command.base, &command.modification);
             modified.and_then(|command| self.check_replace(&command))
         };
         match checked.err() {
-            None => Judgement::Log,
+            None => CommandDecision::Log,
             // A rejection whose base is above the current version must be recorded in the log to
             // remain a rejection.
-            Some(Outcome::Conflict(version)) if command.base > version => Judgement::Log,
-            Some(_) if confirmation == Confirmation::Unconfirmed => Judgement::Confirm,
-            Some(outcome) => Judgement::Final(outcome),
+            Some(Outcome::Conflict(version)) if command.base > version => CommandDecision::Log,
+            Some(_) if confirmation == Confirmation::Unconfirmed => CommandDecision::Confirm,
+            Some(outcome) => CommandDecision::Final(outcome),
         }
     }
 
@@ -75,7 +75,11 @@
 
     /// Applies a `modify` on a base version to the configuration in force and returns the
     /// equivalent command that replaces the complete configuration.
-    pub fn modified(&self, base: u64, modification: &[u8]) -> Result<ConfigurationCommand, Outcome> {
+    pub fn resolve_modification(
+        &self,
+        base: u64,
+        modification: &[u8],
+    ) -> Result<ConfigurationCommand, Outcome> {
         let command = ConfigurationCommand {
             base,
             body: Vec::new(),
@@ -139,7 +143,7 @@
         let (key, current) = (configuration_key(&command), self.version());
         // The log holds only the modification of a `modify`, not the resulting body.
         let command = if command.body.is_empty() && !command.modification.is_empty() {
-            self.modified(command.base, &command.modification)
+            self.resolve_modification(command.base, &command.modification)
         } else {
             Ok(command)
         };
@@ -166,7 +170,7 @@
     /// not new.
     fn check_history(&self, key: &ConfigurationKey) -> Result<(), Outcome> {
         let current = self.version();
-        match self.command_history.configuration(key, current) {
+        match self.command_history.configuration_status(key, current) {
             CommandStatus::New => Ok(()),
             CommandStatus::Accepted => Err(Outcome::AlreadyApplied),
             CommandStatus::Rejected => Err(Outcome::Conflict(current)),
--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -2,7 +2,7 @@
 //! holds a copy, and two copies at the same log index are equal.
 //!
 //! [`ControlState`] is a pure state machine. The leader first checks a command against its own
-//! copy ([`ControlState::judge`]) and logs the requested change. Every node then applies the
+//! copy ([`ControlState::decide`]) and logs the requested change. Every node then applies the
 //! change ([`ControlState::apply`]). Snapshots hold the complete state
 //! ([`ControlState::to_snapshot`]).
 
@@ -21,7 +21,7 @@
     body_digest, command_digests, configuration_key, CommandDigests, CommandHistory, CommandStatus,
     HistorySizes,
 };
-pub use configuration_commands::{Confirmation, Judgement};
+pub use configuration_commands::{CommandDecision, Confirmation};
 pub use delta::{delta, patch};
 pub use error::{InvalidChange, SnapshotError};
 pub use recent_commands::RecentCommands;
--- a/crates/control-state/src/recent_commands.rs
+++ b/crates/control-state/src/recent_commands.rs
@@ -16,7 +16,7 @@
 impl RecentCommands {
     /// Records the time for commands that are new in the history, and removes those that are no
     /// longer in it.
-    pub fn note(&mut self, now: u64, history: &CommandHistory) {
+    pub fn record(&mut self, now: u64, history: &CommandHistory) {
         let indexes: BTreeSet<u64> = history.tagged_indexes().collect();
         self.last_seen.retain(|index, _| indexes.contains(index));
         for index in indexes {
@@ -26,7 +26,7 @@
 
     /// Records that the command at `index` was sent again. A caller whose answers are lost keeps
     /// sending the command for longer than the pause between two attempts.
-    pub fn note_repeated(&mut self, now: u64, index: u64) {
+    pub fn record_repetition(&mut self, now: u64, index: u64) {
         if let Some(seen) = self.last_seen.get_mut(&index) {
             *seen = now;
         }
@@ -46,8 +46,8 @@
     ) -> Option<u64> {
         let is_recent = |index: u64| {
             let seen = self.last_seen.get(&index);
-            seen.is_some_and(|at| now.saturating_sub(*at) < c::REPEATED_COMMAND_MS)
+            seen.is_some_and(|at| now.saturating_sub(*at) < c::REPEATED_COMMAND_WINDOW_MS)
         };
-        history.recent_like(tag, pending, is_recent)
+        history.recent_identical(tag, pending, is_recent)
     }
 }
--- a/crates/control-state/tests/command_history.rs
+++ b/crates/control-state/tests/command_history.rs
@@ -3,7 +3,7 @@
 //! that are identified by their tags.
 
 use config::constants as c;
-use control_state::{Confirmation, ControlState, Judgement, Outcome, RecentCommands};
+use control_state::{CommandDecision, Confirmation, ControlState, Outcome, RecentCommands};
 use protocol::{Change, ChangeKind, CommandTag, ConfigurationCommand, EvacuationChange};
 use std::collections::BTreeMap;
 
@@ -56,7 +56,7 @@
 #[test]
 fn forgotten_command_is_neither_rejected_nor_confirmed() {
     let mut state = ControlState::default();
-    let last = c::ACCEPTED_REMEMBERED as u64 + 10;
+    let last = c::MAX_ACCEPTED_COMMANDS as u64 + 10;
     for v in 1..=last {
         assert_eq!(send(&mut state, &command(v - 1, v, "one")), Outcome::Applied);
     }
@@ -78,14 +78,14 @@
     let sizes = state.command_history.sizes();
     assert_eq!(
         (sizes.accepted, sizes.rejected_ahead, sizes.tagged),
-        (c::ACCEPTED_REMEMBERED, 0, 0)
+        (c::MAX_ACCEPTED_COMMANDS, 0, 0)
     );
 }
 
 #[test]
 fn invalid_configuration_is_rejected_on_a_forgotten_base() {
     let mut state = ControlState::default();
-    for v in 1..=c::ACCEPTED_REMEMBERED as u64 + 10 {
+    for v in 1..=c::MAX_ACCEPTED_COMMANDS as u64 + 10 {
         assert_eq!(send(&mut state, &command(v - 1, v, "one")), Outcome::Applied);
     }
     let broken = ConfigurationCommand {
@@ -112,7 +112,7 @@
     );
     assert_eq!(send(&mut state, &command(2, 3, "in time")), Outcome::Applied);
     // The history is filled with such rejections; a further one gets no definite answer.
-    for i in 0..c::REJECTED_AHEAD_REMEMBERED as u64 {
+    for i in 0..c::MAX_REJECTED_AHEAD_COMMANDS as u64 {
         assert_eq!(send(&mut state, &command(90 + i, 200, "")), Outcome::Conflict(3));
     }
     assert_eq!(send(&mut state, &command(80, 200, "")), Outcome::Undecidable);
@@ -161,16 +161,16 @@
     for command in &commands {
         assert!(
             !matches!(
-                stale.judge(command, Confirmation::Unconfirmed),
-                Judgement::Final(_)
+                stale.decide(command, Confirmation::Unconfirmed),
+                CommandDecision::Final(_)
             ),
             "{}",
             command.base
         );
         // The final decision of a confirmed copy equals the outcome of the log entry.
-        match current.judge(command, Confirmation::Confirmed) {
-            Judgement::Final(outcome) => assert_eq!(outcome, send(&mut current.clone(), command)),
-            decision => assert_eq!((decision, command.base), (Judgement::Log, 3)),
+        match current.decide(command, Confirmation::Confirmed) {
+            CommandDecision::Final(outcome) => assert_eq!(outcome, send(&mut current.clone(), command)),
+            decision => assert_eq!((decision, command.base), (CommandDecision::Log, 3)),
         }
     }
 }
@@ -275,13 +275,13 @@
         "another command on the zone came in between"
     );
     // A command that the history has dropped is not executed and gets no definite answer.
-    for n in 10..10 + 2 * c::TAGGED_REMEMBERED as u64 {
+    for n in 10..10 + 2 * c::MAX_TAGGED_COMMANDS as u64 {
         send(&mut state, &tag(n, n, n % 2 == 0), n % 2 == 0);
     }
     let before = state.evacuated.clone();
     assert_eq!(send(&mut state, &begin, true), Outcome::Undecidable);
     assert_eq!(state.evacuated, before);
-    assert_eq!(state.command_history.sizes().tagged, c::TAGGED_REMEMBERED);
+    assert_eq!(state.command_history.sizes().tagged, c::MAX_TAGGED_COMMANDS);
 }
 
 /// The leader marks a command as a repetition based on the entries that it has applied, while its
@@ -340,13 +340,13 @@
     let command_history = &state.command_history;
     // The first command is in the log but not applied yet.
     let log = [(1, &first)];
-    let repeats = command_history.recent_like(&tag(2, 0, true), log.into_iter(), |_| false);
+    let repeats = command_history.recent_identical(&tag(2, 0, true), log.into_iter(), |_| false);
     assert_eq!(repeats, Some(1));
     // A command in between is considered only when the entry is applied.
     let finish = tag(2, 0, false);
     let log = [(1, &first), (2, &finish)];
     assert_eq!(
-        command_history.recent_like(&tag(3, 0, true), log.into_iter(), |_| true),
+        command_history.recent_identical(&tag(3, 0, true), log.into_iter(), |_| true),
         Some(1)
     );
     let mut with_finish_between = state.clone();
@@ -382,7 +382,7 @@
     let repeated = |recent: bool| {
         state
             .command_history
-            .recent_like(&first, std::iter::empty(), |_| recent)
+            .recent_identical(&first, std::iter::empty(), |_| recent)
     };
     assert_eq!((repeated(true), repeated(false)), (Some(1), None));
 }
@@ -457,14 +457,14 @@
     let data = Change::encode_tagged(evacuation(true), Some(tag(1, 0, true)));
     state.apply(1, &data);
     let mut recent = RecentCommands::default();
-    recent.note(1000, &state.command_history);
-    let pause = c::REPEATED_COMMAND_MS - 1;
+    recent.record(1000, &state.command_history);
+    let pause = c::REPEATED_COMMAND_WINDOW_MS - 1;
     for attempt in 1..=5 {
         let now = 1000 + attempt * pause;
         let again = tag(1 + attempt, 1, true);
         let repeated = recent.repeated(now, &state.command_history, &again, std::iter::empty());
         assert_eq!(repeated, Some(1), "attempt {attempt}");
-        recent.note_repeated(now, 1);
+        recent.record_repetition(now, 1);
     }
     let now = 1000 + 6 * pause + 1;
     let repeated = recent.repeated(now, &state.command_history, &tag(9, 1, true), std::iter::empty());
--- a/crates/control-state/tests/state.rs
+++ b/crates/control-state/tests/state.rs
@@ -42,9 +42,12 @@
 fn modify_is_recognized_when_sent_again() {
     let mut state = ControlState::default();
     let add = br#"{"Version":5,"Upsert":{"Groups":[{"Name":"t"}]}}"#;
-    assert!(matches!(state.modified(0, b"{}"), Err(Outcome::Invalid(_))));
+    assert!(matches!(
+        state.resolve_modification(0, b"{}"),
+        Err(Outcome::Invalid(_))
+    ));
     replace(&mut state, 1, 0, 3);
-    let command = state.modified(3, add).expect("a valid modification");
+    let command = state.resolve_modification(3, add).expect("a valid modification");
     assert_eq!(
         state.apply(2, &Change::encode(ChangeKind::Replace(command.clone()))),
         Outcome::Applied
@@ -55,13 +58,15 @@
         .is_some_and(|c| c.services.contains_key("t")));
     let state = ControlState::from_image(state.image()).expect("readable");
     assert_eq!(
-        state.modified(3, add),
+        state.resolve_modification(3, add),
         Err(Outcome::AlreadyApplied),
         "a restored copy recognizes the modification"
     );
     let other = br#"{"Version":5,"Upsert":{"Groups":[{"Name":"u"}]}}"#;
-    assert_eq!(state.modified(3, other), Err(Outcome::Conflict(5)));
-    let version_too_low = state.modified(5, br#"{"Version":5}"#).expect("readable");
+    assert_eq!(state.resolve_modification(3, other), Err(Outcome::Conflict(5)));
+    let version_too_low = state
+        .resolve_modification(5, br#"{"Version":5}"#)
+        .expect("readable");
     assert!(matches!(
         state.check_replace(&version_too_low),
         Err(Outcome::Invalid(_))
--- a/crates/key-ownership/src/assignment.rs
+++ b/crates/key-ownership/src/assignment.rs
@@ -253,7 +253,7 @@
             let requests_per_worker =
                 self.loads.rate(service) / candidates.len() as f64 * c::KEY_LOAD_WINDOW_S;
             let overload_ratio =
-                c::OVERLOADED_ABOVE.max(1.0 + c::KEY_LOAD_DEVIATIONS / requests_per_worker.max(1.0).sqrt());
+                c::OVERLOADED_FACTOR.max(1.0 + c::KEY_LOAD_DEVIATIONS / requests_per_worker.max(1.0).sqrt());
             // Ranges that remain with their workers after the moves planned so far.
             let unrevoked = table.values().filter(|lease| !lease.revoking);
             let mut remaining: Vec<KeyLease> = unrevoked.map(|lease| (**lease).clone()).collect();
@@ -268,7 +268,7 @@
                 };
                 let is_overloaded = self.loads.has_enough_samples(service)
                     && most_utilized.utilization() > mean * overload_ratio;
-                if !is_overloaded && least_utilized.utilization() >= mean * c::UNDERLOADED_BELOW
+                if !is_overloaded && least_utilized.utilization() >= mean * c::UNDERLOADED_FRACTION
                     || most_utilized.utilization() <= mean
                 {
                     break;
--- a/crates/key-ownership/src/load.rs
+++ b/crates/key-ownership/src/load.rs
@@ -106,7 +106,8 @@
         };
         let rate_before = |key: u32| load.preceding.get(key as usize).copied().unwrap_or(load.total);
         let range_rate = rate_before(to + 1) - rate_before(from);
-        even_fraction * c::KEY_EVEN_LOAD_PART + range_rate / load.total * (1.0 - c::KEY_EVEN_LOAD_PART)
+        even_fraction * c::KEY_EVEN_LOAD_FRACTION
+            + range_rate / load.total * (1.0 - c::KEY_EVEN_LOAD_FRACTION)
     }
 
     /// Returns the capacity of each worker relative to their mean. Values stay near 1, since a busy
--- a/crates/key-ownership/src/manager.rs
+++ b/crates/key-ownership/src/manager.rs
@@ -186,7 +186,7 @@
                 c::KEY_RENEWAL_INTERVAL_MS / 4
             };
         if range.failures >= c::MAX_GRANT_FAILURES {
-            let until = now + c::HOLDER_AVOID_MS;
+            let until = now + c::HOLDER_BACKOFF_MS;
             self.avoided_until.insert(lease.worker.clone(), until);
         }
         self.record_expiry(now, lease.fencing_token, result);
--- a/crates/pebblepond/src/control/execution.rs
+++ b/crates/pebblepond/src/control/execution.rs
@@ -7,7 +7,7 @@
 use super::rollout_commands;
 use actix::prelude::*;
 use config::constants as c;
-use control_state::{Confirmation, Judgement};
+use control_state::{CommandDecision, Confirmation};
 use protocol::{ChangeKind, Command, CommandResponse, CommandTag, ConfigurationCommand};
 use raft::{is_durable, tolerates_faults};
 use std::time::Duration;
@@ -80,13 +80,13 @@
 /// entry, only by a copy of the state that a majority has confirmed since the command arrived.
 async fn configure(driver: &Addr<RaftDriver>, command: ConfigurationCommand) -> CommandResult {
     let mut decision = decide(driver, &command, Confirmation::Unconfirmed).await?;
-    if decision == Judgement::Confirm {
+    if decision == CommandDecision::Confirm {
         confirm_leadership(driver).await?;
         decision = decide(driver, &command, Confirmation::Confirmed).await?;
     }
     match decision {
-        Judgement::Log => commit_and_acknowledge(driver, ChangeKind::Replace(command), None).await,
-        Judgement::Final(outcome) => match CommandError::of(outcome) {
+        CommandDecision::Log => commit_and_acknowledge(driver, ChangeKind::Replace(command), None).await,
+        CommandDecision::Final(outcome) => match CommandError::of(outcome) {
             Some(error) => Err(error),
             // The command was accepted before; its entry is at or below the commit index.
             None => {
@@ -94,7 +94,7 @@
                 acknowledge(driver, index).await
             }
         },
-        Judgement::Confirm => Err(CommandError::NotLeader),
+        CommandDecision::Confirm => Err(CommandError::NotLeader),
     }
 }
 
@@ -102,7 +102,7 @@
     driver: &Addr<RaftDriver>,
     command: &ConfigurationCommand,
     confirmation: Confirmation,
-) -> Result<Judgement, CommandError> {
+) -> Result<CommandDecision, CommandError> {
     let message = DecideConfigurationCommand {
         command: command.clone(),
         confirmation,
@@ -235,17 +235,17 @@
 
 /// Decides what becomes of a configuration command before it is proposed.
 #[derive(Message)]
-#[rtype(result = "Result<Judgement, CommandError>")]
+#[rtype(result = "Result<CommandDecision, CommandError>")]
 struct DecideConfigurationCommand {
     command: ConfigurationCommand,
     confirmation: Confirmation,
 }
 
 impl Handler<DecideConfigurationCommand> for RaftDriver {
-    type Result = Result<Judgement, CommandError>;
+    type Result = Result<CommandDecision, CommandError>;
     fn handle(&mut self, message: DecideConfigurationCommand, _: &mut Self::Context) -> Self::Result {
         self.check_leadership()?;
-        Ok(self.state.judge(&message.command, message.confirmation))
+        Ok(self.state.decide(&message.command, message.confirmation))
     }
 }
 
@@ -306,6 +306,7 @@
         let members = self.context.members.get();
         let alive = members.iter().filter(|m| m.is_alive());
         let mut progresses = alive.filter_map(|m| self.raft.progress(m.id));
-        progresses.any(|p| now.saturating_sub(p.last_heard) < c::CONTACT_TIMEOUT_MS && p.applied < index)
+        progresses
+            .any(|p| now.saturating_sub(p.last_heard) < c::CONTACT_TIMEOUT_MS && p.applied_index < index)
     }
 }
--- a/crates/pebblepond/src/control/maintenance.rs
+++ b/crates/pebblepond/src/control/maintenance.rs
@@ -100,9 +100,9 @@
         }
         let candidates = self.upstream_candidates();
         let (own_id, current) = (self.raft.id(), self.raft.upstream());
-        let selected = self
-            .upstream_selector
-            .select(now, own_id, current, &candidates, timing::UPSTREAM);
+        let selected =
+            self.upstream_selector
+                .select(now, own_id, current, &candidates, timing::UPSTREAM_TIMEOUTS);
         if let Some(upstream) = selected {
             self.context.counters.add("upstreams_selected");
             log::debug!(
@@ -143,8 +143,8 @@
         let own = &settings.own_entity;
         let candidate = |id, zone: &str, region: &str| UpstreamCandidate {
             id,
-            same_zone: zone == own.zone,
-            same_region: region == own.region,
+            is_same_zone: zone == own.zone,
+            is_same_region: region == own.region,
         };
         candidates
             .map(|m| candidate(m.id, &m.zone, &m.region))
@@ -176,7 +176,7 @@
     /// start: serving from a peer's copy is better than not serving.
     fn ask_peers_for_repair(&mut self, now: u64) {
         if self.context.status.get().is_current
-            || now < self.started_at + c::PEER_CATCH_UP_MS
+            || now < self.started_at + c::PEER_REPAIR_DELAY_MS
             || now < self.asked_peers_at + c::CONTACT_TIMEOUT_MS
         {
             return;
--- a/crates/pebblepond/src/control/membership.rs
+++ b/crates/pebblepond/src/control/membership.rs
@@ -21,7 +21,7 @@
     pub(super) fn change_membership(&mut self, now: u64) {
         self.raft.set_learners(&self.learners());
         let peers = self.peer_observations();
-        let next = next_membership(&self.raft, now, &peers, self.tolerance(), timing::VOTER_SILENCE);
+        let next = next_membership(&self.raft, now, &peers, self.tolerance(), timing::VOTER_TIMEOUTS);
         if let Some(membership) = next {
             let before = self.raft.membership().voters.len();
             let voters = membership.voters.len();
--- a/crates/pebblepond/src/control/persistence.rs
+++ b/crates/pebblepond/src/control/persistence.rs
@@ -76,7 +76,7 @@
     /// Sends messages that waited for a write, with the current applied index: the leader then
     /// learns without waiting for a later message that a change is in force here.
     pub(super) fn send_persisted(&self, mut messages: Vec<raft::Message>) {
-        self.raft.stamp_applied(&mut messages);
+        self.raft.update_applied_index(&mut messages);
         self.send_raft(messages);
     }
 
--- a/crates/pebblepond/src/control/proposals.rs
+++ b/crates/pebblepond/src/control/proposals.rs
@@ -68,7 +68,7 @@
     pub(super) fn propose_command(&mut self, kind: ChangeKind, tag: Option<CommandTag>) -> ProposalReceiver {
         let repeated = tag.as_ref().and_then(|tag| self.repeated(tag));
         if let Some(index) = repeated {
-            self.recent_commands.note_repeated(self.context.now(), index);
+            self.recent_commands.record_repetition(self.context.now(), index);
         }
         let tag = tag.map(|tag| CommandTag {
             repeats: repeated.unwrap_or(0),
--- a/crates/pebblepond/src/control/publication.rs
+++ b/crates/pebblepond/src/control/publication.rs
@@ -9,7 +9,7 @@
     /// Publishes the status, the contact and the member entry of this node if they have changed.
     pub(super) fn publish(&mut self) {
         let now = self.context.now();
-        self.recent_commands.note(now, &self.state.command_history);
+        self.recent_commands.record(now, &self.state.command_history);
         self.publish_contact();
         let before = self.context.status.get();
         let status = NodeStatus {
--- a/crates/pebblepond/src/control/status_report.rs
+++ b/crates/pebblepond/src/control/status_report.rs
@@ -31,7 +31,7 @@
             let applied = if m.id == self.raft.id() {
                 Some(self.state.index)
             } else {
-                progress.map(|p| p.applied)
+                progress.map(|p| p.applied_index)
             };
             json!({
                 "name": m.name, "address": m.address, "zone": m.zone, "region": m.region,
--- a/crates/pebblepond/src/control_tests.rs
+++ b/crates/pebblepond/src/control_tests.rs
@@ -247,7 +247,7 @@
         let response = send_raw(control, &with_connection_close(&evacuation(action))).await;
         assert_eq!(status(&response), "200", "{action}: {response}");
         actix_rt::time::sleep(Duration::from_millis(
-            config::constants::REPEATED_COMMAND_MS + 100,
+            config::constants::REPEATED_COMMAND_WINDOW_MS + 100,
         ))
         .await;
     }
--- a/crates/pebblepond/src/gossip_driver.rs
+++ b/crates/pebblepond/src/gossip_driver.rs
@@ -142,7 +142,7 @@
     fn publish_members(&mut self) {
         let now = self.context.now();
         let is_due = now >= self.published_at + c::MEMBER_TABLE_INTERVAL_MS
-            || self.context.members.get().len() < c::MEMBER_TABLE_SMALL;
+            || self.context.members.get().len() < c::MEMBER_TABLE_IMMEDIATE_MEMBERS;
         if is_due && self.protocol.take_changed() {
             self.published_at = now;
             let all = std::iter::once(self.protocol.own()).chain(self.protocol.members());
--- a/crates/pebblepond/src/peer_transport.rs
+++ b/crates/pebblepond/src/peer_transport.rs
@@ -205,7 +205,8 @@
             stream = None;
         }
         if stream.is_none() {
-            let timeout_ms = c::PEER_CONNECT_TIMEOUT_MS << (failures / c::PEER_CONNECT_TRIES).min(2);
+            let timeout_ms =
+                c::PEER_CONNECT_TIMEOUT_MS << (failures / c::PEER_CONNECT_ATTEMPTS_PER_DOUBLING).min(2);
             match sockets::connect(&to, timeout_ms).await {
                 Ok(connected) => {
                     stream = Some(connected);
--- a/crates/pebblepond/src/placement_controller.rs
+++ b/crates/pebblepond/src/placement_controller.rs
@@ -142,10 +142,10 @@
         self.triggers = triggers;
         let before = placement_of(&state.fractions);
         let options = Options {
-            watermark: c::WATERMARK,
+            watermark: c::CAPACITY_WATERMARK,
             ranking_prefix: c::RANKING_PREFIX,
             deletion_threshold: c::DELETION_THRESHOLD,
-            hysteresis: c::HYSTERESIS,
+            hysteresis: c::DELETION_HYSTERESIS_RATIO,
         };
         let placement = placement::compute_placement(&input, &before, &options);
         if !placement::differs(&placement, &before) {
@@ -206,7 +206,7 @@
         }
         // A node whose allowance is revoked may have used its share within the current window.
         let shares = ready_nodes.len().max(holders.len()) as f64;
-        let slack = self.context.settings.get().terms.bounds.retry_slack * c::RETRY_SLACK_PART / shares;
+        let slack = self.context.settings.get().terms.bounds.retry_slack * c::RETRY_SLACK_FRACTION / shares;
         Some(ChangeKind::RetryAllowance(RetryAllowanceChange {
             granted: ready_nodes.difference(holders).copied().collect(),
             revoked: holders.difference(&ready_nodes).copied().collect(),
--- a/crates/pebblepond/src/shutdown.rs
+++ b/crates/pebblepond/src/shutdown.rs
@@ -130,7 +130,7 @@
         if running_requests(context) > 0 {
             idle_since = now;
         }
-        let is_idle = now - idle_since > c::SHUTDOWN_QUIET_MS;
+        let is_idle = now - idle_since > c::SHUTDOWN_IDLE_MS;
         if grace_period.is_half_over(now) && is_idle && can_end || now >= grace_period.ends_at() {
             break;
         }
--- a/crates/pebblepond/src/storage.rs
+++ b/crates/pebblepond/src/storage.rs
@@ -217,7 +217,7 @@
     /// Waits for a job; syncs a pending high-water mark if no job arrives in the meantime.
     fn next_job(&mut self, queue: &mpsc::Receiver<Job>) -> Option<Job> {
         if self.high_water.is_dirty() {
-            match queue.recv_timeout(Duration::from_millis(c::HIGH_WATER_SYNC_MS)) {
+            match queue.recv_timeout(Duration::from_millis(c::COMMIT_COUNT_SYNC_DELAY_MS)) {
                 Ok(job) => return Some(job),
                 Err(mpsc::RecvTimeoutError::Timeout) => self.high_water.sync(),
                 Err(mpsc::RecvTimeoutError::Disconnected) => return None,
--- a/crates/pebblepond/src/storage/high_water.rs
+++ b/crates/pebblepond/src/storage/high_water.rs
@@ -93,9 +93,9 @@
         }
     }
 
-    /// Syncs the file if the last sync is at least `HIGH_WATER_SYNC_MS` ago.
+    /// Syncs the file if the last sync is at least `COMMIT_COUNT_SYNC_DELAY_MS` ago.
     pub fn sync_if_due(&mut self) {
-        if self.synced_at.elapsed() >= Duration::from_millis(c::HIGH_WATER_SYNC_MS) {
+        if self.synced_at.elapsed() >= Duration::from_millis(c::COMMIT_COUNT_SYNC_DELAY_MS) {
             self.sync();
         }
     }
--- a/crates/pebblepond/src/upstream/pool.rs
+++ b/crates/pebblepond/src/upstream/pool.rs
@@ -54,7 +54,7 @@
         let half_idle_ms = idle_time.as_millis() as u64 / 2;
         self.reduced_limit.set(Some(ReducedIdleLimit {
             max_idle_ms: self.effective_max_idle_ms(half_idle_ms),
-            until: Instant::now() + Duration::from_millis(c::STALE_CONNECTION_CAUTION_MS),
+            until: Instant::now() + Duration::from_millis(c::STALE_CONNECTION_BACKOFF_MS),
         }));
     }
 
--- a/crates/placement/src/outlier.rs
+++ b/crates/placement/src/outlier.rs
@@ -32,10 +32,10 @@
 }
 
 impl OutlierDetector {
-    /// Resets the state for a new leader. For [`c::OUTLIER_SETTLE_MS`] no worker is newly ejected.
+    /// Resets the state for a new leader. For [`c::OUTLIER_GRACE_PERIOD_MS`] no worker is newly ejected.
     pub fn reset(&mut self, now: u64) {
         *self = OutlierDetector {
-            ejections_allowed_at: now + c::OUTLIER_SETTLE_MS,
+            ejections_allowed_at: now + c::OUTLIER_GRACE_PERIOD_MS,
             ..Default::default()
         };
     }
@@ -93,7 +93,7 @@
         } else {
             self.outliers(state, service, workers)
         };
-        let limit = (workers.len() as f64 * c::MAX_EJECTED_PART) as usize;
+        let limit = (workers.len() as f64 * c::MAX_EJECTED_FRACTION) as usize;
         let newly_ejected = outliers.into_iter().filter(|id| !still_ejected.contains(id));
         let newly_ejected: Vec<&str> = newly_ejected
             .take(limit.saturating_sub(still_ejected.len()))
@@ -138,11 +138,11 @@
         // A slow worker of a partitioned service may only hold busy keys.
         let is_partitioned = state.service(service).is_some_and(|s| s.partitioned);
         let excess = |outcomes: &Outcomes| {
-            let failures = (outcomes.failure_rate() - median_failure_rate) / c::OUTLIER_EXCESS_FAILURES;
+            let failures = (outcomes.failure_rate() - median_failure_rate) / c::OUTLIER_EXCESS_FAILURE_RATE;
             let slowness = if is_partitioned || !has_served(outcomes) {
                 0.0
             } else {
-                outcomes.mean_response_ms() / (median_ms.max(1.0) * c::OUTLIER_SLOWNESS)
+                outcomes.mean_response_ms() / (median_ms.max(1.0) * c::OUTLIER_RESPONSE_TIME_FACTOR)
             };
             failures.max(slowness)
         };
--- a/crates/placement/tests/outlier.rs
+++ b/crates/placement/tests/outlier.rs
@@ -79,7 +79,7 @@
     state.ejected = Arc::new(BTreeSet::from(["w9".to_string()]));
     let mut detector = OutlierDetector::default();
     detector.reset(0);
-    for t in (500..c::OUTLIER_SETTLE_MS).step_by(500) {
+    for t in (500..c::OUTLIER_GRACE_PERIOD_MS).step_by(500) {
         record_second(&mut detector, 20, &[3], &[]);
         let ejected = detector.evaluate(t, &state);
         assert!(!ejected.contains("w3"), "at {t}");
@@ -87,7 +87,9 @@
         state.ejected = Arc::new(ejected);
     }
     record_second(&mut detector, 20, &[3], &[]);
-    assert!(detector.evaluate(c::OUTLIER_SETTLE_MS, &state).contains("w3"));
+    assert!(detector
+        .evaluate(c::OUTLIER_GRACE_PERIOD_MS, &state)
+        .contains("w3"));
 }
 
 #[test]
--- a/crates/protocol/src/image.rs
+++ b/crates/protocol/src/image.rs
@@ -88,7 +88,7 @@
     pub rejected_ahead: Vec<ConfigurationKey>,
     /// Commands with a tag, oldest first.
     #[prost(message, repeated, tag = "3")]
-    pub tagged: Vec<JudgedCommand>,
+    pub tagged: Vec<DecidedCommand>,
     /// Highest base version of an accepted command that was dropped from the history.
     #[prost(uint64, optional, tag = "4")]
     pub forgotten_base: Option<u64>,
@@ -110,7 +110,7 @@
 
 /// A decided command with a tag.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct JudgedCommand {
+pub struct DecidedCommand {
     /// Log index at which the command was decided.
     #[prost(uint64, tag = "1")]
     pub index: u64,
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -17,6 +17,6 @@
     BeginRollout, Command, CommandRequest, CommandResponse, CommandTag, ConfigurationCommand, KillSwitch,
 };
 pub use correlation::{CallId, Incarnation, PendingCalls, UnmatchedAnswers};
-pub use image::{CommandHistoryImage, ConfigurationKey, ControlStateImage, EndedEvacuation, JudgedCommand};
+pub use image::{CommandHistoryImage, ConfigurationKey, ControlStateImage, DecidedCommand, EndedEvacuation};
 pub use peer_message::{Payload, PeerMessage, RangeDigests, Repair};
 pub use report::{name_hash, Demand, KeyCounts, Report, RoundTrip, WorkerStats};
--- a/crates/raft/src/config.rs
+++ b/crates/raft/src/config.rs
@@ -34,7 +34,7 @@
 
 /// Times for which a leader tolerates an unresponsive voter, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct SilenceTimeouts {
+pub struct VoterTimeouts {
     /// Time after which an unresponsive node no longer counts as in contact, in milliseconds.
     pub contact_ms: u64,
     /// Time after which an unresponsive voter may be removed, in milliseconds.
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -60,7 +60,7 @@
 mod storage;
 mod upstream_selection;
 
-pub use config::{Config, SilenceTimeouts};
+pub use config::{Config, VoterTimeouts};
 pub use durability::{can_shut_down, is_durable};
 pub use fault_tolerance::{tolerates_faults, FaultTolerance};
 pub use log::LogPosition;
--- a/crates/raft/src/membership_change.rs
+++ b/crates/raft/src/membership_change.rs
@@ -3,7 +3,7 @@
 
 mod planner;
 
-use crate::config::SilenceTimeouts;
+use crate::config::VoterTimeouts;
 use crate::durability::is_in_contact;
 use crate::fault_tolerance::FaultTolerance;
 use crate::message::{Membership, Voter};
@@ -36,7 +36,7 @@
     now: u64,
     peers: &[PeerObservation],
     tolerance: FaultTolerance,
-    timeouts: SilenceTimeouts,
+    timeouts: VoterTimeouts,
 ) -> Option<Membership> {
     if !node.is_established_leader() || node.is_membership_pending() {
         return None;
@@ -55,7 +55,7 @@
     node: &'a RaftNode,
     now: u64,
     peers: &'a [PeerObservation],
-    timeouts: SilenceTimeouts,
+    timeouts: VoterTimeouts,
 }
 
 impl<'a> LeaderView<'a> {
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -268,7 +268,7 @@
     }
 
     /// Updates the applied index in responses that are about to be sent to the current one.
-    pub fn stamp_applied(&self, responses: &mut [Message]) {
+    pub fn update_applied_index(&self, responses: &mut [Message]) {
         let applied = self.min_applied_index();
         let responses = responses.iter_mut();
         for response in responses.filter(|m| m.message_type() == MessageType::AppendEntriesResponse) {
--- a/crates/raft/src/node/learner_relay.rs
+++ b/crates/raft/src/node/learner_relay.rs
@@ -23,7 +23,7 @@
         self.upstream = Upstream {
             id: voter,
             last_heard: now,
-            answered: false,
+            has_answered: false,
         };
         self.repeat_subscription();
     }
@@ -31,7 +31,7 @@
     /// Repeats the subscription if the voter has not answered yet: it may have only just
     /// started.
     pub fn repeat_subscription(&mut self) {
-        if self.upstream.id == 0 || self.upstream.answered {
+        if self.upstream.id == 0 || self.upstream.has_answered {
             return;
         }
         let message = Message {
@@ -51,13 +51,13 @@
     /// sender as the upstream. Voters accept only messages from the leader itself; until an
     /// upstream has answered, a learner accepts any sender.
     pub(super) fn accepts_relayed(&mut self, from: u64) -> bool {
-        let is_upstream = self.upstream.id == from || !self.upstream.answered;
+        let is_upstream = self.upstream.id == from || !self.upstream.has_answered;
         let accepts = is_upstream && !self.membership.contains(self.id);
         if accepts {
             self.upstream = Upstream {
                 id: from,
                 last_heard: self.now,
-                answered: true,
+                has_answered: true,
             };
         }
         accepts
@@ -67,7 +67,7 @@
     /// yet.
     pub(super) fn note_upstream_activity(&mut self, from: u64) {
         if self.upstream.id == from {
-            self.upstream.answered = true;
+            self.upstream.has_answered = true;
             self.upstream.last_heard = self.now;
         }
     }
@@ -84,7 +84,7 @@
         let progress = Progress {
             matched: request.index,
             next_index: request.index + 1,
-            applied: request.applied,
+            applied_index: request.applied,
             last_heard: self.now,
             ..Default::default()
         };
@@ -100,7 +100,7 @@
             return;
         };
         subscriber.last_heard = now;
-        subscriber.applied = response.applied;
+        subscriber.applied_index = response.applied;
         // While a snapshot is in transit, rejections of other messages are expected and
         // ignored: resending the snapshot for each of them would saturate a narrow link.
         let awaits_snapshot = subscriber.awaits_snapshot(now, snapshot_resend_ms);
@@ -134,7 +134,7 @@
 
     /// Returns the index up to which this node and all its subscribers have applied entries.
     pub(super) fn min_applied_index(&self) -> u64 {
-        let subscribers = self.subscribers.values().map(|s| s.applied).min();
+        let subscribers = self.subscribers.values().map(|s| s.applied_index).min();
         subscribers.unwrap_or(u64::MAX).min(self.applied_index)
     }
 
--- a/crates/raft/src/node/replication.rs
+++ b/crates/raft/src/node/replication.rs
@@ -193,7 +193,7 @@
         };
         progress.last_heard = self.now;
         progress.round = progress.round.max(response.round);
-        progress.applied = response.applied;
+        progress.applied_index = response.applied;
         if response.granted {
             progress.matched = progress.matched.max(response.index);
             progress.next_index = progress.next_index.max(progress.matched + 1);
--- a/crates/raft/src/progress.rs
+++ b/crates/raft/src/progress.rs
@@ -9,7 +9,7 @@
     /// Index of the next entry to send (nextIndex).
     pub next_index: u64,
     /// The index up to which the node has applied.
-    pub applied: u64,
+    pub applied_index: u64,
     /// Latest heartbeat round that the node has answered.
     pub round: u64,
     /// Time at which the node was last heard from, in milliseconds.
--- a/crates/raft/src/upstream_selection.rs
+++ b/crates/raft/src/upstream_selection.rs
@@ -11,7 +11,7 @@
     /// Time at which the upstream was last heard from, or was subscribed to, in milliseconds.
     pub last_heard: u64,
     /// Whether the upstream has sent something since it was subscribed to.
-    pub answered: bool,
+    pub has_answered: bool,
 }
 
 /// A voter, or another node with a disk, that could be the upstream.
@@ -20,18 +20,18 @@
     /// Identity of the node.
     pub id: u64,
     /// Whether the node is in the learner's zone.
-    pub same_zone: bool,
+    pub is_same_zone: bool,
     /// Whether the node is in the learner's region.
-    pub same_region: bool,
+    pub is_same_region: bool,
 }
 
 /// Timeouts for replacing an unresponsive upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamTimeouts {
     /// Time after which an unresponsive upstream is replaced, in milliseconds.
-    pub silence_ms: u64,
+    pub unresponsive_ms: u64,
     /// Time for which a replaced upstream is avoided, in milliseconds.
-    pub avoid_ms: u64,
+    pub backoff_ms: u64,
 }
 
 /// Selects upstreams and remembers which ones became unresponsive.
@@ -54,14 +54,14 @@
     ) -> Option<u64> {
         self.avoided_until.retain(|_, until| now < *until);
         let is_unresponsive =
-            current.id != 0 && now.saturating_sub(current.last_heard) >= timeouts.silence_ms;
+            current.id != 0 && now.saturating_sub(current.last_heard) >= timeouts.unresponsive_ms;
         if is_unresponsive {
-            self.avoided_until.insert(current.id, now + timeouts.avoid_ms);
+            self.avoided_until.insert(current.id, now + timeouts.backoff_ms);
         }
         let rank = |candidate: &&UpstreamCandidate| {
             let avoided = self.avoided_until.get(&candidate.id).copied().unwrap_or(0);
             let hash = spread_hash(candidate.id, own_id);
-            (avoided, !candidate.same_zone, !candidate.same_region, hash)
+            (avoided, !candidate.is_same_zone, !candidate.is_same_region, hash)
         };
         let best = candidates.iter().min_by_key(rank)?.id;
         (best != current.id || is_unresponsive).then_some(best)
--- a/crates/raft/tests/cluster/mod.rs
+++ b/crates/raft/tests/cluster/mod.rs
@@ -21,7 +21,7 @@
     zones: 1,
     regions: 1,
 };
-pub const TIMEOUTS: SilenceTimeouts = SilenceTimeouts {
+pub const TIMEOUTS: VoterTimeouts = VoterTimeouts {
     contact_ms: 1000,
     removal_ms: 5000,
     urgent_removal_ms: 2000,
@@ -40,7 +40,7 @@
 };
 
 pub type NextMembership =
-    fn(&RaftNode, u64, &[PeerObservation], FaultTolerance, SilenceTimeouts) -> Option<Membership>;
+    fn(&RaftNode, u64, &[PeerObservation], FaultTolerance, VoterTimeouts) -> Option<Membership>;
 
 #[derive(Clone)]
 pub struct Machine {
--- a/crates/raft/tests/membership_model.rs
+++ b/crates/raft/tests/membership_model.rs
@@ -9,7 +9,7 @@
 
 use cluster::*;
 use raft::{
-    next_membership, tolerates_faults, FaultTolerance, Membership, PeerObservation, RaftNode, SilenceTimeouts,
+    next_membership, tolerates_faults, FaultTolerance, Membership, PeerObservation, RaftNode, VoterTimeouts,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -399,7 +399,7 @@
     now: u64,
     peers: &[PeerObservation],
     tolerance: FaultTolerance,
-    timeouts: SilenceTimeouts,
+    timeouts: VoterTimeouts,
 ) -> Option<Membership> {
     if !node.is_established_leader() || node.is_membership_pending() {
         return None;
--- a/crates/raft/tests/upstream_selection.rs
+++ b/crates/raft/tests/upstream_selection.rs
@@ -3,15 +3,15 @@
 use raft::{Upstream, UpstreamCandidate, UpstreamSelector, UpstreamTimeouts};
 
 const TIMEOUTS: UpstreamTimeouts = UpstreamTimeouts {
-    silence_ms: 1000,
-    avoid_ms: 5000,
+    unresponsive_ms: 1000,
+    backoff_ms: 5000,
 };
 
-fn candidate(id: u64, same_zone: bool, same_region: bool) -> UpstreamCandidate {
+fn candidate(id: u64, is_same_zone: bool, is_same_region: bool) -> UpstreamCandidate {
     UpstreamCandidate {
         id,
-        same_zone,
-        same_region,
+        is_same_zone,
+        is_same_region,
     }
 }
 
@@ -19,7 +19,7 @@
     Upstream {
         id,
         last_heard,
-        answered: true,
+        has_answered: true,
     }
 }
 
--- a/crates/simulation/src/cluster/duties.rs
+++ b/crates/simulation/src/cluster/duties.rs
@@ -32,13 +32,15 @@
             };
             let candidate = |(id, region): &(u64, String)| UpstreamCandidate {
                 id: *id,
-                same_zone: false,
-                same_region: *region == node.region,
+                is_same_zone: false,
+                is_same_region: *region == node.region,
             };
             let candidates: Vec<UpstreamCandidate> = voters.iter().map(candidate).collect();
             let (own_id, upstream) = (process.raft.id(), process.raft.upstream());
             let selector = &mut process.upstream_selector;
-            if let Some(chosen) = selector.select(now, own_id, upstream, &candidates, timing::UPSTREAM) {
+            if let Some(chosen) =
+                selector.select(now, own_id, upstream, &candidates, timing::UPSTREAM_TIMEOUTS)
+            {
                 process.raft.subscribe(now, chosen);
             } else if now % SUBSCRIPTION_INTERVAL_MS == 1 {
                 process.raft.repeat_subscription();
@@ -140,7 +142,7 @@
             .collect();
         self.raft.set_learners(&learners);
         let others: Vec<PeerObservation> = others.cloned().collect();
-        if let Some(membership) = next_membership(&self.raft, now, &others, TOLERANCE, timing::VOTER_SILENCE)
+        if let Some(membership) = next_membership(&self.raft, now, &others, TOLERANCE, timing::VOTER_TIMEOUTS)
         {
             self.raft.propose_membership(&membership);
         }
--- a/crates/simulation/src/command_handler.rs
+++ b/crates/simulation/src/command_handler.rs
@@ -152,7 +152,7 @@
     /// Advances all commands by one step, after the node has completed `step_result`.
     pub fn step(&mut self, now: u64, node: &mut Process, step_result: &StepResult) -> Vec<HandlerAction> {
         let mut actions = Vec::new();
-        self.recent_commands.note(now, &node.state.command_history);
+        self.recent_commands.record(now, &node.state.command_history);
         let is_leader = node.raft.is_leader();
         let applied_index = node.state.index;
         let numbers: Vec<u64> = self.running_commands.keys().copied().collect();
@@ -358,6 +358,6 @@
     let voters = raft.membership().voters.iter();
     let is_behind = voters
         .filter_map(|v| raft.progress(v.id))
-        .any(|p| now.saturating_sub(p.last_heard) < c::CONTACT_TIMEOUT_MS && p.applied < index);
+        .any(|p| now.saturating_sub(p.last_heard) < c::CONTACT_TIMEOUT_MS && p.applied_index < index);
     (now >= since + c::APPLY_WAIT_MS || !is_behind).then(|| running.reply(OK))
 }
--- a/crates/simulation/src/command_handler/execution.rs
+++ b/crates/simulation/src/command_handler/execution.rs
@@ -8,7 +8,7 @@
 use crate::history::Request;
 use crate::node::Process;
 use config::constants as c;
-use control_state::{configuration_key, Judgement, Outcome};
+use control_state::{configuration_key, CommandDecision, Outcome};
 use protocol::{Change, ChangeKind, CommandTag, ConfigurationCommand, ConfigurationKey, EvacuationChange};
 use raft::{tolerates_faults, LogPosition};
 
@@ -61,15 +61,15 @@
         if self.mutant == Mutant::RefusesByCopy && base != node.state.version() {
             return Err(PRECONDITION_FAILED);
         }
-        match node.state.judge(&replace, running.confirmation) {
-            Judgement::Log => {}
-            Judgement::Confirm => return Ok(self.confirm(now, node)),
+        match node.state.decide(&replace, running.confirmation) {
+            CommandDecision::Log => {}
+            CommandDecision::Confirm => return Ok(self.confirm(now, node)),
             // Already applied: its index is at most the commit index.
-            Judgement::Final(Outcome::AlreadyApplied | Outcome::Applied) => {
+            CommandDecision::Final(Outcome::AlreadyApplied | Outcome::Applied) => {
                 let index = node.raft.commit_index();
                 return Ok(Phase::Replicating { index, since: now });
             }
-            Judgement::Final(outcome) => return Err(status_of(&outcome)),
+            CommandDecision::Final(outcome) => return Err(status_of(&outcome)),
         }
         let key = configuration_key(&replace);
         if let Some(duplicate) = self.pending.iter().find(|p| p.key.as_ref() == Some(&key)) {
@@ -106,7 +106,7 @@
         let pending = self.pending_commands();
         let repeated = self.recent_commands.repeated(now, history, &tag, pending);
         if let Some(index) = repeated {
-            self.recent_commands.note_repeated(now, index);
+            self.recent_commands.record_repetition(now, index);
         }
         CommandTag {
             repeats: repeated.unwrap_or(0),
--- a/crates/simulation/src/exploration.rs
+++ b/crates/simulation/src/exploration.rs
@@ -20,7 +20,7 @@
 use crate::history::{Content, History, Observation, Request};
 use crate::plan::{OperatorRequest, Plan, StepAction};
 use crate::worker::SimulatedWorker;
-use config::constants::REPEATED_COMMAND_MS;
+use config::constants::REPEATED_COMMAND_WINDOW_MS;
 use delivery::InFlight;
 use faults::ScheduledEvent;
 use operators::Operator;
@@ -308,7 +308,7 @@
     let guarantees = Guarantees {
         disks: MIN_DISKS,
         fault_free_from: Some(outcome.fault_free_from),
-        duplicate_window_ms: REPEATED_COMMAND_MS,
+        duplicate_window_ms: REPEATED_COMMAND_WINDOW_MS,
     };
     let first = outcome.violations.into_iter().take(1);
     let found = check_history(&outcome.history, guarantees);
--- a/crates/simulation/tests/cold.rs
+++ b/crates/simulation/tests/cold.rs
@@ -471,7 +471,7 @@
     let simulation = run_simulation(3, 45, RATE, &events);
     // Workers of both services can serve 3 requests per second for 3 s; of the partitioned service,
     // only the one with the keys.
-    let capacity = (5.0 + 1.0) * 3.0 * 3.0 * c::WARMUP_PART;
+    let capacity = (5.0 + 1.0) * 3.0 * 3.0 * c::WARMUP_RATE_FRACTION;
     let used = simulation.max_arrivals().1 as f64 / capacity;
     println!("used: {used:.2}");
     assert!(used > 0.4, "{used:.2}");
--- a/crates/simulation/tests/wire.rs
+++ b/crates/simulation/tests/wire.rs
@@ -59,7 +59,7 @@
             "OrderTag" => reencode::<CommandTag>(&bytes),
             "LedgerImage" => reencode::<CommandHistoryImage>(&bytes),
             "TakenOrder" => reencode::<ConfigurationKey>(&bytes),
-            "JudgedOrder" => reencode::<JudgedCommand>(&bytes),
+            "JudgedOrder" => reencode::<DecidedCommand>(&bytes),
             "ReplaceDelta" => reencode::<ConfigurationDelta>(&bytes),
             "DeltaPart" => reencode::<DeltaPart>(&bytes),
             "EvacuationChange" => reencode::<EvacuationChange>(&bytes),
