--- a/crates/anti-entropy/src/lib.rs
+++ b/crates/anti-entropy/src/lib.rs
@@ -2,7 +2,7 @@
 //! and ranges that differ are repaired from the newer copy.
 //!
 //! A node sends the [`digests`] of its copy. A peer whose copy is not older answers with
-//! [`repair_for`] these digests, and the node applies the answer with [`repaired_since`].
+//! [`repair_for`] these digests, and the node applies the answer with [`apply_repair_if_unchanged`].
 
 use control_state::ControlState;
 use prost::Message;
@@ -129,7 +129,7 @@
 
 /// Returns the copy with the ranges of a repair put in place of its own, or `None` if the repair is
 /// older than the copy or cannot be read.
-pub fn repaired(state: &ControlState, repair: &Repair) -> Option<ControlState> {
+pub fn apply_repair(state: &ControlState, repair: &Repair) -> Option<ControlState> {
     let newer_image = repair.image.as_ref()?;
     if repair.index < state.index {
         return None;
@@ -145,14 +145,14 @@
     ControlState::from_image(image).ok()
 }
 
-/// Returns the repaired copy, like [`repaired`], for a repair that answers the digests `asked` of
-/// this node. Also returns `None` if the copy has changed since they were sent: the ranges that a
-/// repair omits are equal to the copy that was asked about, and to no other.
-pub fn repaired_since(
+/// Returns the repaired copy, like [`apply_repair`], for a repair that answers the digests
+/// `sent_digests` of this node. Also returns `None` if the copy has changed since they were sent:
+/// the ranges that a repair omits are equal to the copy that was asked about, and to no other.
+pub fn apply_repair_if_unchanged(
     state: &ControlState,
     sent_digests: &RangeDigests,
     repair: &Repair,
 ) -> Option<ControlState> {
     let is_unchanged = digests(state) == *sent_digests;
-    is_unchanged.then(|| repaired(state, repair))?
+    is_unchanged.then(|| apply_repair(state, repair))?
 }
--- a/crates/anti-entropy/tests/asked.rs
+++ b/crates/anti-entropy/tests/asked.rs
@@ -2,7 +2,7 @@
 //! The ranges that a repair omits are known only to equal the copy that was asked about; on another
 //! copy the result is a state that never existed.
 
-use anti_entropy::{digests, repair_for, repaired, repaired_since};
+use anti_entropy::{apply_repair, apply_repair_if_unchanged, digests, repair_for};
 use control_state::ControlState;
 use protocol::{Change, ChangeKind, EvacuationChange};
 
@@ -27,17 +27,18 @@
     let sent_digests = digests(&before);
     let first = repair_for(&during, &sent_digests).expect("the copy is newer");
     let second = repair_for(&after, &sent_digests).expect("the copy is newer");
-    let own_copy = repaired_since(&before, &sent_digests, &first).expect("the copy is unchanged");
+    let own_copy = apply_repair_if_unchanged(&before, &sent_digests, &first).expect("the copy is unchanged");
     assert_eq!(own_copy.image(), during.image());
-    let mixed = repaired(&own_copy, &second).expect("the repair is applied");
+    let mixed = apply_repair(&own_copy, &second).expect("the repair is applied");
     assert_ne!(
         mixed.image(),
         after.image(),
         "the mixed state never existed on the peer"
     );
-    assert!(repaired_since(&own_copy, &sent_digests, &second).is_none());
+    assert!(apply_repair_if_unchanged(&own_copy, &sent_digests, &second).is_none());
     let sent_digests = digests(&own_copy);
     let third = repair_for(&after, &sent_digests).expect("the copy is newer");
-    let own_copy = repaired_since(&own_copy, &sent_digests, &third).expect("the copy is unchanged");
+    let own_copy =
+        apply_repair_if_unchanged(&own_copy, &sent_digests, &third).expect("the copy is unchanged");
     assert_eq!(own_copy.image(), after.image());
 }
--- a/crates/anti-entropy/tests/repair.rs
+++ b/crates/anti-entropy/tests/repair.rs
@@ -1,6 +1,6 @@
 //! Only ranges that differ are sent, and only the newer copy repairs the older one.
 
-use anti_entropy::{digests, repair_for, repaired};
+use anti_entropy::{apply_repair, digests, repair_for};
 use control_state::ControlState;
 use protocol::{Change, ChangeKind, EvacuationChange, Worker, WorkersChange};
 
@@ -43,7 +43,7 @@
     );
     let repair = repair_for(&newer, &digests(&older)).expect("the copies differ");
     assert!(repair.ranges.len() <= 3, "{:?}", repair.ranges);
-    older = repaired(&older, &repair).expect("readable");
+    older = apply_repair(&older, &repair).expect("readable");
     assert_eq!(older.image(), newer.image());
     assert!(repair_for(&newer, &digests(&older)).is_none());
 }
@@ -56,5 +56,5 @@
     add(&mut newer, 2, "b");
     assert!(repair_for(&older, &digests(&newer)).is_none());
     let stale_repair = repair_for(&older, &digests(&ControlState::default())).expect("the copies differ");
-    assert!(repaired(&newer, &stale_repair).is_none());
+    assert!(apply_repair(&newer, &stale_repair).is_none());
 }
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -36,7 +36,7 @@
     /// Service drawn for the request by the weights of the route.
     pub service: &'a str,
     /// Workers to which the request was already sent.
-    pub tried: &'a [String],
+    pub tried_workers: &'a [String],
     /// Time until the deadline of the request, in milliseconds.
     pub remaining_ms: u64,
     /// Zone whose workers the placement selected for this request, where zones are the sites;
@@ -68,7 +68,7 @@
     /// milliseconds.
     Unavailable(u64),
     /// The retry budget is exhausted.
-    BudgetSpent,
+    RetryBudgetExhausted,
 }
 
 /// Observations of a worker since the last report.
@@ -118,8 +118,8 @@
             bounds,
             peers: PeerInfo {
                 locality: Locality {
-                    nodes: 1,
-                    nodes_in_zone: 1,
+                    node_count: 1,
+                    zone_node_count: 1,
                     ..Default::default()
                 },
                 own_id: 0,
@@ -154,7 +154,7 @@
 
     /// Replaces the control state with a newer one and returns the workers that were removed. Parts
     /// that have not changed are not processed again.
-    pub fn set_state(&mut self, now: u64, state: Arc<ControlState>) -> Vec<String> {
+    pub fn update_state(&mut self, now: u64, state: Arc<ControlState>) -> Vec<String> {
         self.started_at.get_or_insert(now);
         let before = std::mem::replace(&mut self.state, state.clone());
         let is_same_configuration = match (&before.configuration, &state.configuration) {
@@ -293,7 +293,7 @@
     /// Selects a worker and counts the attempt against it. The first attempt at a request is free;
     /// further attempts are charged to the retry budget.
     pub fn choose(&mut self, now: u64, request: &SelectionRequest) -> Selection {
-        let is_first = request.tried.is_empty();
+        let is_first = request.tried_workers.is_empty();
         if is_first {
             let window_ms = self.bounds.retry_window.ms;
             self.retry_budget(request.service).note_first(now, window_ms);
@@ -303,7 +303,7 @@
             return Selection::Unavailable(self.retry_after_ms(now, request));
         };
         if !is_first && !self.may_retry(now, request.service) {
-            return Selection::BudgetSpent;
+            return Selection::RetryBudgetExhausted;
         }
         let round_trip_ms = self.round_trip_ms(&id);
         let label = self.label(now, request, &id);
@@ -347,7 +347,7 @@
     }
 
     /// Moves stale response times towards the mean of their service.
-    pub fn sweep(&mut self, now: u64) {
+    pub fn decay_stale_response_times(&mut self, now: u64) {
         let services: Vec<String> = self.by_service.keys().cloned().collect();
         for service in services {
             let mean_ms = self.mean_response_ms(&service);
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -9,7 +9,7 @@
 const MAX_DOUBLINGS: u32 = 4;
 /// Time without a response after which the measured response time decays, in milliseconds.
 const STALE_AFTER_MS: u64 = 1000;
-/// Fraction by which a stale response time moves to the mean of its service at each sweep.
+/// Fraction by which a stale response time moves to the mean of its service at each decay.
 const STALE_DECAY_FACTOR: f64 = 0.2;
 
 /// Result of an attempt at a worker.
@@ -18,14 +18,14 @@
     /// The worker answered after this time, in milliseconds.
     Answered(f64),
     /// The worker answered with a server error of its own after this time, in milliseconds.
-    Errored(f64),
+    ServerError(f64),
     /// The worker rejected the request without executing it.
     Rejected,
     /// The worker does not hold the key, or does not state why it is the wrong worker.
     WrongWorker,
     /// Another worker uses the address of this worker: this worker has ended, even if it is still
     /// listed.
-    Replaced,
+    AddressReused,
     /// No connection was established, or it broke without a usable response.
     Failed,
     /// The worker did not answer before the deadline.
@@ -120,7 +120,7 @@
                 self.response_ms_sum += ms;
                 self.note_response(now, ms);
             }
-            AttemptResult::Errored(ms) => {
+            AttemptResult::ServerError(ms) => {
                 self.note_response(now, ms);
                 self.failed += 1;
                 self.failures += 1;
@@ -129,7 +129,7 @@
                 }
             }
             AttemptResult::TimedOut => self.failed += 1,
-            AttemptResult::Replaced => {
+            AttemptResult::AddressReused => {
                 self.failed += 1;
                 self.eject(now, c::REUSED_ADDRESS_EJECTION_MS);
             }
--- a/crates/balancer/src/rollout_cohort.rs
+++ b/crates/balancer/src/rollout_cohort.rs
@@ -19,12 +19,12 @@
         let Some(rollout) = rollout.filter(|r| r.is_active()).cloned() else {
             return Cohort::Old;
         };
-        if !request.tried.is_empty() {
+        if !request.tried_workers.is_empty() {
             return Cohort::Old;
         }
         let has_lost_contact = self
             .last_contact
-            .is_some_and(|at| now > at + rollout::FALLBACK_MS);
+            .is_some_and(|at| now > at + rollout::CONTACT_LOSS_FALLBACK_MS);
         let share = if has_lost_contact { 0.0 } else { rollout.share() };
         let is_drawn = share > 0.0 && (share >= 1.0 || self.rng.gen::<f64>() < share);
         let max_share = self.bounds.exposure_share;
@@ -46,15 +46,15 @@
         if !rollout.is_active() {
             return None;
         }
-        let is_new = rollout.cohort(&endpoint.worker.version) == Cohort::New;
+        let is_new_version = rollout.cohort(&endpoint.worker.version) == Cohort::New;
         if let Some(exposure) = self.exposure.get_mut(request.service) {
-            exposure.note_sent(request.tried.is_empty(), is_new);
+            exposure.note_sent(request.tried_workers.is_empty(), is_new_version);
         }
         let is_warming = endpoint.warmup.is_warming(now);
         (!is_warming).then(|| SampleLabel {
             service: name_hash(request.service),
             route: name_hash(&request.route.name),
-            is_new,
+            is_new_version,
             created_index: rollout.created_index,
         })
     }
--- a/crates/balancer/src/rollout_samples.rs
+++ b/crates/balancer/src/rollout_samples.rs
@@ -12,7 +12,7 @@
     /// Hash of the name of the route.
     pub route: u32,
     /// Whether the attempt was sent to the new version.
-    pub is_new: bool,
+    pub is_new_version: bool,
     /// Log index at which the rollout was created.
     pub created_index: u64,
 }
@@ -46,9 +46,9 @@
     }
 
     /// Records that an attempt is sent.
-    pub fn note_sent(&mut self, is_first: bool, is_new: bool) {
+    pub fn note_sent(&mut self, is_first: bool, is_new_version: bool) {
         self.requests += u64::from(is_first);
-        self.new_version_attempts += u64::from(is_new);
+        self.new_version_attempts += u64::from(is_new_version);
     }
 }
 
@@ -74,12 +74,12 @@
                 row.sample.ms += ms;
                 *row.buckets.entry(bucket_of(ms)).or_default() += 1;
             }
-            AttemptResult::Errored(_) => row.sample.bad += 1,
+            AttemptResult::ServerError(_) => row.sample.bad += 1,
             AttemptResult::Failed | AttemptResult::TimedOut => row.sample.lost += 1,
             // Not executed, or abandoned by this node.
             AttemptResult::Rejected
             | AttemptResult::WrongWorker
-            | AttemptResult::Replaced
+            | AttemptResult::AddressReused
             | AttemptResult::Abandoned => {}
         }
     }
@@ -93,7 +93,7 @@
                 CohortSample {
                     service: label.service,
                     route: label.route,
-                    new: label.is_new,
+                    new: label.is_new_version,
                     created_index: label.created_index,
                     buckets,
                     counts,
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -94,7 +94,7 @@
         !worker.draining
             && !self.state.evacuated.contains_key(&worker.zone)
             && (home_regions.is_empty() || home_regions.contains(&endpoint.region))
-            && !request.tried.contains(&worker.id)
+            && !request.tried_workers.contains(&worker.id)
             && endpoint.inflight < connections
     }
 
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -11,13 +11,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Locality {
     /// Number of nodes that accept clients, including this node.
-    pub nodes: usize,
+    pub node_count: usize,
     /// Index of this node among the nodes that accept clients, from 0.
-    pub number: usize,
+    pub index: usize,
     /// Number of nodes in the zone of this node that accept clients, including this node.
-    pub nodes_in_zone: usize,
+    pub zone_node_count: usize,
     /// Index of this node among the nodes of its zone that accept clients, from 0.
-    pub number_in_zone: usize,
+    pub index_in_zone: usize,
 }
 
 /// A worker in a subset.
@@ -48,7 +48,7 @@
         is_partitioned: bool,
         locality: Locality,
     ) -> Subset {
-        let all_nodes = locality.nodes.max(1);
+        let all_nodes = locality.node_count.max(1);
         let connections = limit / (all_nodes as u32 + 1);
         let is_scarce = connections < c::MIN_CONNECTIONS_PER_WORKER;
         if is_partitioned || !is_scarce && workers.len() <= c::SUBSET_THRESHOLD {
@@ -93,7 +93,7 @@
         };
         Subset {
             members: workers.iter().map(member).collect(),
-            sharing_nodes: locality.nodes_in_zone.max(1) as f64,
+            sharing_nodes: locality.zone_node_count.max(1) as f64,
         }
     }
 }
@@ -113,14 +113,14 @@
     /// Returns the workers of the zone that the node uses, and the number of nodes that use each of
     /// them.
     fn select(&self, candidates: &[Arc<Worker>]) -> (Vec<Member>, usize) {
-        let all_nodes = self.locality.nodes.max(1);
-        let nodes_in_zone = self.locality.nodes_in_zone.max(1);
+        let all_nodes = self.locality.node_count.max(1);
+        let zone_node_count = self.locality.zone_node_count.max(1);
         // If connections are not scarce, the nodes of each zone spread over all workers of every
         // other zone, so that a zone that loses its own workers loads those workers evenly.
-        let (number, nodes) = if self.is_local || !self.is_scarce {
-            (self.locality.number_in_zone, nodes_in_zone)
+        let (index, nodes) = if self.is_local || !self.is_scarce {
+            (self.locality.index_in_zone, zone_node_count)
         } else {
-            (self.locality.number, all_nodes)
+            (self.locality.index, all_nodes)
         };
         let part = if self.is_local {
             c::LOCAL_CONNECTION_FRACTION
@@ -137,7 +137,7 @@
         } else {
             1
         };
-        let chosen = window(candidates, number, nodes, size);
+        let chosen = window(candidates, index, nodes, size);
         let members = chosen.map(|worker| Member { worker, connections });
         (members.collect(), sharing_nodes)
     }
@@ -160,10 +160,10 @@
 /// starts.
 fn window(
     workers: &[Arc<Worker>],
-    number: usize,
+    index: usize,
     nodes: usize,
     size: usize,
 ) -> impl Iterator<Item = Arc<Worker>> + '_ {
-    let start = number * workers.len() / nodes;
+    let start = index * workers.len() / nodes;
     (start..start + size).map(|i| workers[i % workers.len()].clone())
 }
--- a/crates/balancer/tests/exposure.rs
+++ b/crates/balancer/tests/exposure.rs
@@ -11,9 +11,9 @@
         if i % 2 == 0 {
             continue; // The request is rejected, so nothing is sent.
         }
-        let is_new = exposure.may_try_new(Some(0.1));
-        exposure.note_sent(true, is_new);
-        sent_to_new += u32::from(is_new);
+        let is_new_version = exposure.may_try_new(Some(0.1));
+        exposure.note_sent(true, is_new_version);
+        sent_to_new += u32::from(is_new_version);
     }
     assert_eq!(sent_to_new, 50, "a tenth of the requests that were sent");
     exposure.begin(9);
--- a/crates/balancer/tests/selection.rs
+++ b/crates/balancer/tests/selection.rs
@@ -59,7 +59,7 @@
         ..Default::default()
     };
     let mut balancer = LoadBalancer::new("z1", zones, bounds, 1);
-    balancer.set_state(0, Arc::new(state.clone()));
+    balancer.update_state(0, Arc::new(state.clone()));
     balancer.set_peers(peers(7));
     balancer
 }
@@ -67,8 +67,8 @@
 fn peers(own_id: u64) -> PeerInfo {
     PeerInfo {
         locality: Locality {
-            nodes: 3,
-            nodes_in_zone: 3,
+            node_count: 3,
+            zone_node_count: 3,
             ..Default::default()
         },
         own_id,
@@ -81,7 +81,7 @@
     state: &ControlState,
     path: &str,
     now: u64,
-    tried: &[String],
+    tried_workers: &[String],
 ) -> Selection {
     let config = state.configuration.clone().expect("config");
     let route = config.route("h", path).expect("route");
@@ -91,7 +91,7 @@
             route,
             key: None,
             service: "s",
-            tried,
+            tried_workers,
             remaining_ms: 2000,
             zone: None,
         },
@@ -147,7 +147,7 @@
             begin: true,
         })),
     );
-    balancer.set_state(20, Arc::new(state.clone()));
+    balancer.update_state(20, Arc::new(state.clone()));
     assert_eq!(
         selected_id(&choose_worker(&mut balancer, &state, "/a/", 5000, &[])),
         "own",
@@ -163,7 +163,7 @@
             ..Default::default()
         })),
     );
-    balancer.set_state(20, Arc::new(state.clone()));
+    balancer.update_state(20, Arc::new(state.clone()));
     assert!(matches!(
         choose_worker(&mut balancer, &state, "/a/", 5000, &[]),
         Selection::Unavailable(_)
@@ -219,7 +219,7 @@
                 route,
                 key: None,
                 service: "s",
-                tried: &[],
+                tried_workers: &[],
                 remaining_ms,
                 zone: None,
             },
@@ -257,7 +257,7 @@
             route,
             key: Some(3),
             service: "s",
-            tried: &[],
+            tried_workers: &[],
             remaining_ms: 2000,
             zone: None,
         };
@@ -291,7 +291,7 @@
         let selection = choose_worker(&mut balancer, &state, "/a/", t, &[]);
         if selected_id(&selection) == "own" {
             assert!(t < 20, "still selected at {t} ms");
-            balancer.observe(t, "own", AttemptResult::Replaced);
+            balancer.observe(t, "own", AttemptResult::AddressReused);
         } else {
             balancer.observe(t, "next", AttemptResult::Answered(100.0));
         }
@@ -311,20 +311,20 @@
             })),
         );
     }
-    balancer.set_state(100, Arc::new(state.clone()));
-    let tried = vec!["own".to_string()];
+    balancer.update_state(100, Arc::new(state.clone()));
+    let tried_workers = vec!["own".to_string()];
     for t in 0..50 {
         choose_worker(&mut balancer, &state, "/a/", t, &[]);
     }
     assert!(
         matches!(
-            choose_worker(&mut balancer, &state, "/a/", 200, &tried),
+            choose_worker(&mut balancer, &state, "/a/", 200, &tried_workers),
             Selection::Unavailable(_)
         ),
         "the worker is warming and has no warm-up group yet"
     );
     assert_eq!(
-        selected_id(&choose_worker(&mut balancer, &state, "/a/", 5000, &tried)),
+        selected_id(&choose_worker(&mut balancer, &state, "/a/", 5000, &tried_workers)),
         "next"
     );
 }
--- a/crates/balancer/tests/subset.rs
+++ b/crates/balancer/tests/subset.rs
@@ -31,10 +31,10 @@
     for (zone_index, zone) in ZONES.iter().enumerate() {
         for i in 0..nodes_per_zone {
             let locality = Locality {
-                nodes: 4 * nodes_per_zone,
-                number: zone_index * nodes_per_zone + i,
-                nodes_in_zone: nodes_per_zone,
-                number_in_zone: i,
+                node_count: 4 * nodes_per_zone,
+                index: zone_index * nodes_per_zone + i,
+                zone_node_count: nodes_per_zone,
+                index_in_zone: i,
             };
             for member in Subset::new(workers, zone, limit, false, locality).members {
                 *connections_by_worker.entry(member.worker.id.clone()).or_default() += member.connections;
@@ -68,10 +68,10 @@
 #[test]
 fn removed_worker_changes_few_members_and_ample_connections_need_no_subset() {
     let locality = Locality {
-        nodes: 72,
-        number: 10,
-        nodes_in_zone: 18,
-        number_in_zone: 10,
+        node_count: 72,
+        index: 10,
+        zone_node_count: 18,
+        index_in_zone: 10,
     };
     let names = |removed| -> Vec<String> {
         let subset = Subset::new(&workers(47, removed), "a", 34, false, locality);
@@ -105,10 +105,10 @@
     let mut callers_by_worker: BTreeMap<String, usize> = BTreeMap::new();
     for i in 0..75 {
         let locality = Locality {
-            nodes: 300,
-            number: i,
-            nodes_in_zone: 75,
-            number_in_zone: i,
+            node_count: 300,
+            index: i,
+            zone_node_count: 75,
+            index_in_zone: i,
         };
         let subset = Subset::new(&all, "a", 1900, false, locality);
         assert!(subset.members.len() < 30, "{}", subset.members.len());
--- a/crates/control-state/src/state.rs
+++ b/crates/control-state/src/state.rs
@@ -149,7 +149,7 @@
         let used_workers = if share >= 1.0 {
             ranked.len()
         } else {
-            (old.len() as f64 * share * rollout::USED_WORKERS_PART)
+            (old.len() as f64 * share * rollout::USED_WORKERS_FRACTION)
                 .ceil()
                 .max(1.0) as usize
         };
--- a/crates/gossip/src/protocol.rs
+++ b/crates/gossip/src/protocol.rs
@@ -118,7 +118,7 @@
     }
 
     /// Returns this node's entry as known to others.
-    pub fn own(&self) -> &Member {
+    pub fn own_member(&self) -> &Member {
         &self.own
     }
 
@@ -129,7 +129,7 @@
     }
 
     /// Returns all other nodes that are neither suspected nor removed.
-    pub fn alive(&self) -> impl Iterator<Item = &Member> {
+    pub fn alive_members(&self) -> impl Iterator<Item = &Member> {
         self.others.values().map(|e| &e.member).filter(|m| m.is_alive())
     }
 
@@ -177,7 +177,7 @@
         self.changed = true;
         // The update is sent at once, since a node that shuts down must be left out of responses
         // before it ends.
-        let targets: Vec<String> = self.alive().map(|m| m.address.clone()).collect();
+        let targets: Vec<String> = self.alive_members().map(|m| m.address.clone()).collect();
         let chosen = targets.choose_multiple(&mut self.rng, self.config.indirect_probes);
         let chosen: Vec<String> = chosen.cloned().collect();
         for to in chosen {
@@ -245,7 +245,7 @@
     /// Contacts seeds and nodes that are not alive: all seeds while no other node is alive,
     /// otherwise one of them, so that a split membership merges again.
     fn join(&mut self, now: u64) {
-        let is_alone = self.alive().next().is_none();
+        let is_alone = self.alive_members().next().is_none();
         let pause = if is_alone {
             self.config.join_interval_ms
         } else {
--- a/crates/gossip/src/protocol/dissemination.rs
+++ b/crates/gossip/src/protocol/dissemination.rs
@@ -46,7 +46,7 @@
         }
         self.differing_acks = 0;
         self.next_exchange = now + self.config.exchange_interval_ms;
-        let near = self.alive().filter(|m| m.region == self.own.region);
+        let near = self.alive_members().filter(|m| m.region == self.own.region);
         let near: Vec<String> = near.map(|m| m.address.clone()).collect();
         let partner = near.choose(&mut self.rng).cloned();
         let partner = partner.unwrap_or_else(|| from.to_string());
--- a/crates/gossip/src/protocol/probing.rs
+++ b/crates/gossip/src/protocol/probing.rs
@@ -104,7 +104,7 @@
     }
 
     fn request_pings(&mut self, target: &str, sequence: u64) {
-        let others = self.alive().map(|m| m.address.clone());
+        let others = self.alive_members().map(|m| m.address.clone());
         let others: Vec<String> = others.filter(|a| a != target).collect();
         let helpers = others.choose_multiple(&mut self.rng, self.config.indirect_probes);
         let helpers: Vec<String> = helpers.cloned().collect();
--- a/crates/gossip/tests/membership.rs
+++ b/crates/gossip/tests/membership.rs
@@ -81,7 +81,7 @@
                     b.receive(now, &from, message);
                 }
             }
-            let region = |b: &MembershipProtocol| b.own().region.clone();
+            let region = |b: &MembershipProtocol| b.own_member().region.clone();
             let regions: BTreeMap<String, String> =
                 self.nodes.iter().map(|(n, b)| (n.clone(), region(b))).collect();
             for (name, b) in &mut self.nodes {
@@ -89,7 +89,7 @@
                 for Envelope { to, message } in b.take_outgoing() {
                     let bytes = message.encoded_len() + 28;
                     self.sent.0 += bytes;
-                    self.sent.1 += if regions.get(&to) == Some(&b.own().region) {
+                    self.sent.1 += if regions.get(&to) == Some(&b.own_member().region) {
                         0
                     } else {
                         bytes
@@ -218,12 +218,12 @@
     bytes_per_node_and_second(&mut network, 6000);
     let idle = bytes_per_node_and_second(&mut network, 2000);
     assert!(idle.0 < 4000, "bytes per node and second: {idle:?}");
-    network.nodes.retain(|_, b| b.own().region != "region-1");
+    network.nodes.retain(|_, b| b.own_member().region != "region-1");
     let loss = bytes_per_node_and_second(&mut network, 5000);
     let still_alive = network
         .nodes
         .values()
-        .map(|b| b.alive().filter(|m| m.region == "region-1").count());
+        .map(|b| b.alive_members().filter(|m| m.region == "region-1").count());
     assert!(still_alive.max() <= Some(15), "lost nodes still count as alive");
     assert!(loss.0 < 30_000, "bytes per node and second: {loss:?}");
     network.run(6000);
--- a/crates/key-ownership/src/calls.rs
+++ b/crates/key-ownership/src/calls.rs
@@ -30,9 +30,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Append these leases to the log, then call
-    /// [`OwnershipManager::on_logged`](crate::OwnershipManager::on_logged), whether that succeeded
-    /// or failed.
-    Log(Vec<KeyLease>),
+    /// [`OwnershipManager::on_proposal_finished`](crate::OwnershipManager::on_proposal_finished),
+    /// whether that succeeded or failed.
+    ProposeLeases(Vec<KeyLease>),
     /// Call a worker.
     Grant(GrantCall),
     /// Call a worker.
--- a/crates/key-ownership/src/manager.rs
+++ b/crates/key-ownership/src/manager.rs
@@ -87,7 +87,7 @@
     ranges: BTreeMap<RangeKey, RangeState>,
     /// Number of calls made by this process. Call numbers are never reused.
     calls_made: u64,
-    unmatched_answers: u64,
+    unmatched_results: u64,
     /// Expiry bounds by fencing token.
     expiries: BTreeMap<u64, Expiry>,
     inherited: Inherited,
@@ -113,7 +113,7 @@
             times: LeaseTimes::new(max_lease_ms, resume_delay_ms),
             ranges: BTreeMap::new(),
             calls_made: 0,
-            unmatched_answers: 0,
+            unmatched_results: 0,
             expiries: BTreeMap::new(),
             inherited: Inherited::default(),
             is_log_pending: false,
@@ -127,7 +127,7 @@
 
     /// Starts a new leadership of this node. Grants of earlier leaders may have arrived as late as
     /// now, and calls they sent may still be in flight.
-    pub fn begin(&mut self, now: u64, state: &ControlState) {
+    pub fn start_leadership(&mut self, now: u64, state: &ControlState) {
         let settled_at = now + LATEST_ARRIVAL_MS;
         let leases = state.key_leases.values().flat_map(|t| t.values());
         let revoking = leases.filter(|l| l.revoking);
@@ -142,7 +142,7 @@
         *self = OwnershipManager {
             loads: std::mem::take(&mut self.loads),
             calls_made: self.calls_made,
-            unmatched_answers: self.unmatched_answers,
+            unmatched_results: self.unmatched_results,
             inherited,
             ..OwnershipManager::new(self.max_lease_ms, self.resume_delay_ms)
         };
@@ -153,9 +153,9 @@
         self.loads.add(keys, workers);
     }
 
-    /// Notes that the entry of the last [`Action::Log`](crate::Action::Log) has been applied, or
-    /// has failed.
-    pub fn on_logged(&mut self) {
+    /// Notes that the entry of the last [`Action::ProposeLeases`](crate::Action::ProposeLeases) has
+    /// been applied, or has failed.
+    pub fn on_proposal_finished(&mut self) {
         self.is_log_pending = false;
     }
 
@@ -228,8 +228,8 @@
 
     /// Returns the number of results that belonged to no pending call: those of an earlier
     /// leadership, and duplicates.
-    pub fn unmatched_answers(&self) -> u64 {
-        self.unmatched_answers
+    pub fn unmatched_results(&self) -> u64 {
+        self.unmatched_results
     }
 
     /// Returns the range that waits for the result of this call. Counts the result as unmatched if
@@ -238,7 +238,7 @@
         let range = self.ranges.get_mut(&RangeKey::of(lease));
         let range = range.filter(|state| state.call == Some(number));
         if range.is_none() {
-            self.unmatched_answers += 1;
+            self.unmatched_results += 1;
         }
         range
     }
--- a/crates/key-ownership/src/manager/round.rs
+++ b/crates/key-ownership/src/manager/round.rs
@@ -304,7 +304,7 @@
         self.inherit_expiries(state, &changes);
         if !changes.is_empty() {
             self.is_log_pending = true;
-            round.actions.push(Action::Log(changes));
+            round.actions.push(Action::ProposeLeases(changes));
         }
     }
 
--- a/crates/key-ownership/tests/ownership.rs
+++ b/crates/key-ownership/tests/ownership.rs
@@ -133,7 +133,7 @@
 
     fn log(&mut self, put: Vec<KeyLease>) {
         self.change(ChangeKind::KeyLeases(KeyLeaseChange { put }));
-        self.ownership.on_logged();
+        self.ownership.on_proposal_finished();
     }
 
     /// Runs for a time. Grants to `unresponsive` have an unknown result; others succeed.
@@ -143,7 +143,7 @@
             for action in self.ownership.tick(self.now, &self.state) {
                 self.calls.push(action.clone());
                 match action {
-                    Action::Log(put) => self.log(put),
+                    Action::ProposeLeases(put) => self.log(put),
                     Action::Grant(g) => {
                         self.record_grant(&g);
                         let result = if g.lease.worker == unresponsive {
@@ -198,7 +198,7 @@
 fn leases_are_logged_before_they_are_granted_under_distinct_tokens() {
     let mut scenario = Scenario::new(4);
     scenario.run(500, "");
-    assert!(matches!(scenario.calls[0], Action::Log(_)));
+    assert!(matches!(scenario.calls[0], Action::ProposeLeases(_)));
     scenario.check_cover();
     assert_eq!(scenario.held_by("w2"), KEY_SPACE / 4);
     let tokens: std::collections::BTreeSet<u64> = scenario.state.key_leases["s"]
@@ -325,7 +325,7 @@
 fn new_leader_waits_for_the_final_leases_of_draining_and_unlisted_workers() {
     let mut scenario = Scenario::new(3);
     scenario.run(1000, "");
-    scenario.ownership.begin(scenario.now, &scenario.state);
+    scenario.ownership.start_leadership(scenario.now, &scenario.state);
     let begun_at = scenario.now;
     let put = vec![Worker {
         draining: true,
@@ -401,7 +401,7 @@
         let snapshot = scenario.state.to_snapshot();
         scenario.state = ControlState::from_snapshot(scenario.state.index, &snapshot).expect("readable");
         scenario.ownership = OwnershipManager::new(10_000, 300);
-        scenario.ownership.begin(scenario.now, &scenario.state);
+        scenario.ownership.start_leadership(scenario.now, &scenario.state);
         scenario.configure(CONFIG);
         scenario.change(ChangeKind::Workers(WorkersChange {
             put: vec![worker("a")],
@@ -588,7 +588,7 @@
         scenario.now += 100;
         for action in scenario.ownership.tick(scenario.now, &scenario.state) {
             match action {
-                Action::Log(put) => scenario.log(put),
+                Action::ProposeLeases(put) => scenario.log(put),
                 Action::Grant(g) => {
                     scenario
                         .ownership
@@ -742,7 +742,7 @@
                 continue;
             }
             match action {
-                Action::Log(put) => scenario.log(put),
+                Action::ProposeLeases(put) => scenario.log(put),
                 Action::Grant(g) => {
                     scenario
                         .ownership
@@ -790,7 +790,7 @@
         // The leadership is lost and regained before the result arrives. Meanwhile another leader
         // may have granted the same range, and that grant may still arrive.
         scenario.now += 300;
-        scenario.ownership.begin(scenario.now, &scenario.state);
+        scenario.ownership.start_leadership(scenario.now, &scenario.state);
         let earliest_expiry = scenario.ownership.expires_by(call.lease.fencing_token);
         drain(&mut scenario, "w0");
         scenario.now += 50;
@@ -799,11 +799,11 @@
             scenario.ownership.expires_by(call.lease.fencing_token) >= earliest_expiry,
             "{result:?}"
         );
-        assert_eq!(scenario.ownership.unmatched_answers(), 1);
+        assert_eq!(scenario.ownership.unmatched_results(), 1);
         for _ in 0..20 {
             scenario.now += 100;
             for action in scenario.ownership.tick(scenario.now, &scenario.state) {
-                if let Action::Log(put) = action {
+                if let Action::ProposeLeases(put) = action {
                     let freed = put.iter().any(|h| h.worker != "w0" && h.from == call.lease.from);
                     assert!(
                         !freed || scenario.now >= earliest_expiry,
@@ -829,7 +829,7 @@
     // In its next leadership it has granted the keys again, as another leader may have, when the
     // result arrives.
     scenario.now += 100;
-    scenario.ownership.begin(scenario.now, &scenario.state);
+    scenario.ownership.start_leadership(scenario.now, &scenario.state);
     let repeated = first_action(&mut scenario, |action| match action {
         Action::Grant(g) if g.lease.fencing_token == call.lease.fencing_token => Some(g.clone()),
         _ => None,
@@ -842,7 +842,7 @@
         scenario.now += 100;
         for action in scenario.ownership.tick(scenario.now, &scenario.state) {
             assert!(
-                !matches!(action, Action::Log(_)),
+                !matches!(action, Action::ProposeLeases(_)),
                 "freed at {}: {action:?}",
                 scenario.now
             );
@@ -881,7 +881,7 @@
         scenario.ownership.expires_by(first.lease.fencing_token),
         earliest_expiry
     );
-    assert_eq!(scenario.ownership.unmatched_answers(), 1);
+    assert_eq!(scenario.ownership.unmatched_results(), 1);
     scenario
         .ownership
         .on_grant_result(scenario.now, &third, GrantResult::NotSent);
--- a/crates/pebblepond/src/balancer_actor.rs
+++ b/crates/pebblepond/src/balancer_actor.rs
@@ -121,7 +121,7 @@
         ctx.run_interval(Duration::from_millis(c::IDLE_SWEEP_INTERVAL_MS), |actor, _| {
             actor.upstream.sweep();
             actor.refresh();
-            actor.balancer.sweep(actor.context.now());
+            actor.balancer.decay_stale_response_times(actor.context.now());
             actor.update_peers();
         });
         ctx.run_interval(Duration::from_millis(c::REPORT_INTERVAL_MS), |actor, _| {
@@ -138,7 +138,7 @@
         if Arc::ptr_eq(&state, &self.state) {
             return;
         }
-        for id in self.balancer.set_state(self.context.now(), state.clone()) {
+        for id in self.balancer.update_state(self.context.now(), state.clone()) {
             if let Some(w) = self.state.workers.get(&id) {
                 self.upstream.forget(&w.address);
             }
@@ -153,10 +153,10 @@
         let proxies = || members.iter().filter(|m| !m.client_address.is_empty());
         let in_zone = || proxies().filter(|m| m.zone == own.zone);
         let locality = Locality {
-            nodes: proxies().count().max(1),
-            number: proxies().filter(|m| m.name < own.node_name).count(),
-            nodes_in_zone: in_zone().count().max(1),
-            number_in_zone: in_zone().filter(|m| m.name < own.node_name).count(),
+            node_count: proxies().count().max(1),
+            index: proxies().filter(|m| m.name < own.node_name).count(),
+            zone_node_count: in_zone().count().max(1),
+            index_in_zone: in_zone().filter(|m| m.name < own.node_name).count(),
         };
         self.balancer.set_peers(PeerInfo {
             locality,
@@ -311,7 +311,7 @@
             route: &msg.route,
             key: msg.key,
             service: &msg.service,
-            tried: &msg.tried,
+            tried_workers: &msg.tried,
             remaining_ms: msg.remaining_ms,
             zone: zone.as_deref(),
         };
--- a/crates/pebblepond/src/control/peers.rs
+++ b/crates/pebblepond/src/control/peers.rs
@@ -156,7 +156,7 @@
         if self.context.status.get().is_current && !self.is_repaired {
             return;
         }
-        if let Some(state) = anti_entropy::repaired_since(&self.state, &own_digests, repair) {
+        if let Some(state) = anti_entropy::apply_repair_if_unchanged(&self.state, &own_digests, repair) {
             log::info!(
                 "event=repaired index={} ranges={}",
                 repair.index,
--- a/crates/pebblepond/src/gossip_driver.rs
+++ b/crates/pebblepond/src/gossip_driver.rs
@@ -145,7 +145,7 @@
             || self.context.members.get().len() < c::MEMBER_TABLE_IMMEDIATE_MEMBERS;
         if is_due && self.protocol.take_changed() {
             self.published_at = now;
-            let all = std::iter::once(self.protocol.own()).chain(self.protocol.members());
+            let all = std::iter::once(self.protocol.own_member()).chain(self.protocol.members());
             let members: Vec<Member> = all.cloned().collect();
             self.context.members.set(members);
         }
@@ -155,7 +155,7 @@
     fn publish_round_trips(&self) {
         let settings = self.context.settings.get();
         let mut sums: BTreeMap<String, (f64, f64)> = BTreeMap::new();
-        for member in self.protocol.alive() {
+        for member in self.protocol.alive_members() {
             if let Some(round_trip) = self.protocol.round_trip(&member.address) {
                 let site = settings.site(&member.zone, &member.region).to_string();
                 let (sum, count) = sums.entry(site).or_default();
--- a/crates/pebblepond/src/ownership_controller.rs
+++ b/crates/pebblepond/src/ownership_controller.rs
@@ -86,7 +86,7 @@
                     let state = controller.context.state.get();
                     if controller.leader_since != Some(since) {
                         controller.leader_since = Some(since);
-                        controller.ownership.begin(now, &state);
+                        controller.ownership.start_leadership(now, &state);
                     }
                     for action in controller.ownership.tick(now, &state) {
                         controller.perform(action, ctx);
@@ -97,7 +97,7 @@
 
     fn perform(&mut self, action: Action, ctx: &mut Context<Self>) {
         match action {
-            Action::Log(put) => self.propose_leases(put, ctx),
+            Action::ProposeLeases(put) => self.propose_leases(put, ctx),
             Action::Grant(call) => self.grant(call, ctx),
             Action::Release(call) => self.release(call, ctx),
         }
@@ -128,7 +128,7 @@
                     // A proposal made under an earlier leadership must not be taken for the one
                     // that is pending under the current leadership.
                     if controller.leader_since == leader_since {
-                        controller.ownership.on_logged();
+                        controller.ownership.on_proposal_finished();
                         controller.check_leases(ctx);
                     }
                 }),
@@ -192,7 +192,7 @@
                 Ok(_) | Err(CallError::Unclear) => GrantResult::Unknown,
                 Err(CallError::NotSent) => GrantResult::NotSent,
             };
-            let before = controller.ownership.unmatched_answers();
+            let before = controller.ownership.unmatched_results();
             controller.ownership.on_grant_result(now, &call, granted);
             controller.count_unmatched(before);
             if granted != GrantResult::Accepted {
@@ -203,7 +203,7 @@
 
     /// Counts a response that matched no pending call, given the manager's count before it.
     fn count_unmatched(&self, before: u64) {
-        if self.ownership.unmatched_answers() != before {
+        if self.ownership.unmatched_results() != before {
             self.context.counters.add("unmatched_key_answers");
         }
     }
@@ -233,7 +233,7 @@
                     ReleaseResult::Failed
                 }
             };
-            let before = controller.ownership.unmatched_answers();
+            let before = controller.ownership.unmatched_results();
             controller
                 .ownership
                 .on_release_result(controller.context.now(), &call, released);
--- a/crates/pebblepond/src/placement_controller.rs
+++ b/crates/pebblepond/src/placement_controller.rs
@@ -148,7 +148,7 @@
             hysteresis: c::DELETION_HYSTERESIS_RATIO,
         };
         let placement = placement::compute_placement(&input, &before, &options);
-        if !placement::differs(&placement, &before) {
+        if !placement::placements_differ(&placement, &before) {
             return None;
         }
         self.context.counters.add("placements");
--- a/crates/pebblepond/src/proxy/attempts.rs
+++ b/crates/pebblepond/src/proxy/attempts.rs
@@ -125,7 +125,7 @@
             Ok(Selection::Unavailable(retry_after_ms)) if may_promise_not_executed => {
                 Err(self.refuse("refused_nobody", retry_after_ms))
             }
-            Ok(Selection::BudgetSpent) if may_promise_not_executed => {
+            Ok(Selection::RetryBudgetExhausted) if may_promise_not_executed => {
                 Err(self.refuse("refused_budget", c::RETRY_AFTER_MS))
             }
             _ => Err(progress.worker_error.take().unwrap_or_else(bad_gateway)),
@@ -185,7 +185,7 @@
         let is_error =
             response.status.is_server_error() && matches!(response.body, ResponseBody::Buffered(_));
         if is_error {
-            guard.end(AttemptResult::Errored(response_ms));
+            guard.end(AttemptResult::ServerError(response_ms));
         }
         let is_head = attempt.request.method() == Method::HEAD;
         let response = client_response(response, is_head, guard, response_ms, attempt.target.deadline);
@@ -212,7 +212,7 @@
             let answering_instance = answering_instance.and_then(|v| v.to_str().ok());
             let is_replaced = answering_instance.is_some_and(|id| id != worker.id);
             guard.end(if is_replaced {
-                AttemptResult::Replaced
+                AttemptResult::AddressReused
             } else {
                 AttemptResult::WrongWorker
             });
--- a/crates/pebblepond/src/rollout_controller.rs
+++ b/crates/pebblepond/src/rollout_controller.rs
@@ -78,7 +78,7 @@
 impl RolloutController {
     fn check(&mut self, ctx: &mut Context<Self>) {
         let state = self.context.state.get();
-        self.watchdog.follow(self.context.now(), &state.rollouts);
+        self.watchdog.sync_rollouts(self.context.now(), &state.rollouts);
         if !self.context.status.get().is_leader || self.is_checking {
             return;
         }
@@ -141,7 +141,7 @@
         let mut conditions = Conditions {
             is_behind,
             reported_at: self.reported_at,
-            level: self.emergency_level,
+            emergency_level: self.emergency_level,
             kill_switch: state.kill_switch.as_ref().is_some_and(|k| k.on),
             ..Default::default()
         };
@@ -150,8 +150,10 @@
                 continue;
             }
             match rollout.cohort(&w.version) {
-                Cohort::New if w.warmup_ms == 0 && !state.is_warmup_unknown(w) => conditions.ready += 1,
-                Cohort::Old => conditions.old += 1,
+                Cohort::New if w.warmup_ms == 0 && !state.is_warmup_unknown(w) => {
+                    conditions.ready_workers += 1
+                }
+                Cohort::Old => conditions.old_workers += 1,
                 _ => {}
             }
         }
@@ -186,8 +188,9 @@
     fn handle(&mut self, msg: RolloutOutcomes, _: &mut Self::Context) {
         let now = self.context.now();
         self.reported_at = now;
-        self.watchdog.follow(now, &self.context.state.get().rollouts);
-        self.watchdog.add(&msg.samples, name_hash);
+        self.watchdog
+            .sync_rollouts(now, &self.context.state.get().rollouts);
+        self.watchdog.add_samples(&msg.samples, name_hash);
         self.add_worker_stats(&msg.workers);
     }
 }
@@ -197,7 +200,7 @@
     fn handle(&mut self, msg: CheckGate, _: &mut Self::Context) -> Self::Result {
         let now = self.context.now();
         let state = self.context.state.get();
-        self.watchdog.follow(now, &state.rollouts);
+        self.watchdog.sync_rollouts(now, &state.rollouts);
         let rollout = state.rollouts.get(&msg.service).ok_or(GateClosed::Unknown)?;
         let elapsed = self.watchdog.elapsed(now, rollout);
         if msg.bypass {
@@ -211,9 +214,9 @@
                     Some(Verdict::Good) => {}
                     Some(Verdict::Unproven(why)) => return Err(GateClosed::Unproven(why)),
                     Some(Verdict::Bad(why)) => return Err(GateClosed::BadVersion(why)),
-                    None => return Err(GateClosed::NoFigures),
+                    None => return Err(GateClosed::NoMetrics),
                 }
-                if rollout.is_last() && conditions.keys_remain {
+                if rollout.is_last_stage() && conditions.keys_remain {
                     return Err(GateClosed::KeysRemain);
                 }
             }
@@ -241,8 +244,8 @@
                     Verdict::Bad(why) => format!("bad: {why}"),
                 };
                 let cohort = |sums: &rollout::OutcomeSums| {
-                    serde_json::json!({"answered": sums.answered(), "errors": sums.bad, "lost": sums.lost,
-                        "mean_ms": if sums.served > 0.0 { sums.ms / sums.served } else { 0.0 }})
+                    serde_json::json!({"answered": sums.answered(), "errors": sums.errors, "lost": sums.unanswered,
+                        "mean_ms": if sums.served > 0.0 { sums.response_ms / sums.served } else { 0.0 }})
                 };
                 let row = serde_json::json!({
                     "verdict": verdict, "elapsed_ms": self.watchdog.elapsed(now, rollout),
--- a/crates/placement/src/assignment.rs
+++ b/crates/placement/src/assignment.rs
@@ -278,7 +278,7 @@
 }
 
 /// Returns whether two placements differ by enough to be worth sending.
-pub fn differs(a: &Placement, b: &Placement) -> bool {
+pub fn placements_differ(a: &Placement, b: &Placement) -> bool {
     let keys: BTreeSet<_> = a.keys().chain(b.keys()).collect();
     keys.into_iter().any(|key| match (a.get(key), b.get(key)) {
         (Some(parts), Some(other)) => parts_differ(parts, other),
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -21,7 +21,8 @@
 mod weighted_choice;
 
 pub use assignment::{
-    compute_placement, differs, GroupSite, Options, Placement, PlacementInput, ServiceGroup, ServiceSite,
+    compute_placement, placements_differ, GroupSite, Options, Placement, PlacementInput, ServiceGroup,
+    ServiceSite,
 };
 pub use demand::DemandTracker;
 pub use min_cost_flow::{Network, Solution};
--- a/crates/rollout/src/change.rs
+++ b/crates/rollout/src/change.rs
@@ -86,7 +86,7 @@
     let stage_index = rollout.stage_index;
     let (next_state, next_stage) = match (action, state) {
         (Action::Start, State::Created) => (State::Canary, 0),
-        (Action::Promote, State::Canary | State::Paused) if rollout.is_last() => {
+        (Action::Promote, State::Canary | State::Paused) if rollout.is_last_stage() => {
             (State::Completed, stage_index)
         }
         (Action::Promote, State::Canary) => (State::Canary, stage_index + 1),
--- a/crates/rollout/src/constants.rs
+++ b/crates/rollout/src/constants.rs
@@ -22,12 +22,12 @@
 pub const OBSERVE_MAX_MS: u64 = 300_000;
 /// Number of workers that receive a share, as a fraction of the number that the old version would
 /// use for it. They are loaded as they would be with all traffic, so that faults under load show.
-pub const USED_WORKERS_PART: f64 = 0.9;
+pub const USED_WORKERS_FRACTION: f64 = 0.9;
 /// Maximum number of audit records kept per service.
 pub const AUDIT_RECORDS: usize = 24;
 /// Time without contact to the core after which a node returns to the previous versions by itself,
 /// in milliseconds. It is longer than a change of leader takes.
-pub const FALLBACK_MS: u64 = 1500;
+pub const CONTACT_LOSS_FALLBACK_MS: u64 = 1500;
 
 /// Number of outcomes required before the new version may be promoted. The source asks for 100 in
 /// five minutes; a stage here lasts seconds, and this number reveals a fault in a fifth of the
--- a/crates/rollout/src/gate.rs
+++ b/crates/rollout/src/gate.rs
@@ -11,10 +11,10 @@
     Emergency(u8),
     /// The last report is too old.
     #[error("the figures cannot be read")]
-    StaleFigures,
+    StaleMetrics,
     /// This node has no metrics of the rollout.
     #[error("there are no figures")]
-    NoFigures,
+    NoMetrics,
     /// The metrics do not suffice to evaluate the version.
     #[error("not proven: {0}")]
     Unproven(String),
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -14,7 +14,7 @@
 mod watchdog;
 
 pub use change::{apply, Refusal, Table};
-pub use constants::{stages, FALLBACK_MS, USED_WORKERS_PART};
+pub use constants::{stages, CONTACT_LOSS_FALLBACK_MS, USED_WORKERS_FRACTION};
 pub use emergency::{EmergencyLevel, EmergencyTracker};
 pub use gate::GateClosed;
 pub use metrics::{bucket_of, CohortMetrics, CohortSample, CohortTotals, OutcomeSums, Verdict};
--- a/crates/rollout/src/metrics.rs
+++ b/crates/rollout/src/metrics.rs
@@ -83,11 +83,11 @@
     /// Number of responses that were not errors.
     pub served: f64,
     /// Number of error responses of the worker itself.
-    pub bad: f64,
+    pub errors: f64,
     /// Attempts without a response.
-    pub lost: f64,
+    pub unanswered: f64,
     /// Sum of the response times, in milliseconds.
-    pub ms: f64,
+    pub response_ms: f64,
     buckets: BTreeMap<u32, f64>,
 }
 
@@ -95,9 +95,9 @@
     /// Adds a sample.
     pub fn add(&mut self, sample: &CohortSample) {
         self.served += sample.served as f64;
-        self.bad += sample.bad as f64;
-        self.lost += sample.lost as f64;
-        self.ms += sample.ms;
+        self.errors += sample.bad as f64;
+        self.unanswered += sample.lost as f64;
+        self.response_ms += sample.ms;
         for (bucket, count) in sample.buckets.iter().zip(&sample.counts) {
             *self.buckets.entry(*bucket).or_default() += f64::from(*count);
         }
@@ -105,9 +105,9 @@
 
     fn merge(&mut self, other: &OutcomeSums) {
         self.served += other.served;
-        self.bad += other.bad;
-        self.lost += other.lost;
-        self.ms += other.ms;
+        self.errors += other.errors;
+        self.unanswered += other.unanswered;
+        self.response_ms += other.response_ms;
         for (bucket, count) in &other.buckets {
             *self.buckets.entry(*bucket).or_default() += count;
         }
@@ -115,9 +115,9 @@
 
     fn decay(&mut self, retention: f64) {
         self.served *= retention;
-        self.bad *= retention;
-        self.lost *= retention;
-        self.ms *= retention;
+        self.errors *= retention;
+        self.unanswered *= retention;
+        self.response_ms *= retention;
         for count in self.buckets.values_mut() {
             *count *= retention;
         }
@@ -125,16 +125,16 @@
 
     /// Returns the number of responses, errors included.
     pub fn answered(&self) -> f64 {
-        self.served + self.bad
+        self.served + self.errors
     }
     fn error_rate(&self) -> f64 {
-        self.bad / self.answered().max(1e-9)
+        self.errors / self.answered().max(1e-9)
     }
     fn lost_rate(&self) -> f64 {
-        self.lost / (self.answered() + self.lost).max(1e-9)
+        self.unanswered / (self.answered() + self.unanswered).max(1e-9)
     }
     fn mean_ms(&self) -> f64 {
-        self.ms / self.served.max(1e-9)
+        self.response_ms / self.served.max(1e-9)
     }
     fn p95_ms(&self) -> f64 {
         let target = self.buckets.values().sum::<f64>() * 0.95;
@@ -283,7 +283,7 @@
             } else if pair.new.answered() < required as f64 {
                 let why = format!("{name}: {:.0} of {required} requests", pair.new.answered());
                 unproven.get_or_insert(why);
-            } else if pair.new.bad >= 3.0
+            } else if pair.new.errors >= 3.0
                 && pair.new.error_rate() > reference.error_rate() + criteria.max_errors_above
                 && required > 0
             {
@@ -312,7 +312,7 @@
 
 /// Returns whether the new version leaves more attempts without a response than the old one.
 fn loses_more(new: &OutcomeSums, old: &OutcomeSums) -> bool {
-    new.lost >= MIN_LOST && new.lost_rate() > old.lost_rate() + MAX_EXCESS_LOST
+    new.unanswered >= MIN_LOST && new.lost_rate() > old.lost_rate() + MAX_EXCESS_LOST
 }
 
 /// Returns why the new version is bad compared with the old one, or `None` if it is not.
@@ -328,7 +328,8 @@
     let usual = reference.error_rate();
     let deviation =
         ERROR_RATE_DEVIATIONS * (usual.max(0.01) * (1.0 - usual.min(0.99)) / responses.max(1.0)).sqrt();
-    if new.bad >= MIN_ERRORS && responses >= MIN_OUTCOMES && rate > usual + criteria.max_errors + deviation {
+    if new.errors >= MIN_ERRORS && responses >= MIN_OUTCOMES && rate > usual + criteria.max_errors + deviation
+    {
         return Some(format!(
             "{:.1}% errors, the old version {:.1}%",
             100.0 * rate,
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -238,7 +238,7 @@
     }
 
     /// Returns whether the current stage is the last one.
-    pub fn is_last(&self) -> bool {
+    pub fn is_last_stage(&self) -> bool {
         self.stage_index as usize + 1 >= self.stages.len()
     }
 
--- a/crates/rollout/src/watchdog.rs
+++ b/crates/rollout/src/watchdog.rs
@@ -15,9 +15,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Conditions {
     /// Number of usable warm workers of the new version.
-    pub ready: usize,
+    pub ready_workers: usize,
     /// Number of workers of the old versions.
-    pub old: usize,
+    pub old_workers: usize,
     /// Whether nodes in contact have not applied the rollout's newest change.
     pub is_behind: bool,
     /// Whether keys are still held by workers of the old versions.
@@ -25,7 +25,7 @@
     /// Time of the last report, in milliseconds; 0 if there was none.
     pub reported_at: u64,
     /// Emergency level of the system.
-    pub level: EmergencyLevel,
+    pub emergency_level: EmergencyLevel,
     /// Whether the kill switch is on, so that no rollout starts or is promoted.
     pub kill_switch: bool,
 }
@@ -59,7 +59,7 @@
 impl Watchdog {
     /// Updates the watched rollouts from the control state. Must be called on every node that may
     /// lead.
-    pub fn follow(&mut self, now: u64, table: &Table) {
+    pub fn sync_rollouts(&mut self, now: u64, table: &Table) {
         self.watched
             .retain(|s, _| table.get(s).is_some_and(|rollout| rollout.is_active()));
         for (service, rollout) in table.iter().filter(|(_, rollout)| rollout.is_active()) {
@@ -82,7 +82,7 @@
     }
 
     /// Adds the nodes' samples. `hash` returns the hash of a service's name.
-    pub fn add(&mut self, samples: &[CohortSample], hash: impl Fn(&str) -> u32) {
+    pub fn add_samples(&mut self, samples: &[CohortSample], hash: impl Fn(&str) -> u32) {
         for (service, watch) in &mut self.watched {
             let service_hash = hash(service);
             for sample in samples {
@@ -116,8 +116,8 @@
 
     /// Checks the gate for resuming a rollout.
     pub fn check_emergency(conditions: &Conditions) -> Result<(), GateClosed> {
-        if conditions.level >= EmergencyLevel::Two {
-            return Err(GateClosed::Emergency(conditions.level as u8));
+        if conditions.emergency_level >= EmergencyLevel::Two {
+            return Err(GateClosed::Emergency(conditions.emergency_level as u8));
         }
         Ok(())
     }
@@ -130,7 +130,7 @@
         }
         Watchdog::check_emergency(conditions)?;
         if now.saturating_sub(conditions.reported_at) > MAX_REPORT_AGE_MS || conditions.reported_at == 0 {
-            return Err(GateClosed::StaleFigures);
+            return Err(GateClosed::StaleMetrics);
         }
         Ok(())
     }
@@ -176,8 +176,10 @@
 
 /// Returns whether the new version has the warm workers that a share requires.
 fn has_enough_workers(conditions: &Conditions, share: f64) -> bool {
-    let required = (conditions.old as f64 * share * READY_FRACTION).ceil().max(1.0);
-    conditions.ready as f64 >= required
+    let required = (conditions.old_workers as f64 * share * READY_FRACTION)
+        .ceil()
+        .max(1.0);
+    conditions.ready_workers as f64 >= required
 }
 
 /// A decision of the watchdog on a rollout.
@@ -216,7 +218,12 @@
         let first = rollout.stages.first()?;
         let ready =
             has_enough_workers(conditions, first.share) && Watchdog::check_gate(now, conditions).is_ok();
-        return ready.then(|| Decision::new(Action::Start, format!("{} workers are warm", conditions.ready)));
+        return ready.then(|| {
+            Decision::new(
+                Action::Start,
+                format!("{} workers are warm", conditions.ready_workers),
+            )
+        });
     }
     if let Verdict::Bad(why) = verdict {
         return Some(Decision::new(Action::Rollback, why.clone()));
@@ -224,7 +231,7 @@
     if is_expired {
         return Some(Decision::new(Action::Rollback, "stalled: the term is over"));
     }
-    if conditions.level >= EmergencyLevel::Three {
+    if conditions.emergency_level >= EmergencyLevel::Three {
         return Some(Decision {
             bypass: true,
             ..Decision::new(Action::Rollback, "emergency level 3")
@@ -233,7 +240,7 @@
     if state == State::Paused {
         return None;
     }
-    if conditions.level >= EmergencyLevel::Two {
+    if conditions.emergency_level >= EmergencyLevel::Two {
         return Some(Decision::new(Action::Pause, "emergency level 2"));
     }
     let stage = rollout.stages.get(rollout.stage_index as usize)?;
@@ -242,7 +249,7 @@
     {
         return None;
     }
-    if rollout.is_last() {
+    if rollout.is_last_stage() {
         let is_idle_or_near_deadline = now >= watch.last_old_outcome_at + OLD_IDLE_MS
             || elapsed_ms + COMPLETION_MARGIN_MS >= rollout.duration_ms;
         let is_proven = matches!(verdict, Verdict::Good);
--- a/crates/simulation/examples/capacity.rs
+++ b/crates/simulation/examples/capacity.rs
@@ -296,13 +296,13 @@
             .map(|z| (format!("zone-{z}"), format!("region-{}", z % 16)))
             .collect();
         let mut balancer = LoadBalancer::new("zone-1", zones, Bounds::default(), 1);
-        balancer.set_state(1, held.clone());
+        balancer.update_state(1, held.clone());
         balancer.set_peers(PeerInfo {
             locality: Locality {
-                nodes: 6900,
-                number: 3,
-                nodes_in_zone: 186,
-                number_in_zone: 3,
+                node_count: 6900,
+                index: 3,
+                zone_node_count: 186,
+                index_in_zone: 3,
             },
             own_id: 1,
             round_trips: BTreeMap::new(),
@@ -326,7 +326,7 @@
                     route: &route,
                     key: None,
                     service: "service-1",
-                    tried: &[],
+                    tried_workers: &[],
                     remaining_ms: 2000,
                     zone: None,
                 };
@@ -340,7 +340,7 @@
             "us a node",
             mean_microseconds(|| {
                 update_one_worker(&mut held);
-                balancer.set_state(now, held.clone());
+                balancer.update_state(now, held.clone());
             }),
         );
         // The leader's duties.
@@ -393,7 +393,7 @@
             }),
         );
         let mut ownership = OwnershipManager::new(10_000, 300);
-        ownership.begin(now, &state);
+        ownership.start_leadership(now, &state);
         note(
             "leader: renewals of keys",
             "us a look",
@@ -402,7 +402,7 @@
                 for act in ownership.tick(now, &state) {
                     match act {
                         Action::Grant(g) => ownership.on_grant_result(now, &g, GrantResult::Accepted),
-                        Action::Log(_) => ownership.on_logged(),
+                        Action::ProposeLeases(_) => ownership.on_proposal_finished(),
                         Action::Release(_) => {}
                     }
                 }
--- a/crates/simulation/src/cluster/duties.rs
+++ b/crates/simulation/src/cluster/duties.rs
@@ -85,7 +85,7 @@
                     started: process.started,
                 };
                 match action {
-                    Action::Log(put) => {
+                    Action::ProposeLeases(put) => {
                         let change = ChangeKind::KeyLeases(KeyLeaseChange { put });
                         process.raft.propose(Change::encode(change));
                     }
@@ -173,11 +173,11 @@
         let leader_since = self.raft.leader_since();
         if self.ownership_since != Some(leader_since) {
             self.ownership_since = Some(leader_since);
-            self.ownership.begin(now, &self.state);
+            self.ownership.start_leadership(now, &self.state);
         }
         // A change of key leases counts as logged once it is applied. There is one at a time.
         if self.raft.last_index() <= self.state.index {
-            self.ownership.on_logged();
+            self.ownership.on_proposal_finished();
         }
         self.ownership.tick(now, &self.state)
     }
--- a/crates/simulation/tests/cold.rs
+++ b/crates/simulation/tests/cold.rs
@@ -314,7 +314,7 @@
         let newest = log.partition_point(|(at, _)| at + node.lag_ms <= now).max(1) - 1;
         if node.seen < newest {
             node.seen = newest;
-            node.balancer.set_state(now, log[newest].1.clone());
+            node.balancer.update_state(now, log[newest].1.clone());
         }
         // A node that has just started knows no peers.
         let knows_no_peers = now < node.up_at + 1000;
@@ -325,10 +325,10 @@
         };
         node.balancer.set_peers(PeerInfo {
             locality: Locality {
-                nodes: node_count,
-                number: 0,
-                nodes_in_zone: in_zone.max(1),
-                number_in_zone: 0,
+                node_count,
+                index: 0,
+                zone_node_count: in_zone.max(1),
+                index_in_zone: 0,
             },
             own_id: node.id,
             round_trips: BTreeMap::new(),
@@ -344,12 +344,12 @@
                 let Some(route) = config.route("h", path) else {
                     continue;
                 };
-                let tried: Vec<String> = Vec::new();
+                let tried_workers: Vec<String> = Vec::new();
                 let request = SelectionRequest {
                     route,
                     key: (service == "k").then(|| self.rng.gen_range(0..KEY_SPACE)),
                     service,
-                    tried: &tried,
+                    tried_workers: &tried_workers,
                     remaining_ms: 8000,
                     zone: None,
                 };
--- a/crates/simulation/tests/model.rs
+++ b/crates/simulation/tests/model.rs
@@ -146,7 +146,7 @@
             self.leaders[self.current_leader] = OwnershipManager::new(10_000, 300);
         } else {
             let (now, state) = (self.now, self.state.clone());
-            self.leaders[self.current_leader].begin(now, &state);
+            self.leaders[self.current_leader].start_leadership(now, &state);
         }
     }
 
@@ -215,9 +215,9 @@
             let (now, state) = (self.now, self.state.clone());
             for act in self.leaders[self.current_leader].tick(now, &state) {
                 let call = match act {
-                    Action::Log(put) => {
+                    Action::ProposeLeases(put) => {
                         self.change(ChangeKind::KeyLeases(KeyLeaseChange { put }));
-                        self.leaders[self.current_leader].on_logged();
+                        self.leaders[self.current_leader].on_proposal_finished();
                         continue;
                     }
                     Action::Grant(call) => Call::Grant(call),
--- a/crates/simulation/tests/rollouts.rs
+++ b/crates/simulation/tests/rollouts.rs
@@ -302,12 +302,12 @@
         let newest = self.log.len() - 1;
         let is_behind = |n: &Node| n.up_at <= self.now && n.cut_until <= self.now && n.seen < newest;
         Conditions {
-            ready: count_of(Cohort::New),
-            old: count_of(Cohort::Old),
+            ready_workers: count_of(Cohort::New),
+            old_workers: count_of(Cohort::Old),
             is_behind: self.nodes.iter().any(is_behind),
             keys_remain: false,
             reported_at: self.reported_at,
-            level: self.emergency.clone().check(),
+            emergency_level: self.emergency.clone().check(),
             kill_switch: state.kill_switch.as_ref().is_some_and(|k| k.on),
         }
     }
@@ -315,8 +315,8 @@
     fn run_watchdog(&mut self) {
         let now = self.now;
         let state = self.state();
-        self.watchdog.follow(now, &state.rollouts);
-        self.standby.follow(now, &state.rollouts);
+        self.watchdog.sync_rollouts(now, &state.rollouts);
+        self.standby.sync_rollouts(now, &state.rollouts);
         if now < self.leader_from || now < self.core_cut_until {
             self.unsettled_at = now;
             return;
@@ -328,15 +328,15 @@
         for (_, samples, served, failed) in due {
             self.reported_at = now;
             self.emergency.add(served, failed);
-            self.watchdog.add(&samples, name_hash);
+            self.watchdog.add_samples(&samples, name_hash);
         }
         if now % 260 >= STEP_MS {
             return;
         }
-        let level = self.emergency.check();
+        let emergency_level = self.emergency.check();
         for p in state.rollouts.values().filter(|p| p.is_active()) {
             let conditions = Conditions {
-                level,
+                emergency_level,
                 ..self.conditions(&state)
             };
             if let Some(change) = self.watchdog.decide(now, p, &conditions) {
@@ -365,7 +365,7 @@
             }
             let is_bad = matches!(
                 f.end,
-                AttemptResult::Errored(_) | AttemptResult::Answered(900.0..)
+                AttemptResult::ServerError(_) | AttemptResult::Answered(900.0..)
             );
             if new && is_bad && self.kind != Kind::Good {
                 self.bad_answers += 1;
@@ -420,15 +420,15 @@
             let newest = self.log.partition_point(|(at, _)| at + node.lag_ms <= now).max(1) - 1;
             if node.seen < newest {
                 node.seen = newest;
-                node.balancer.set_state(now, self.log[newest].1.clone());
+                node.balancer.update_state(now, self.log[newest].1.clone());
             }
         }
         node.balancer.set_peers(PeerInfo {
             locality: Locality {
-                nodes: count,
-                number: i,
-                nodes_in_zone: count / ZONES as usize,
-                number_in_zone: i / ZONES as usize,
+                node_count: count,
+                index: i,
+                zone_node_count: count / ZONES as usize,
+                index_in_zone: i / ZONES as usize,
             },
             own_id: node.id,
             round_trips: BTreeMap::new(),
@@ -444,13 +444,13 @@
         let Some(route) = config.route("h", path) else {
             return;
         };
-        let mut tried: Vec<String> = Vec::new();
+        let mut tried_workers: Vec<String> = Vec::new();
         for _ in 0..2 {
             let request = SelectionRequest {
                 route,
                 key: None,
                 service: "s",
-                tried: &tried,
+                tried_workers: &tried_workers,
                 remaining_ms: 4000,
                 zone: None,
             };
@@ -463,14 +463,14 @@
             let Some(w) = self.workers.get_mut(&found.id) else {
                 return;
             };
-            self.all += u64::from(is_in_progress && tried.is_empty());
+            self.all += u64::from(is_in_progress && tried_workers.is_empty());
             if w.new {
                 self.new += u64::from(is_in_progress);
                 let is_overdue = self.fiftieth_at.is_some_and(|at| now > at + ROLLBACK_MS);
                 self.late_sends += u64::from(is_overdue && is_contact_settled);
                 let node = &self.nodes[i];
                 let is_active = self.log[node.seen].1.rollouts.values().any(|p| p.is_active());
-                let has_lost_core = now > node.last_contact_at + rollout::FALLBACK_MS;
+                let has_lost_core = now > node.last_contact_at + rollout::CONTACT_LOSS_FALLBACK_MS;
                 self.lost_sends += u64::from(is_active && has_lost_core);
             } else if self.ended_at > 0 && is_in_contact && now > self.ended_at + 300 {
                 self.old_after_end += 1;
@@ -494,7 +494,7 @@
                 if self.kind == Kind::Slow {
                     ms *= 8.0;
                 } else {
-                    end = Some(AttemptResult::Errored(ms));
+                    end = Some(AttemptResult::ServerError(ms));
                 }
             }
             if is_unreachable {
@@ -513,7 +513,7 @@
             if end.is_none() {
                 return;
             }
-            tried.push(found.id);
+            tried_workers.push(found.id);
         }
     }
 
