--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -82,8 +82,8 @@
     /// Number of disks that must hold an acknowledged change; 0 if the history has no disk
     /// observations.
     pub disks: usize,
-    /// Time from which no faults are active, ms: of the requests sent later, a read must be
-    /// answered and a valid command acknowledged.
+    /// Time from which the system has recovered from all faults, ms: of the requests sent later, a
+    /// read must be answered and a valid command acknowledged.
     pub fault_free_from: Option<u64>,
     /// Commands on a zone that are byte for byte equal cannot be distinguished on the wire.
     /// One that arrives within this time after an equal one, with no other command on the
--- a/crates/simulation/src/checker/configuration.rs
+++ b/crates/simulation/src/checker/configuration.rs
@@ -4,8 +4,8 @@
 use crate::history::{Content, Observation, Request};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Status codes of an accepted command, of one whose base is no longer in force, and of an
-/// invalid one.
+/// Status codes of an accepted command, of one whose base is not in force, and of an invalid
+/// one.
 const OK: u16 = 200;
 const PRECONDITION_FAILED: u16 = 412;
 const BAD_REQUEST: u16 = 400;
--- a/crates/simulation/src/cluster/network.rs
+++ b/crates/simulation/src/cluster/network.rs
@@ -202,7 +202,7 @@
         node.process.as_mut().filter(|p| p.started == caller.started)
     }
 
-    /// Resets the connections between two nodes: drops all messages in flight between them.
+    /// Resets the connections between two nodes: drops the messages in flight between them.
     pub fn reset(&mut self, a: &str, b: &str) {
         let (a_id, b_id) = (
             self.nodes.get(a).map_or(0, Node::id),
--- a/crates/simulation/src/command_handler.rs
+++ b/crates/simulation/src/command_handler.rs
@@ -199,7 +199,8 @@
         }
     }
 
-    /// Executes a command if this node is the leader, or forwards it to the node believed to be.
+    /// Executes a command if this node is the leader, or forwards it to the node that it believes to
+    /// be the leader.
     fn route(
         &mut self,
         now: u64,
--- a/crates/simulation/src/exploration.rs
+++ b/crates/simulation/src/exploration.rs
@@ -46,19 +46,19 @@
 pub struct Coverage {
     /// The highest term, summed over runs.
     pub terms: u64,
-    /// Snapshots installed.
+    /// Number of snapshots installed.
     pub snapshots: u64,
-    /// Membership changes.
+    /// Number of membership changes.
     pub membership_changes: u64,
-    /// Requests sent again.
+    /// Number of requests sent again.
     pub resends: u64,
-    /// Requests refused.
+    /// Number of requests refused.
     pub refusals: u64,
-    /// Configurations acknowledged.
+    /// Number of configurations acknowledged.
     pub acknowledged: u64,
-    /// Disks lost.
+    /// Number of disks lost.
     pub disk_losses: u64,
-    /// Processes started.
+    /// Number of processes started.
     pub processes: u64,
 }
 
@@ -245,8 +245,8 @@
         }
     }
 
-    /// Ends all faults, waits, and sends the final reads and commands. Returns the time from which
-    /// no fault is active, ms.
+    /// Ends all faults, waits for `RECOVERY_MS`, and sends the final reads and commands. Returns
+    /// the time at which the recovery was over, ms.
     fn settle_and_send_final_requests(&mut self) -> u64 {
         for (_, event) in std::mem::take(&mut self.scheduled) {
             self.on_scheduled(event);
--- a/crates/simulation/src/exploration/faults.rs
+++ b/crates/simulation/src/exploration/faults.rs
@@ -319,7 +319,7 @@
         self.schedule(duration_ms, ScheduledEvent::DiskRecovered(name));
     }
 
-    /// Drops all messages in flight between two machines.
+    /// Resets the connections between two machines: drops the messages and calls in flight.
     fn reset_connections(&mut self, a: u8, b: u8) {
         let (Some(a), Some(b)) = (self.machine(a), self.machine(b)) else {
             return;
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -25,8 +25,8 @@
 /// A request of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// Replaces the configuration. `valid` says whether the operator built a valid one; the
-    /// checker must not rely on the system for this.
+    /// Replaces the configuration. `valid` says whether the operator built a valid one, because
+    /// the system cannot be asked.
     Replace {
         content: Content,
         valid: bool,
@@ -104,7 +104,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Replica {
     pub index: u64,
-    /// A digest of the whole state.
+    /// A digest of the complete control state.
     pub digest: u64,
     /// The configuration in force.
     pub content: Option<Content>,
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -83,7 +83,7 @@
         target: u8,
         duration_ms: u64,
     },
-    /// Drops all messages in flight between two machines.
+    /// Resets the connections between two machines: messages in flight are dropped.
     ResetConnections {
         a: u8,
         b: u8,
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -9,7 +9,7 @@
 //! try-command two 0 4        like command, but may be rejected
 //! commands 3 40              sends the versions after 3 up to 40, one by one
 //! kill a | lose-power a | lose-disk a | start a | join g/r2     
-//!                            ("leader" is the current leader, "last-leader" the previous one)
+//!                            ("leader" is the current leader, "last-leader" the last one named so)
 //! shut-down a                                          requests a shutdown; `kill a` ends it
 //! cut a b | cut-one-way a b | isolate a | heal             (one way: a cannot reach b)
 //! disk-slow a 500 | disk-stuck a | disk-ok a
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -16,7 +16,7 @@
 pub struct SimulatedWorker {
     pub listed: Worker,
     pub up: bool,
-    /// Whether calls are executed but their answers are dropped.
+    /// Whether the worker answers no calls: grants are executed unanswered, releases fail.
     pub drops_answers: bool,
     held: Vec<Held>,
     granted: Vec<Held>,
--- a/crates/simulation/tests/rollouts.rs
+++ b/crates/simulation/tests/rollouts.rs
@@ -556,7 +556,8 @@
 }
 
 fn number<T: std::str::FromStr>(word: Option<&&str>) -> T {
-    word.and_then(|w| w.parse().ok()).expect("expected a number")
+    word.and_then(|w| w.parse().ok())
+        .expect("the argument is a number")
 }
 
 #[allow(clippy::too_many_lines, reason = "one arm per step")]
@@ -644,7 +645,7 @@
                 };
                 fleet.change(ChangeKind::KillSwitch(switch));
             }
-            "operator" => fleet.operate(Action::from_name(arguments[0]).expect("expected an action")),
+            "operator" => fleet.operate(Action::from_name(arguments[0]).expect("the argument is an action")),
             "expect" => {
                 let state = fleet.state();
                 let p = state.rollouts.get("s");
