--- a/crates/simulation/examples/capacity.rs
+++ b/crates/simulation/examples/capacity.rs
@@ -61,8 +61,8 @@
 fn control_state_kb(workers: usize) -> f64 {
     let run = |workers: usize| {
         let exe = std::env::current_exe().expect("this program");
-        let out = std::process::Command::new(exe).arg(workers.to_string()).output();
-        let text = String::from_utf8(out.expect("it runs").stdout).expect("a number");
+        let output = std::process::Command::new(exe).arg(workers.to_string()).output();
+        let text = String::from_utf8(output.expect("it runs").stdout).expect("a number");
         text.trim().parse::<f64>().expect("a number")
     };
     run(workers) - run(30)
@@ -131,17 +131,17 @@
                         b.receive(now, &from, message);
                     }
                 }
-                let mut out = Vec::new();
+                let mut outgoing = Vec::new();
                 for (name, b) in &mut members {
                     b.tick(now);
-                    out.extend(
+                    outgoing.extend(
                         b.take_outgoing()
                             .into_iter()
                             .map(|e| (name.clone(), e.to, e.message)),
                     );
                 }
                 used_ns += processor_time_ns() - started;
-                for (from, to, message) in out {
+                for (from, to, message) in outgoing {
                     bytes += message.encoded_len() + 28;
                     lost += 1;
                     if !lost.is_multiple_of(100) {
--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -336,8 +336,8 @@
                 let Some(effect) = effects.find(|e| e.changed).or(first) else {
                     continue;
                 };
-                let all = last_synced.values().chain(&lost_disks);
-                let count = all
+                let disk_indexes = last_synced.values().chain(&lost_disks);
+                let count = disk_indexes
                     .filter(|(i, until)| *i >= effect.index && event.at < *until)
                     .count();
                 if count < min_disks {
--- a/crates/simulation/src/checker/evacuations.rs
+++ b/crates/simulation/src/checker/evacuations.rs
@@ -143,12 +143,12 @@
             continue;
         };
         let count = counts.entry(command.zone.clone()).or_default();
-        let of = |begin| newest.get(&(command.zone.as_str(), begin)).copied();
-        let other = of(!command.begin).map_or(0, |(index, _, _)| index);
-        let same = of(command.begin);
+        let newest_of = |begin| newest.get(&(command.zone.as_str(), begin)).copied();
+        let other = newest_of(!command.begin).map_or(0, |(index, _, _)| index);
+        let same = newest_of(command.begin);
         let sent = evidence.attempts.get(&e.attempt).map_or(0, |a| a.sent);
         // The leader may have seen the equal command as late as the last process did.
-        let recent = |index: u64| {
+        let is_recent = |index: u64| {
             let processes = first_seen
                 .iter()
                 .filter_map(|process| process.range(index..).next());
@@ -157,7 +157,7 @@
         };
         let next = same.filter(|(index, _, _)| *index > other);
         let duplicate = if command.begin { next } else { same };
-        let duplicate = duplicate.filter(|(index, _, _)| recent(*index));
+        let duplicate = duplicate.filter(|(index, _, _)| is_recent(*index));
         let next = next.filter(|(_, at, _)| e.at <= at + duplicate_window_ms);
         if !e.changed {
             // A repeated command changes nothing, nor does a finish without an evacuation.
@@ -249,15 +249,15 @@
     }
     let zones: BTreeSet<&String> = known_commands.values().map(|o| &o.zone).collect();
     for zone in zones {
-        let of = |begin| {
+        let commands_of = |begin| {
             known_commands
                 .values()
                 .filter(move |o| o.zone == *zone && o.begin == begin)
         };
         let counted = |o: &&KnownCommand| o.counted && o.acknowledged.is_some_and(|a| a <= at);
-        let begun = of(true).filter(counted).count();
+        let begun = commands_of(true).filter(counted).count();
         let count = evacuated.get(zone).copied().unwrap_or(0) as usize;
-        let finishes: usize = of(false).map(|o| o.attempts).sum();
+        let finishes: usize = commands_of(false).map(|o| o.attempts).sum();
         if begun > finishes + count {
             let what =
                 format!("{zone}: {begun} begins acknowledged, {finishes} finishes sent, count {count}");
--- a/crates/simulation/src/checker/keys.rs
+++ b/crates/simulation/src/checker/keys.rs
@@ -49,18 +49,26 @@
             until,
         });
     }
-    let all: Vec<(&str, Hold)> = held
+    let all_holds: Vec<(&str, Hold)> = held
         .into_iter()
         .flat_map(|(observer, holds)| holds.into_iter().map(move |hold| (observer, hold)))
         .filter(|(_, hold)| hold.until > hold.start)
         .collect();
-    for (i, (a, hold)) in all.iter().enumerate() {
-        for (b, other_hold) in &all[i + 1..] {
-            let keys = hold.from <= other_hold.to && other_hold.from <= hold.to;
-            if a != b && keys && hold.start < other_hold.until && other_hold.start < hold.until {
+    for (i, (worker, hold)) in all_holds.iter().enumerate() {
+        for (other_worker, other_hold) in &all_holds[i + 1..] {
+            let overlaps = hold.from <= other_hold.to && other_hold.from <= hold.to;
+            if worker != other_worker
+                && overlaps
+                && hold.start < other_hold.until
+                && other_hold.start < hold.until
+            {
                 let at = hold.start.max(other_hold.start);
                 let key = hold.from.max(other_hold.from);
-                evidence.fail(Check::TwoHolders, at, format!("{a} and {b} hold key {key}"));
+                evidence.fail(
+                    Check::TwoHolders,
+                    at,
+                    format!("{worker} and {other_worker} hold key {key}"),
+                );
             }
         }
     }
--- a/crates/simulation/src/cluster/network.rs
+++ b/crates/simulation/src/cluster/network.rs
@@ -116,8 +116,9 @@
         let frozen: BTreeSet<u64> = frozen.map(Node::id).collect();
         let is_held =
             |message: &InFlight| matches!(message, InFlight::Raft { to, .. } if frozen.contains(to));
-        let all = std::mem::take(&mut self.in_flight).into_iter();
-        let (due, rest): (Vec<_>, Vec<_>) = all.partition(|(at, message)| *at <= now && !is_held(message));
+        let in_flight = std::mem::take(&mut self.in_flight).into_iter();
+        let (due, rest): (Vec<_>, Vec<_>) =
+            in_flight.partition(|(at, message)| *at <= now && !is_held(message));
         self.in_flight = rest;
         for (_, message) in due {
             self.deliver_one(message);
--- a/crates/simulation/tests/checker.rs
+++ b/crates/simulation/tests/checker.rs
@@ -664,10 +664,10 @@
             let is_reply = |i: &usize| matches!(h.events[*i].observation, Observation::ReplyReceived { .. });
             (0..h.events.len()).filter(is_reply).collect()
         };
-        let all = received(&history);
-        prop_assume!(!all.is_empty());
+        let reply_indexes = received(&history);
+        prop_assume!(!reply_indexes.is_empty());
         let mut changed = history.clone();
-        if let Observation::ReplyReceived { reply, .. } = &mut changed.events[all[pick.index(all.len())]].observation {
+        if let Observation::ReplyReceived { reply, .. } = &mut changed.events[reply_indexes[pick.index(reply_indexes.len())]].observation {
             reply.made_for += 1;
         }
         prop_assert!(!check_history(&changed, Guarantees::default()).is_empty(), "a reply made for another attempt");
--- a/crates/simulation/tests/cold.rs
+++ b/crates/simulation/tests/cold.rs
@@ -263,14 +263,14 @@
     fn step(&mut self) {
         self.now += STEP_MS;
         let now = self.now;
-        let evacuation_ends: Vec<u64> = self
+        let ended_zones: Vec<u64> = self
             .evacuation_ends
             .iter()
             .filter(|(at, _)| *at <= now)
             .map(|(_, z)| *z)
             .collect();
         self.evacuation_ends.retain(|(at, _)| *at > now);
-        for zone in evacuation_ends {
+        for zone in ended_zones {
             let returns_to_warmup = self.rng.gen_bool(0.7);
             let before = self.rng.gen_range(0..500);
             let name = format!("z{zone}");
@@ -369,12 +369,13 @@
     /// Returns the largest number of requests that a worker in warm-up received in one second, and the
     /// number that all workers received in warm-up.
     fn max_arrivals(&self) -> (usize, usize) {
-        let most = self.workers.values().map(|w| {
-            let within = |t: &u64| w.arrivals.iter().filter(|a| **a >= *t && **a < t + 1000).count();
-            w.arrivals.iter().map(within).max().unwrap_or(0)
+        let max_per_worker = self.workers.values().map(|w| {
+            let arrivals_within_1_s =
+                |t: &u64| w.arrivals.iter().filter(|a| **a >= *t && **a < t + 1000).count();
+            w.arrivals.iter().map(arrivals_within_1_s).max().unwrap_or(0)
         });
-        let all = self.workers.values().map(|w| w.arrivals.len()).sum();
-        (most.max().unwrap_or(0), all)
+        let total = self.workers.values().map(|w| w.arrivals.len()).sum();
+        (max_per_worker.max().unwrap_or(0), total)
     }
 
     fn bound(&self) -> usize {
@@ -418,8 +419,8 @@
         events in prop::collection::vec((0..2500u64, event()), 1..8),
     ) {
         let simulation = run_simulation(seed, nodes, RATE, &events);
-        let (most, _) = simulation.max_arrivals();
-        prop_assert!(most <= simulation.bound(), "{most} of {}", simulation.bound());
+        let (max_arrivals, _) = simulation.max_arrivals();
+        prop_assert!(max_arrivals <= simulation.bound(), "{max_arrivals} of {}", simulation.bound());
     }
 }
 
