--- a/crates/simulation/src/cluster/network.rs
+++ b/crates/simulation/src/cluster/network.rs
@@ -116,8 +116,9 @@
         let frozen: BTreeSet<u64> = frozen.map(Node::id).collect();
         let is_held =
             |message: &InFlight| matches!(message, InFlight::Raft { to, .. } if frozen.contains(to));
-        let all = std::mem::take(&mut self.in_flight).into_iter();
-        let (due, rest): (Vec<_>, Vec<_>) = all.partition(|(at, message)| *at <= now && !is_held(message));
+        let in_flight = std::mem::take(&mut self.in_flight).into_iter();
+        let (due, rest): (Vec<_>, Vec<_>) =
+            in_flight.partition(|(at, message)| *at <= now && !is_held(message));
         self.in_flight = rest;
         for (_, message) in due {
             self.deliver_one(message);
@@ -202,7 +203,7 @@
         node.process.as_mut().filter(|p| p.started == caller.started)
     }
 
-    /// Resets the connections between two nodes: drops all messages in flight between them.
+    /// Resets the connections between two nodes: drops the messages in flight between them.
     pub fn reset(&mut self, a: &str, b: &str) {
         let (a_id, b_id) = (
             self.nodes.get(a).map_or(0, Node::id),
